--- a/hsrv.c
+++ b/hsrv.c
@@ -13,17 +13,14 @@
 #include "field.h"
 #include "libhsrv.h"
 
-/*
- * The HTTP server, on h2o: connections, requests to a function, bounds, and
- * refusals of its own.
- */
+/* Setup, limits and shutdown of the HTTP server, and access to requests. */
 
 enum {
 	BACKLOG = 1024,
-	LINGER_MS = 500 /* for a caller to read our last answer */
+	LINGER_MS = 500 /* time for a caller to read the last response */
 };
 
-struct handler {
+struct request_handler {
 	h2o_handler_t super;
 	struct hsrv *srv;
 };
@@ -33,11 +30,12 @@
 static bool listen_on(struct hsrv *, struct str, GError **);
 
 /*
- * Refusals that h2o answers by itself, before a handler sees the request:
- * they get the kind too, and as nothing was sent, the request did not run.
+ * Adds headers to the error responses that are sent before a handler gets the
+ * request: the error kind, and "fern-ran: no", because no backend server has
+ * received the request.
  */
 static void
-on_setup(h2o_filter_t *self, h2o_req_t *req, h2o_ostream_t **slot)
+add_error_headers(h2o_filter_t *self, h2o_req_t *req, h2o_ostream_t **next)
 {
 	enum err_kind kind =
 	    req->res.status == 413 ? ERR_TOO_LARGE : ERR_BAD_REQUEST;
@@ -48,7 +46,7 @@
 	    strlen(err_answer(kind)->name));
 	h2o_add_header_by_str(&req->pool, &req->res.headers,
 	    H2O_STRLIT("fern-ran"), 0, NULL, H2O_STRLIT("no"));
-	h2o_setup_next_ostream(req, slot);
+	h2o_setup_next_ostream(req, next);
 }
 
 struct hsrv *
@@ -59,7 +57,7 @@
 	h2o_hostconf_t *host;
 	h2o_pathconf_t *path;
 	h2o_filter_t *filter;
-	struct handler *h;
+	struct request_handler *handler;
 
 	s->loop = loop;
 	s->fn = fn;
@@ -70,11 +68,12 @@
 	host = h2o_config_register_host(
 	    &s->conf, h2o_iovec_init(H2O_STRLIT("default")), 65535);
 	path = h2o_config_register_path(host, "/", 0);
-	h = (struct handler *)h2o_create_handler(path, sizeof(*h));
-	h->super.on_req = on_request;
-	h->srv = s;
+	handler = (struct request_handler *)h2o_create_handler(
+	    path, sizeof(*handler));
+	handler->super.on_req = on_request;
+	handler->srv = s;
 	filter = h2o_create_filter(&host->fallback_path, sizeof(*filter));
-	filter->on_setup_ostream = on_setup;
+	filter->on_setup_ostream = add_error_headers;
 	h2o_context_init(&s->ctx, loop, &s->conf);
 	h2o_timeout_init(loop, &s->linger, LINGER_MS);
 	s->accept.ctx = &s->ctx;
@@ -94,7 +93,7 @@
 
 	if (!field_address(address, ip, sizeof(ip), &port))
 		return err_set(
-		    err, ERR_SYSTEM, "%.*s is no address", STR_ARG(address));
+		    err, ERR_SYSTEM, "invalid address: %.*s", STR_ARG(address));
 	if (uv_ip4_addr(ip, port, (struct sockaddr_in *)&sa) != 0)
 		uv_ip6_addr(ip, port, (struct sockaddr_in6 *)&sa);
 	uv_tcp_init(s->loop, &s->listener);
@@ -104,8 +103,8 @@
 		rc = uv_listen(
 		    (uv_stream_t *)&s->listener, BACKLOG, on_connection);
 	if (rc != 0)
-		return err_set(err, ERR_SYSTEM, "%.*s: %s", STR_ARG(address),
-		    uv_strerror(rc));
+		return err_set(err, ERR_SYSTEM, "cannot listen on %.*s: %s",
+		    STR_ARG(address), uv_strerror(rc));
 	s->listening = true;
 	return true;
 }
@@ -114,24 +113,24 @@
 on_connection(uv_stream_t *listener, int status)
 {
 	struct hsrv *s = listener->data;
-	uv_tcp_t *conn;
+	uv_tcp_t *tcp;
 
 	if (status != 0)
 		return;
-	conn = h2o_mem_alloc(sizeof(*conn));
-	uv_tcp_init(s->loop, conn);
-	if (uv_accept(listener, (uv_stream_t *)conn) != 0) {
-		uv_close((uv_handle_t *)conn, (uv_close_cb)free);
+	tcp = h2o_mem_alloc(sizeof(*tcp));
+	uv_tcp_init(s->loop, tcp);
+	if (uv_accept(listener, (uv_stream_t *)tcp) != 0) {
+		uv_close((uv_handle_t *)tcp, (uv_close_cb)free);
 		return;
 	}
-	uv_tcp_nodelay(conn, 1);
-	hsrv_conn_open(s, conn);
+	uv_tcp_nodelay(tcp, 1);
+	hsrv_conn_open(s, tcp);
 }
 
 static int
 on_request(h2o_handler_t *self, h2o_req_t *req)
 {
-	struct hsrv *s = ((struct handler *)self)->srv;
+	struct hsrv *s = ((struct request_handler *)self)->srv;
 
 	s->fn(s->fn_ctx, req);
 	return 0;
@@ -143,7 +142,7 @@
 	s->beside = fn;
 }
 
-/* h2o has one time for idle connections and for slow heads of requests. */
+/* h2o has one timeout for idle connections and for slow request heads. */
 void
 hsrv_limits(struct hsrv *s, size_t body_max, uint64_t idle_ms)
 {
@@ -191,30 +190,31 @@
 struct str
 hsrv_header(const h2o_req_t *req, const char *name)
 {
-	ssize_t at =
+	ssize_t i =
 	    h2o_find_header_by_str(&req->headers, name, strlen(name), SIZE_MAX);
 
-	if (at < 0)
+	if (i < 0)
 		return str_c(NULL);
-	return str_n(req->headers.entries[at].value.base,
-	    req->headers.entries[at].value.len);
+	return str_n(req->headers.entries[i].value.base,
+	    req->headers.entries[i].value.len);
 }
 
 struct str
 hsrv_query(const h2o_req_t *req, const char *name)
 {
-	size_t n = strlen(name), at, end;
+	size_t n = strlen(name), start, end;
 
 	if (req->query_at == SIZE_MAX)
 		return str_c(NULL);
-	for (at = req->query_at + 1; at < req->path.len; at = end + 1) {
-		const char *p = req->path.base + at;
+	for (start = req->query_at + 1; start < req->path.len;
+	     start = end + 1) {
+		const char *p = req->path.base + start;
 
-		for (end = at; end < req->path.len; end++)
+		for (end = start; end < req->path.len; end++)
 			if (req->path.base[end] == '&')
 				break;
-		if (end - at > n && memcmp(p, name, n) == 0 && p[n] == '=')
-			return str_n(p + n + 1, end - at - n - 1);
+		if (end - start > n && memcmp(p, name, n) == 0 && p[n] == '=')
+			return str_n(p + n + 1, end - start - n - 1);
 	}
 	return str_c(NULL);
 }
--- a/hsrv.h
+++ b/hsrv.h
@@ -19,57 +19,78 @@
 #include "str.h"
 
 /*
- * An HTTP server on libuv: requests, their answers and HTTP/2 by h2o, the
- * connections of HTTP/1.1 by us (hsrv_conn.c).  No TLS.
+ * An HTTP server on libuv.  h2o processes requests and responses and serves
+ * HTTP/2; hsrv_conn.c serves HTTP/1.1 connections.  There is no TLS.
  */
 struct hsrv;
 
-/* Answer a request with h2o; it may be kept and answered later. */
+/*
+ * Handles a request and sends the response with h2o's functions, either at
+ * once or later.  The first argument is the pointer given to hsrv_open().
+ */
 typedef void hsrv_fn(void *, h2o_req_t *);
 
-/* Listen on an address.  NULL and ERR_SYSTEM on failure. */
+/*
+ * Listens on an address, an IP address and a port.  Request bodies are limited
+ * to `body_max` bytes.  Returns NULL and sets ERR_SYSTEM on failure.
+ */
 struct hsrv *hsrv_open(uv_loop_t *, struct str address, size_t body_max,
     hsrv_fn *, void *, GError **);
 
 /*
- * From now on requests that a caller sends before the last one was answered
- * run side by side, where the function says that they may.  What a request
- * says is in its `input`.
+ * From now on, pipelined requests of an HTTP/1.1 connection are handled
+ * concurrently if the function returns true for them.  Without it, each waits
+ * for the response to the one before.  When the function is called, the
+ * request has not been processed yet: its method, path and authority are in
+ * its member `input`.
  */
 typedef bool hsrv_beside_fn(void *, const h2o_req_t *);
 void hsrv_side_by_side(struct hsrv *, hsrv_beside_fn *);
 
-/* Stop taking connections; those that are open go on. */
+/* Stops accepting connections; open connections continue. */
 void hsrv_stop(struct hsrv *);
 
-/* From now on: bytes of a body, and ms that a connection may be idle. */
+/*
+ * Sets the maximum size of a request body in bytes and the idle timeout of
+ * HTTP/1.1 connections in ms.
+ */
 void hsrv_limits(struct hsrv *, size_t body_max, uint64_t idle_ms);
 
 /*
- * Close the connections on which nothing has come for so long, in ms: after a
- * planned stop a request on one of them could not be answered any more.
+ * Closes the HTTP/1.1 connections that have been idle for at least `idle_ms`.
+ * This is for a planned shutdown, after which a request on one of them could
+ * not be answered any more.
  */
 void hsrv_close_idle(struct hsrv *, uint64_t idle_ms);
 
-/* Tell HTTP/2 callers to go elsewhere (GOAWAY). */
+/*
+ * Begins a graceful shutdown: sends GOAWAY on HTTP/2 connections and ends
+ * HTTP/1.1 connections with the next response.
+ */
 void hsrv_shutdown(struct hsrv *);
 
 /*
- * Break a connection of HTTP/1.1 off, whatever is under way on it: for
- * stand-ins that behave badly.
+ * Shuts down the HTTP/1.1 connection of a request at once, with all requests in
+ * flight on it.  Only for test servers that simulate faults.
  */
 void hsrv_cut(const h2o_req_t *);
 
-/* Send a short answer: JSON or text. */
+/* Sends a complete response.  `type` is its content type. */
 void hsrv_answer(h2o_req_t *, int status, const char *type, struct str body);
 
-/* The value of a request's header; an empty string if it is not there. */
+/*
+ * Returns the value of a request header, or an empty string if it is absent.
+ * The string belongs to the request.
+ */
 struct str hsrv_header(const h2o_req_t *, const char *name);
 
-/* The value of a query argument, as written; empty if not there. */
+/*
+ * Returns the value of a query argument without decoding it, or an empty
+ * string if it is absent.
+ */
 struct str hsrv_query(const h2o_req_t *, const char *name);
 
-/* A request's path without its query. */
+/* Returns the path of a request without its query. */
 struct str hsrv_path(const h2o_req_t *);
 
 #endif
--- a/hsrv_conn.c
+++ b/hsrv_conn.c
@@ -15,30 +15,34 @@
 #include "libhsrv.h"
 
 /*
- * A connection that speaks HTTP/1.1.  What may run beside others does as soon
- * as it is read, so that a request does not wait for the answer to the one
- * before it; answers go out in the order of the requests.  Reading goes on
- * meanwhile, so that a caller that goes away is seen at once.
+ * An HTTP/1.1 connection.  Pipelined requests that may run concurrently are
+ * passed to the handler as soon as they are parsed; their responses are sent
+ * in the order of the requests.  If they ran one after another, a quick
+ * request would wait for the responses to the requests before it while backend
+ * servers are idle.
  *
- * Read one after another, a quick request would wait in us for its neighbours'
- * answers while backend servers are idle.
+ * Reading continues while requests are in flight, so that a caller that closes
+ * the connection is detected at once.
  */
 
 enum {
-	/* Requests of a connection, each with 256 KiB of its answer at most. */
-	BESIDE_MAX = 8,
-	INPUT_MAX = 64 * 1024, /* bytes that are read ahead beyond these */
-	HEAD_MAX = 4096 /* bytes looked through for an upgrade to HTTP/2 */
+	/*
+	 * Requests in flight on a connection.  Each buffers at most 256 KiB of
+	 * its response.
+	 */
+	IN_FLIGHT_MAX = 8,
+	INPUT_MAX = 64 * 1024, /* unparsed bytes at which reading pauses */
+	HEAD_MAX = 4096 /* bytes inspected to detect HTTP/2 */
 };
 
 static void on_alloc(uv_handle_t *, size_t, uv_buf_t *);
 static void on_read(uv_stream_t *, ssize_t, const uv_buf_t *);
 static void on_written(uv_write_t *, int);
 static void on_idle(h2o_timeout_entry_t *);
-static void on_lingered(h2o_timeout_entry_t *);
+static void on_linger_timeout(h2o_timeout_entry_t *);
 static void close_conn(struct hsrv_conn *);
-static void advance(struct hsrv_conn *);
-static void flush(struct hsrv_conn *);
+static void process_input(struct hsrv_conn *);
+static void write_response(struct hsrv_conn *);
 
 static socklen_t
 get_sockname(h2o_conn_t *conn, struct sockaddr *sa)
@@ -85,22 +89,25 @@
 	memset((char *)c + sizeof(c->super), 0, sizeof(*c) - sizeof(c->super));
 	c->srv = s;
 	c->tcp = tcp;
-	c->ready = flush;
+	c->ready = write_response;
 	c->fresh = true;
 	c->input = g_byte_array_new();
 	c->head = g_string_new(NULL);
 	c->out = g_array_new(FALSE, FALSE, sizeof(uv_buf_t));
 	c->idle.cb = on_idle;
-	c->lingering.cb = on_lingered;
+	c->lingering.cb = on_linger_timeout;
 	tcp->data = c;
 	hsrv_parse_open(c);
 	h2o_timeout_link(s->loop, &s->ctx.http1.req_timeout, &c->idle);
 	uv_read_start((uv_stream_t *)tcp, on_alloc, on_read);
 }
 
-/* All that the connection holds but for what its handle still needs. */
+/*
+ * Frees the requests and unlinks the timeouts.  The rest is freed once the
+ * handle is closed or passed to h2o.
+ */
 static void
-drop_reqs(struct hsrv_conn *c)
+free_reqs(struct hsrv_conn *c)
 {
 	struct hsrv_req *r;
 
@@ -122,14 +129,14 @@
 	free(c);
 }
 
-/* Whatever is under way is broken off: its caller is gone. */
+/* Closes the connection and aborts its requests. */
 static void
 close_conn(struct hsrv_conn *c)
 {
 	if (c->closed)
 		return;
 	c->closed = true;
-	drop_reqs(c);
+	free_reqs(c);
 	uv_close((uv_handle_t *)c->tcp, on_closed);
 }
 
@@ -141,7 +148,7 @@
 }
 
 static void
-on_lingered(h2o_timeout_entry_t *e)
+on_linger_timeout(h2o_timeout_entry_t *e)
 {
 	close_conn((struct hsrv_conn *)((char *)e -
 	    offsetof(struct hsrv_conn, lingering)));
@@ -165,11 +172,12 @@
 }
 
 /*
- * All is written.  The other side reads it and ends too; a connection that is
- * closed with bytes unread would take the last answer with it.
+ * Shuts down the write side after the last response and waits for the peer to
+ * close.  Closing at once, with received bytes unread, would reset the
+ * connection, and the peer could lose the last response.
  */
 static void
-end_conn(struct hsrv_conn *c)
+shutdown_conn(struct hsrv_conn *c)
 {
 	struct hsrv *s = c->srv;
 
@@ -180,9 +188,12 @@
 		close_conn(c);
 }
 
-/* Requests that nobody has begun with are not read, for their caller. */
+/*
+ * Frees requests that have not been handled.  The connection ends before them,
+ * so the caller has to treat them as not processed.
+ */
 static void
-drop_unhandled(struct hsrv_conn *c)
+free_unhandled(struct hsrv_conn *c)
 {
 	struct hsrv_req *r;
 
@@ -190,49 +201,50 @@
 		hsrv_req_free(r);
 }
 
-/* Its length is told by the connection's end only. */
+/* Returns whether the end of the connection marks the end of the response. */
 static bool
-ends_by_close(const struct hsrv_req *r)
+is_close_delimited(const struct hsrv_req *r)
 {
 	return r->req.version < 0x101 && r->req.res.content_length == SIZE_MAX;
 }
 
 /*
- * Does the connection end with this answer?  Those that run behind it are
- * answered first, where that is possible.
+ * Returns whether the connection ends with this response.  If it is to end,
+ * but later requests are already being handled, it ends after their responses,
+ * unless this response is delimited by the close.
  */
 static bool
-decide_end(struct hsrv_req *r)
+ends_connection(struct hsrv_req *r)
 {
 	struct hsrv_conn *c = r->conn;
 
 	if (!r->req.http1_is_persistent || c->super.ctx->shutdown_requested ||
-	    ends_by_close(r))
+	    is_close_delimited(r))
 		c->last = true;
 	if (!c->last)
 		return false;
-	drop_unhandled(c);
-	return r->link.next == NULL || ends_by_close(r);
+	free_unhandled(c);
+	return r->link.next == NULL || is_close_delimited(r);
 }
 
 static void
-begin_answer(struct hsrv_req *r)
+begin_response(struct hsrv_req *r)
 {
 	uv_buf_t buf;
 
 	r->head_out = true;
-	r->closes = decide_end(r);
+	r->closes = ends_connection(r);
 	hsrv_req_head(r, r->conn->head);
 	buf = uv_buf_init(r->conn->head->str, (unsigned)r->conn->head->len);
 	g_array_append_val(r->conn->out, buf);
 }
 
-/* Write what the first request's answer has ready. */
+/* Writes the available part of the response to the first request. */
 static void
-flush(struct hsrv_conn *c)
+write_response(struct hsrv_conn *c)
 {
 	struct hsrv_req *r = g_queue_peek_head(&c->reqs);
-	uv_buf_t none = uv_buf_init(NULL, 0);
+	uv_buf_t empty = uv_buf_init(NULL, 0);
 
 	if (c->closed || c->writing || r == NULL || !r->ready)
 		return;
@@ -240,31 +252,37 @@
 	c->writing = true;
 	g_array_set_size(c->out, 0);
 	if (!r->head_out)
-		begin_answer(r);
+		begin_response(r);
 	g_array_append_vals(c->out, r->bufs->data, r->bufs->len);
 	if (c->out->len == 0)
-		g_array_append_val(c->out, none);
+		g_array_append_val(c->out, empty);
 	g_array_set_size(r->bufs, 0);
 	if (uv_write(&c->write, (uv_stream_t *)c->tcp, (uv_buf_t *)c->out->data,
 		c->out->len, on_written) != 0)
-		/* Its owner is in the midst of it: closed a little later. */
+		/*
+		 * Closing now would free the request while the caller of this
+		 * function still uses it.
+		 */
 		h2o_timeout_link(c->srv->loop, &c->srv->linger, &c->lingering);
 }
 
-/* The first request is answered: the next one's turn. */
+/*
+ * Ends the first request, whose response was written.  Then continues with the
+ * next one or ends the connection.
+ */
 static void
-finish(struct hsrv_conn *c, struct hsrv_req *r)
+finish_req(struct hsrv_conn *c, struct hsrv_req *r)
 {
-	bool cut = r->state == H2O_SEND_STATE_ERROR;
+	bool truncated = r->state == H2O_SEND_STATE_ERROR;
 	bool ends = r->closes || (c->last && r->link.next == NULL);
 
 	hsrv_req_free(r);
-	if (cut)
+	if (truncated)
 		close_conn(c);
 	else if (ends)
-		end_conn(c);
+		shutdown_conn(c);
 	else
-		advance(c);
+		process_input(c);
 }
 
 static void
@@ -283,14 +301,17 @@
 	}
 	r = g_queue_peek_head(&c->reqs);
 	if (r->state != H2O_SEND_STATE_IN_PROGRESS)
-		finish(c, r);
+		finish_req(c, r);
 	else
 		h2o_proceed_response(&r->req);
 }
 
-/* May the request run now, with others of its connection under way? */
+/*
+ * Returns whether the request can be handled now: either no other request of
+ * the connection is in flight, or it may run concurrently with them.
+ */
 static bool
-may_run(struct hsrv_conn *c, const struct hsrv_req *r)
+can_handle(struct hsrv_conn *c, const struct hsrv_req *r)
 {
 	if (g_queue_peek_head(&c->reqs) == r)
 		return true;
@@ -298,24 +319,27 @@
 	    c->srv->beside(c->srv->fn_ctx, &r->req);
 }
 
-/* The last request, if nobody has begun with it. */
+/* Returns the last request if it has not been handled, else NULL. */
 static struct hsrv_req *
-unhandled(struct hsrv_conn *c)
+unhandled_req(struct hsrv_conn *c)
 {
 	struct hsrv_req *r = g_queue_peek_tail(&c->reqs);
 
 	return r != NULL && !r->handled ? r : NULL;
 }
 
-/* Begin with the request that was read last; false if it has to wait. */
+/*
+ * Handles the last request if it is complete.  Returns false if it has to wait
+ * for the responses to earlier ones.
+ */
 static bool
-run_next(struct hsrv_conn *c)
+handle_next(struct hsrv_conn *c)
 {
-	struct hsrv_req *r = unhandled(c);
+	struct hsrv_req *r = unhandled_req(c);
 
 	if (r == NULL || !r->complete)
 		return true;
-	if (!may_run(c, r))
+	if (!can_handle(c, r))
 		return false;
 	if (!r->req.http1_is_persistent)
 		c->last = true;
@@ -323,9 +347,9 @@
 	return true;
 }
 
-/* A request that waits for a word of ours before it sends its body. */
+/* Sends "100 Continue" if the caller waits for it before sending the body. */
 static void
-ask_for_body(struct hsrv_conn *c)
+send_continue(struct hsrv_conn *c)
 {
 	static char text[] = "HTTP/1.1 100 Continue\r\n\r\n";
 	struct hsrv_req *r = g_queue_peek_head(&c->reqs);
@@ -338,10 +362,11 @@
 		close_conn(c);
 }
 
+/* Rejects input that cannot be parsed; no further request is accepted. */
 static void
-refuse(struct hsrv_conn *c)
+reject_input(struct hsrv_conn *c)
 {
-	struct hsrv_req *r = unhandled(c);
+	struct hsrv_req *r = unhandled_req(c);
 
 	c->last = true;
 	if (r == NULL)
@@ -349,21 +374,24 @@
 	hsrv_req_refuse(r);
 }
 
-/* The idle time runs while no request is under way, and for a slow head. */
+/*
+ * Starts or stops the idle timeout.  It runs while no request is being handled,
+ * and so also limits the time for reading a request.
+ */
 static void
-watch_idle(struct hsrv_conn *c)
+update_idle_timeout(struct hsrv_conn *c)
 {
-	h2o_timeout_t *time = &c->srv->ctx.http1.req_timeout;
+	h2o_timeout_t *timeout = &c->srv->ctx.http1.req_timeout;
 	struct hsrv_req *r = g_queue_peek_head(&c->reqs);
 
 	if (c->ending || (r != NULL && r->handled))
 		h2o_timeout_unlink(&c->idle);
 	else if (!h2o_timeout_is_linked(&c->idle))
-		h2o_timeout_link(c->srv->loop, time, &c->idle);
+		h2o_timeout_link(c->srv->loop, timeout, &c->idle);
 }
 
 static void
-resume(struct hsrv_conn *c)
+resume_reading(struct hsrv_conn *c)
 {
 	if (c->closed || !c->paused || c->input->len >= INPUT_MAX)
 		return;
@@ -371,26 +399,26 @@
 	uv_read_start((uv_stream_t *)c->tcp, on_alloc, on_read);
 }
 
-/* Go on with what was read, as far as requests may be begun. */
+/* Parses the input and handles requests until one has to wait. */
 static void
-advance(struct hsrv_conn *c)
+process_input(struct hsrv_conn *c)
 {
-	while (!c->closed && run_next(c) && !c->last && c->input->len > 0 &&
-	    c->reqs.length < BESIDE_MAX) {
+	while (!c->closed && handle_next(c) && !c->last && c->input->len > 0 &&
+	    c->reqs.length < IN_FLIGHT_MAX) {
 		if (hsrv_parse(c))
 			continue;
-		refuse(c);
+		reject_input(c);
 		break;
 	}
 	if (c->closed)
 		return;
-	ask_for_body(c);
-	watch_idle(c);
-	flush(c);
-	resume(c);
+	send_continue(c);
+	update_idle_timeout(c);
+	write_response(c);
+	resume_reading(c);
 }
 
-/* HTTP/2, at once or by an upgrade, is h2o's. */
+/* Recognizes the HTTP/2 preface and a request to upgrade to HTTP/2. */
 static bool
 is_http2(const char *p, size_t n)
 {
@@ -402,14 +430,15 @@
 	return memmem(p, n, "\r\nUpgrade: h2c\r\n", 16) != NULL;
 }
 
+/* Passes an HTTP/2 connection to h2o. */
 static void
-hand_over(struct hsrv_conn *c)
+pass_to_h2o(struct hsrv_conn *c)
 {
 	struct hsrv *s = c->srv;
 	uv_tcp_t *tcp = c->tcp;
 
 	uv_read_stop((uv_stream_t *)tcp);
-	drop_reqs(c);
+	free_reqs(c);
 	g_byte_array_free(c->input, TRUE);
 	g_string_free(c->head, TRUE);
 	g_array_free(c->out, TRUE);
@@ -418,9 +447,12 @@
 	    h2o_uv_socket_create((uv_stream_t *)tcp, (uv_close_cb)free));
 }
 
-/* The first bytes are looked at and left where they are. */
+/*
+ * Inspects the first bytes of the connection without consuming them: h2o reads
+ * them again if this is HTTP/2.
+ */
 static void
-look_first(struct hsrv_conn *c)
+detect_http2(struct hsrv_conn *c)
 {
 	char head[HEAD_MAX];
 	ssize_t n;
@@ -430,10 +462,13 @@
 	uv_fileno((uv_handle_t *)c->tcp, &fd);
 	n = recv(fd, head, sizeof(head), MSG_PEEK | MSG_DONTWAIT);
 	if (n > 0 && is_http2(head, (size_t)n))
-		hand_over(c);
+		pass_to_h2o(c);
 }
 
-/* No room is given before the first bytes were looked at. */
+/*
+ * Before the first bytes were inspected, an empty buffer makes libuv report
+ * UV_ENOBUFS and read nothing.
+ */
 static void
 on_alloc(uv_handle_t *tcp, size_t n, uv_buf_t *buf)
 {
@@ -451,7 +486,7 @@
 	struct hsrv_conn *c = tcp->data;
 
 	if (n == UV_ENOBUFS) {
-		look_first(c);
+		detect_http2(c);
 		return;
 	}
 	if (n < 0) {
@@ -465,5 +500,5 @@
 		c->paused = true;
 		uv_read_stop(tcp);
 	}
-	advance(c);
+	process_input(c);
 }
--- a/hsrv_parse.c
+++ b/hsrv_parse.c
@@ -12,34 +12,34 @@
 
 #include "libhsrv.h"
 
-/* Bytes of a connection to requests, by http_parser. */
+/* Parses the input of a connection into requests with http_parser. */
 
-static int on_begin(http_parser *);
+static int on_message_begin(http_parser *);
 static int on_url(http_parser *, const char *, size_t);
-static int on_name(http_parser *, const char *, size_t);
-static int on_value(http_parser *, const char *, size_t);
-static int on_head(http_parser *);
+static int on_header_field(http_parser *, const char *, size_t);
+static int on_header_value(http_parser *, const char *, size_t);
+static int on_headers_complete(http_parser *);
 static int on_body(http_parser *, const char *, size_t);
-static int on_complete(http_parser *);
+static int on_message_complete(http_parser *);
 
 static const http_parser_settings settings = {
-    .on_message_begin = on_begin,
+    .on_message_begin = on_message_begin,
     .on_url = on_url,
-    .on_header_field = on_name,
-    .on_header_value = on_value,
-    .on_headers_complete = on_head,
+    .on_header_field = on_header_field,
+    .on_header_value = on_header_value,
+    .on_headers_complete = on_headers_complete,
     .on_body = on_body,
-    .on_message_complete = on_complete,
+    .on_message_complete = on_message_complete,
 };
 
 static struct hsrv_req *
-reading(http_parser *p)
+current_req(http_parser *p)
 {
 	return ((struct hsrv_conn *)p->data)->reading;
 }
 
 static int
-on_begin(http_parser *p)
+on_message_begin(http_parser *p)
 {
 	struct hsrv_conn *c = p->data;
 
@@ -50,41 +50,42 @@
 static int
 on_url(http_parser *p, const char *at, size_t n)
 {
-	g_string_append_len(reading(p)->text, at, (gssize)n);
+	g_string_append_len(current_req(p)->text, at, (gssize)n);
 	return 0;
 }
 
 /*
- * A name or value may come in pieces.  The list of ends is odd while the last
- * piece was of a name (the path counts as the first value).
+ * Appends a part of a header name or value; the parser may split both.  The
+ * number of offsets is odd while the last part belongs to a name: names and
+ * values alternate, and the request target before them has no offset.
  */
 static void
-take_piece(struct hsrv_req *r, bool name, const char *at, size_t n)
+append_part(struct hsrv_req *r, bool is_name, const char *at, size_t n)
 {
-	gsize end = r->text->len;
+	gsize offset = r->text->len;
 
-	if ((r->ends->len % 2 == 0) == name)
-		g_array_append_val(r->ends, end);
+	if ((r->ends->len % 2 == 0) == is_name)
+		g_array_append_val(r->ends, offset);
 	g_string_append_len(r->text, at, (gssize)n);
 }
 
 static int
-on_name(http_parser *p, const char *at, size_t n)
+on_header_field(http_parser *p, const char *at, size_t n)
 {
-	take_piece(reading(p), true, at, n);
+	append_part(current_req(p), true, at, n);
 	return 0;
 }
 
 static int
-on_value(http_parser *p, const char *at, size_t n)
+on_header_value(http_parser *p, const char *at, size_t n)
 {
-	take_piece(reading(p), false, at, n);
+	append_part(current_req(p), false, at, n);
 	return 0;
 }
 
-/* Headers that h2o keeps elsewhere than in its list. */
+/* Sets a header that h2o does not keep in its header list. */
 static void
-take_special(struct hsrv_req *r, const h2o_token_t *token, h2o_iovec_t value)
+set_special(struct hsrv_req *r, const h2o_token_t *token, h2o_iovec_t value)
 {
 	if (token == H2O_TOKEN_HOST)
 		r->req.input.authority = value;
@@ -94,27 +95,30 @@
 }
 
 static void
-take_header(struct hsrv_req *r, h2o_iovec_t name, h2o_iovec_t value)
+add_header(struct hsrv_req *r, h2o_iovec_t name, h2o_iovec_t value)
 {
 	h2o_req_t *req = &r->req;
-	char *given = h2o_strdup(&req->pool, name.base, name.len).base;
+	char *orig_name = h2o_strdup(&req->pool, name.base, name.len).base;
 	const h2o_token_t *token;
 
 	h2o_strtolower(name.base, name.len);
 	token = h2o_lookup_token(name.base, name.len);
 	if (token == NULL)
 		h2o_add_header_by_str(&req->pool, &req->headers, name.base,
-		    name.len, 0, given, value.base, value.len);
+		    name.len, 0, orig_name, value.base, value.len);
 	else if (token->is_init_header_special)
-		take_special(r, token, value);
+		set_special(r, token, value);
 	else
-		h2o_add_header(&req->pool, &req->headers, token, given,
+		h2o_add_header(&req->pool, &req->headers, token, orig_name,
 		    value.base, value.len);
 }
 
-/* Where the i-th name or value begins; behind the last, the text's end. */
+/*
+ * Returns the start of the i-th name or value, counting both; the end of the
+ * text if i is past the last one.
+ */
 static char *
-begin_of(const struct hsrv_req *r, h2o_iovec_t text, guint i)
+start_of(const struct hsrv_req *r, h2o_iovec_t text, guint i)
 {
 	if (i >= r->ends->len)
 		return text.base + text.len;
@@ -122,23 +126,26 @@
 }
 
 static void
-take_headers(struct hsrv_req *r, h2o_iovec_t text)
+add_headers(struct hsrv_req *r, h2o_iovec_t text)
 {
 	char *name, *value, *end;
 	guint i;
 
 	for (i = 0; i + 1 < r->ends->len; i += 2) {
-		name = begin_of(r, text, i);
-		value = begin_of(r, text, i + 1);
-		end = begin_of(r, text, i + 2);
-		take_header(r, h2o_iovec_init(name, (size_t)(value - name)),
+		name = start_of(r, text, i);
+		value = start_of(r, text, i + 1);
+		end = start_of(r, text, i + 2);
+		add_header(r, h2o_iovec_init(name, (size_t)(value - name)),
 		    h2o_iovec_init(value, (size_t)(end - value)));
 	}
 }
 
-/* A path, or a whole URL; false for all else. */
+/*
+ * Sets the request target, which is a path or an absolute URL.  Returns false
+ * for any other form.
+ */
 static bool
-take_target(struct hsrv_req *r, const char *target, size_t n)
+set_target(struct hsrv_req *r, const char *target, size_t n)
 {
 	h2o_url_t url;
 
@@ -154,7 +161,7 @@
 }
 
 static bool
-take_head(struct hsrv_req *r, const http_parser *p)
+set_head(struct hsrv_req *r, const http_parser *p)
 {
 	const char *method = http_method_str((enum http_method)p->method);
 	h2o_iovec_t text;
@@ -163,18 +170,18 @@
 	r->req.input.method = h2o_iovec_init(method, strlen(method));
 	r->req.version = p->http_major << 8 | p->http_minor;
 	r->req.http1_is_persistent = http_should_keep_alive(p) != 0;
-	take_headers(r, text);
-	return take_target(
-	    r, text.base, (size_t)(begin_of(r, text, 0) - text.base));
+	add_headers(r, text);
+	return set_target(
+	    r, text.base, (size_t)(start_of(r, text, 0) - text.base));
 }
 
-/* An offer to speak another protocol is passed over. */
+/* A request to upgrade to another protocol is ignored. */
 static int
-on_head(http_parser *p)
+on_headers_complete(http_parser *p)
 {
-	struct hsrv_req *r = reading(p);
+	struct hsrv_req *r = current_req(p);
 
-	if (!take_head(r, p))
+	if (!set_head(r, p))
 		return -1;
 	p->upgrade = 0;
 	r->too_large = (p->flags & F_CONTENTLENGTH) != 0 &&
@@ -185,7 +192,7 @@
 static int
 on_body(http_parser *p, const char *at, size_t n)
 {
-	struct hsrv_req *r = reading(p);
+	struct hsrv_req *r = current_req(p);
 
 	if (r->body == NULL)
 		r->body = g_byte_array_new();
@@ -197,11 +204,11 @@
 	return 0;
 }
 
-/* One request at a time leaves the parser. */
+/* Pauses the parser, so that it parses one request per call. */
 static int
-on_complete(http_parser *p)
+on_message_complete(http_parser *p)
 {
-	struct hsrv_req *r = reading(p);
+	struct hsrv_req *r = current_req(p);
 
 	r->complete = true;
 	r->expects = false;
--- a/hsrv_req.c
+++ b/hsrv_req.c
@@ -10,12 +10,12 @@
  */
 #include "libhsrv.h"
 
-/* One request on a connection, and its answer's way from h2o. */
+/* Requests of a connection, and the output of their responses by h2o. */
 
 /*
- * An answer that is cut ends where it is.  h2o then writes a chunk of its own
- * that cannot be read, with which the caller cannot tell what came before from
- * what was never an answer.
+ * Receives the next part of the response from h2o.  For a response that is
+ * aborted, h2o passes an invalid chunk.  It is discarded, because with it a
+ * caller could not tell the bytes received so far from a malformed response.
  */
 static void
 on_send(h2o_ostream_t *out, h2o_req_t *req, h2o_iovec_t *bufs, size_t n,
@@ -80,7 +80,10 @@
 	h2o_process_request(&r->req);
 }
 
-/* It cannot be read to its end. */
+/*
+ * The parts of the request that were not parsed get default values, which h2o
+ * needs for the error response.
+ */
 void
 hsrv_req_refuse(struct hsrv_req *r)
 {
@@ -100,7 +103,7 @@
 }
 
 static void
-append(GString *to, h2o_iovec_t v)
+append_iovec(GString *to, h2o_iovec_t v)
 {
 	g_string_append_len(to, v.base, (gssize)v.len);
 }
@@ -109,21 +112,22 @@
 hsrv_req_head(const struct hsrv_req *r, GString *to)
 {
 	const h2o_res_t *res = &r->req.res;
-	const h2o_timestamp_t *at = &r->req.processed_at;
+	const h2o_timestamp_t *time = &r->req.processed_at;
 	size_t i;
 
 	g_string_printf(to, "HTTP/1.1 %d %s\r\nconnection: %s\r\n", res->status,
 	    res->reason, r->closes ? "close" : "keep-alive");
-	append(to, h2o_iovec_init(H2O_STRLIT("server: fernjunction\r\n")));
-	if (at->str != NULL)
-		g_string_append_printf(to, "date: %s\r\n", at->str->rfc1123);
+	append_iovec(
+	    to, h2o_iovec_init(H2O_STRLIT("server: fernjunction\r\n")));
+	if (time->str != NULL)
+		g_string_append_printf(to, "date: %s\r\n", time->str->rfc1123);
 	if (res->content_length != SIZE_MAX)
 		g_string_append_printf(
 		    to, "content-length: %zu\r\n", res->content_length);
 	for (i = 0; i < res->headers.size; i++) {
-		append(to, *res->headers.entries[i].name);
+		append_iovec(to, *res->headers.entries[i].name);
 		g_string_append(to, ": ");
-		append(to, res->headers.entries[i].value);
+		append_iovec(to, res->headers.entries[i].value);
 		g_string_append(to, "\r\n");
 	}
 	g_string_append(to, "\r\n");
--- a/libhsrv.h
+++ b/libhsrv.h
@@ -21,77 +21,86 @@
 	h2o_globalconf_t conf;
 	h2o_context_t ctx;
 	h2o_accept_ctx_t accept;
-	h2o_timeout_t linger; /* of connections that we have ended */
+	h2o_timeout_t linger; /* for connections whose write side is shut */
 	uv_tcp_t listener;
 	bool listening;
 	hsrv_fn *fn;
-	hsrv_beside_fn *beside; /* NULL: requests run one after another */
+	hsrv_beside_fn *beside; /* NULL: requests are never concurrent */
 	void *fn_ctx;
-	char input[64 * 1024]; /* of the connection that is read right now */
+	char input[64 * 1024]; /* shared read buffer of all connections */
 };
 
-/* One request of a connection, from its first byte to its answer's last. */
+/* A request, from its first byte to the last byte of its response. */
 struct hsrv_req {
 	h2o_req_t req;
-	h2o_ostream_t out; /* where h2o hands us the answer */
+	h2o_ostream_t out; /* receives the response from h2o */
 	struct hsrv_conn *conn;
-	GList link; /* in the connection's requests */
-	/* While it is read: names and values, and where each begins. */
+	GList link; /* in hsrv_conn.reqs */
+	/* The request target, header names and values, one after another. */
 	GString *text;
-	GArray *ends; /* gsize; names and values in turns */
+	/* Start of each name and value in it, alternately; gsize. */
+	GArray *ends;
 	GByteArray *body;
 	bool too_large;
-	bool expects; /* waits for "100 Continue" */
-	bool complete; /* all of it was read */
-	bool handled; /* the server's function has it */
-	/* A piece of its answer that waits to be written. */
-	bool ready;
-	bool head_out;
-	bool closes; /* the connection ends with this answer */
+	bool expects; /* the caller waits for "100 Continue" */
+	bool complete; /* the whole request was read */
+	bool handled; /* it was passed to the handler or rejected */
+	/* The part of the response that is to be written next. */
+	bool ready; /* there is such a part */
+	bool head_out; /* the head was written */
+	bool closes; /* the connection ends with this response */
 	h2o_send_state_t state;
 	GArray *bufs; /* uv_buf_t */
 };
 
-/* A caller's connection that speaks HTTP/1.1. */
+/* An HTTP/1.1 connection of a caller. */
 struct hsrv_conn {
 	h2o_conn_t super;
 	struct hsrv *srv;
 	uv_tcp_t *tcp;
-	void (*ready)(struct hsrv_conn *); /* a request has a piece of answer */
+	/* Called when a request has a part of its response to write. */
+	void (*ready)(struct hsrv_conn *);
 	http_parser parser;
 	GByteArray *input; /* not parsed yet */
-	GQueue reqs; /* struct hsrv_req, in the order of their answers */
-	struct hsrv_req *reading; /* of these, the one that is read; or NULL */
+	GQueue reqs; /* struct hsrv_req, in the order received */
+	struct hsrv_req *reading; /* the one that is being parsed, or NULL */
 	uv_write_t write;
 	uv_shutdown_t shutdown;
-	GString *head; /* of the answer that is written */
+	GString *head; /* of the response that is being written */
 	GArray *out; /* uv_buf_t */
 	h2o_timeout_entry_t idle, lingering;
-	bool fresh; /* nothing was read yet */
-	bool paused; /* too much was read ahead */
+	bool fresh; /* the first bytes have not been inspected */
+	bool paused; /* too many bytes wait to be parsed */
 	bool writing;
-	bool last; /* no more requests are taken */
-	bool ending; /* all is written, the other side's end is awaited */
+	bool last; /* no further request is accepted */
+	bool ending; /* write side shut, waiting for the peer to close */
 	bool closed;
 };
 
-/* hsrv_conn.c: a connection's requests side by side, answers in order. */
+/* hsrv_conn.c: runs requests concurrently, sends responses in order. */
+
+/* Serves an accepted connection; takes ownership of the handle. */
 void hsrv_conn_open(struct hsrv *, uv_tcp_t *);
 
-/* hsrv_parse.c: bytes to requests. */
+/* hsrv_parse.c: parses requests. */
 void hsrv_parse_open(struct hsrv_conn *);
 /*
- * Parse what was read, up to the end of one request.  False if it cannot be
- * read as HTTP; what is there of the request is then the connection's last.
+ * Parses the bytes read so far, up to the end of one request.  Returns false
+ * if they are not valid HTTP or the request is too large; the request that was
+ * begun is then the last one of the connection.
  */
 bool hsrv_parse(struct hsrv_conn *);
 
-/* hsrv_req.c: one request, and its answer's way from h2o. */
+/* hsrv_req.c: a request, and its response as h2o produces it. */
+
+/* Creates a request and appends it to those of the connection. */
 struct hsrv_req *hsrv_req_new(struct hsrv_conn *);
 void hsrv_req_free(struct hsrv_req *);
+/* Passes a complete request to the handler. */
 void hsrv_req_handle(struct hsrv_req *);
+/* Responds with 400 or 413 to a request that cannot be read to its end. */
 void hsrv_req_refuse(struct hsrv_req *);
-/* The head of its answer, as text. */
+/* Formats the head of the response. */
 void hsrv_req_head(const struct hsrv_req *, GString *);
 
 #endif
