--- a/libup.h
+++ b/libup.h
@@ -16,20 +16,20 @@
 #include "up.h"
 
 /*
- * Shared by the parts of the HTTP client, each of which uses those before it:
- * calls, answers, connections, and what starts and ends calls.
+ * Shared by the files of the HTTP client: up_call.c, up_answer.c, up_conn.c and
+ * up.c, each of which uses only those before it.
  */
 
 enum {
-	UP_READ_MAX = 64 * 1024, /* bytes read at once */
-	UP_HEADERS_MAX = 100
+	UP_READ_MAX = 64 * 1024, /* bytes per read */
+	UP_HEADERS_MAX = 100 /* headers of a response */
 };
 
-/* Connections to one address that no call uses now. */
+/* The idle connections to one address. */
 struct up_pool {
 	struct up *up;
 	struct sockaddr_storage sa;
-	GQueue idle; /* struct up_conn *, the one used last first */
+	GQueue idle; /* struct up_conn *, most recently used first */
 };
 
 struct up {
@@ -37,7 +37,7 @@
 	struct tmr *tmr;
 	const struct clk *clk;
 	GHashTable *pools; /* char * address to struct up_pool * */
-	char chunk[UP_READ_MAX];
+	char chunk[UP_READ_MAX]; /* shared read buffer of all connections */
 };
 
 struct up_conn {
@@ -47,16 +47,18 @@
 	struct up_pool *pool;
 	struct up_call *call; /* NULL: idle, or closing */
 	GList link; /* in pool->idle */
-	bool idle, closing, reading, writing, done, surplus;
-	int64_t idle_ns; /* how long it may be idle, by the last answer */
+	bool idle, closing, reading, writing;
+	bool done; /* the response is complete */
+	bool surplus; /* bytes were received after the response */
+	int64_t idle_ns; /* time limit for idling, by the last response */
 	int64_t idle_until;
 	http_parser parser;
-	GString *head; /* names and values of the headers, one behind another */
+	GString *head; /* header names and values, concatenated */
 	GArray *marks; /* struct up_mark */
-	bool in_value;
+	bool in_value; /* the last part parsed was of a value */
 };
 
-/* Where a header lies in up_conn.head. */
+/* Position of a header's name and value in up_conn.head. */
 struct up_mark {
 	size_t name, nname, value, nvalue;
 };
@@ -67,26 +69,36 @@
 	void *ctx;
 	struct up_conn *conn;
 	struct tmr_item timer;
-	GString *request; /* the request's head */
-	uv_buf_t bufs[2];
-	h2o_buffer_t *body; /* of the answer, not consumed yet */
-	bool fresh, paused, is_head;
+	GString *request; /* head of the request */
+	uv_buf_t bufs[2]; /* head and body of the request */
+	h2o_buffer_t *body; /* response body, not consumed yet */
+	bool fresh, paused;
+	bool is_head; /* the method is HEAD */
 };
 
-/* up_call.c */
-extern const struct up_ops up_drain_ops; /* of a call that is drained */
+/* up_call.c: the end of a call. */
+
+/* Callbacks of a call whose response is discarded. */
+extern const struct up_ops up_drain_ops;
 void up_call_free(struct up_call *);
 
-/* up_conn.c: connections, from the first to the last call on them. */
-void up_conn_connect(struct up_pool *, struct up_call *, int64_t wait);
+/* up_conn.c: connections. */
+
+/* Connects within `timeout_ns`, then sends the request of the call. */
+void up_conn_connect(struct up_pool *, struct up_call *, int64_t timeout_ns);
+/* Removes an idle connection from the pool; returns NULL if there is none. */
 struct up_conn *up_conn_take_idle(struct up_pool *);
+/* Sends the request of a call on an established connection. */
 void up_conn_start(struct up_conn *, struct up_call *);
+/* Starts reading if it is paused.  Returns 0 or an error of libuv. */
 int up_conn_read(struct up_conn *);
+/* Fails the call on the connection, if there is one, and closes it. */
 void up_conn_fail(struct up_conn *, enum err_kind);
 void up_conn_close(struct up_conn *);
 
-/* up_answer.c: what the parser finds in an answer. */
+/* up_answer.c: parses responses. */
 extern const http_parser_settings up_answer_settings;
+/* Prepares the parser for the next response on the connection. */
 void up_answer_begin(struct up_conn *);
 
 #endif
--- a/up.c
+++ b/up.c
@@ -13,13 +13,13 @@
 #include "field.h"
 #include "libup.h"
 
+/* Starts and cancels calls; each uses an idle connection or a new one. */
+
 /*
- * Calls: each sends one request on a connection that is idle, or on a new one,
- * and tells its owner what comes back.
+ * Default time limit for connecting.  Within a hall, connecting takes well
+ * below a millisecond.
  */
-
-/* Time to make a connection; one in a hall takes well below a millisecond. */
-#define CONNECT_NS (300 * NS_MS)
+#define CONNECT_TIMEOUT_NS (300 * NS_MS)
 
 static void
 pool_free(void *p)
@@ -45,7 +45,7 @@
 	return up;
 }
 
-/* Connections close on the loop, which need not run any more. */
+/* Idle connections close asynchronously, if the loop still runs. */
 void
 up_close(struct up *up)
 {
@@ -53,7 +53,7 @@
 }
 
 static bool
-to_sockaddr(struct str address, struct sockaddr_storage *sa)
+parse_address(struct str address, struct sockaddr_storage *sa)
 {
 	char ip[INET6_ADDRSTRLEN];
 	uint16_t port = 0;
@@ -66,7 +66,7 @@
 }
 
 static struct up_pool *
-pool_of(struct up *up, struct str address)
+get_pool(struct up *up, struct str address)
 {
 	char *key = g_strndup(address.p, address.n);
 	struct up_pool *pool = g_hash_table_lookup(up->pools, key);
@@ -77,15 +77,15 @@
 	}
 	pool = g_new0(struct up_pool, 1);
 	pool->up = up;
-	if (!to_sockaddr(address, &pool->sa))
-		g_error("up: %s is no address", key);
+	if (!parse_address(address, &pool->sa))
+		g_error("up: invalid address: %s", key);
 	g_queue_init(&pool->idle);
 	g_hash_table_insert(up->pools, key, pool);
 	return pool;
 }
 
 static void
-build_head(struct up_call *c, const struct up_request *rq)
+build_request(struct up_call *c, const struct up_request *rq)
 {
 	GString *s = g_string_sized_new(512);
 	size_t i;
@@ -118,8 +118,9 @@
     void *ctx)
 {
 	struct up_call *c = g_new0(struct up_call, 1);
-	int64_t wait = rq->connect_ns > 0 ? rq->connect_ns : CONNECT_NS;
-	struct up_pool *pool = pool_of(up, rq->address);
+	int64_t timeout =
+	    rq->connect_ns > 0 ? rq->connect_ns : CONNECT_TIMEOUT_NS;
+	struct up_pool *pool = get_pool(up, rq->address);
 	struct up_conn *conn = NULL;
 
 	c->up = up;
@@ -128,13 +129,13 @@
 	c->fresh = rq->fresh;
 	c->is_head = str_eq(rq->method, STR_LIT("HEAD"));
 	h2o_buffer_init(&c->body, &h2o_socket_buffer_prototype);
-	build_head(c, rq);
+	build_request(c, rq);
 	if (!rq->fresh)
 		conn = up_conn_take_idle(pool);
 	if (conn != NULL)
 		up_conn_start(conn, c);
 	else
-		up_conn_connect(pool, c, wait);
+		up_conn_connect(pool, c, timeout);
 	return c;
 }
 
--- a/up.h
+++ b/up.h
@@ -20,36 +20,40 @@
 #include "tmr.h"
 
 /*
- * HTTP requests to other processes, over libuv and http_parser.  A call tells
- * exactly how far it came: whether its request may have been read by the
- * other side, and whether its answer was complete.
+ * An HTTP/1.1 client for upstream servers, on libuv and http_parser.  It
+ * reports exactly how far a call got: whether the server may have received the
+ * request, and whether the response was complete.
  */
 
-struct up; /* connections to all destinations */
-struct up_call; /* one request */
+struct up; /* a client, with its connections to all addresses */
+struct up_call; /* one request and its response */
 
 struct up_request {
-	struct str address; /* IP number and port */
+	struct str address; /* IP address and port */
 	struct str method;
 	struct str path;
 	struct str host; /* Host header */
 	const h2o_header_t *headers; /* without Host and Content-Length */
 	size_t nheaders;
 	struct str body; /* must outlive the call */
-	bool fresh; /* no kept-alive connection */
-	int64_t connect_ns; /* time to make a connection; 0: the default */
+	bool fresh; /* use a new connection and close it afterwards */
+	int64_t connect_ns; /* time limit for connecting; 0: the default */
 };
 
-/* Every call ends with just one of end, fail or the owner's up_cancel(). */
+/*
+ * Callbacks of a call.  The first argument is the pointer given to up_start().
+ * Every call ends with exactly one of end(), fail() and up_cancel(), which
+ * frees it.
+ */
 struct up_ops {
-	/* The connection stands and the request goes out now. */
+	/* The connection is established; the request is sent now. */
 	void (*connected)(void *, struct up_call *);
-	/* The answer's head has come. */
+	/* The head of the response was received. */
 	void (*head)(
 	    void *, struct up_call *, int status, const h2o_header_t *, size_t);
-	/* Bytes of the body have come; see up_body(). */
+	/* Bytes of the response body were received; see up_body(). */
 	void (*body)(void *, struct up_call *);
-	/* The answer is complete; the rest of it is in up_body(). */
+	/* The response is complete; up_body() has its unconsumed bytes. */
 	void (*end)(void *, struct up_call *);
 	/* ERR_CONNECT: nothing was sent.  ERR_CUT: the connection broke. */
 	void (*fail)(void *, struct up_call *, enum err_kind);
@@ -58,23 +62,30 @@
 struct up *up_open(uv_loop_t *, struct tmr *, const struct clk *);
 void up_close(struct up *);
 
+/* Starts a call.  No callback but connected() is called before it returns. */
 struct up_call *
 up_start(struct up *, const struct up_request *, const struct up_ops *, void *);
 
-/* End a call; the connection is closed, which tells the other side. */
+/* Cancels a call and closes its connection, which the server can detect. */
 void up_cancel(struct up_call *);
 
-/* Let the answer run out unread, to keep the connection. */
+/*
+ * Discards the rest of the response, so that the connection can be reused.
+ * No further callback of the owner is called.
+ */
 void up_drain(struct up_call *);
 
-/* The body's bytes not consumed yet; valid during ops.body and ops.end. */
+/*
+ * Returns the bytes of the response body that are not consumed yet.  They are
+ * valid during the callbacks body() and end().
+ */
 h2o_buffer_t **up_body(struct up_call *);
 
-/* For ops of owners whom it does not concern, or who need no body. */
+/* Callbacks that do nothing, and that consume and discard the body. */
 void up_ignore(void *, struct up_call *);
 void up_skip_body(void *, struct up_call *);
 
-/* Stop and go on reading, for back-pressure. */
+/* Pause and resume reading the response, for back-pressure. */
 void up_pause(struct up_call *);
 void up_resume(struct up_call *);
 
--- a/up_answer.c
+++ b/up_answer.c
@@ -11,14 +11,14 @@
 #include "libup.h"
 
 /*
- * The parser's findings in an answer: its headers are gathered until the head
- * is complete, its body goes to the call, its end marks the connection.
+ * Callbacks of the response parser.  They collect the headers until the head
+ * is complete, pass the body to the call and note the end of the response.
  */
 
-/* An idle connection is kept so long where the other side says nothing. */
-#define IDLE_NS (2 * NS_S)
+/* Idle timeout of a connection if the server states none. */
+#define IDLE_DEFAULT_NS (2 * NS_S)
 
-/* Of the idle time that the other side states, this share is used. */
+/* Percentage of the server's idle timeout after which we do not reuse it. */
 enum { IDLE_USED_PERCENT = 80 };
 
 static int on_header_field(http_parser *, const char *, size_t);
@@ -36,7 +36,7 @@
 };
 
 static void
-forget_headers(struct up_conn *conn)
+clear_headers(struct up_conn *conn)
 {
 	g_string_truncate(conn->head, 0);
 	g_array_set_size(conn->marks, 0);
@@ -48,34 +48,34 @@
 {
 	http_parser_init(&conn->parser, HTTP_RESPONSE);
 	conn->parser.data = conn;
-	forget_headers(conn);
+	clear_headers(conn);
 }
 
 static struct up_mark *
-last_mark(struct up_conn *conn)
+last_span(struct up_conn *conn)
 {
 	return &g_array_index(
 	    conn->marks, struct up_mark, conn->marks->len - 1);
 }
 
-/* Names are kept in lower case, as h2o looks them up. */
+/* Names are stored in lower case, because h2o looks them up that way. */
 static int
 on_header_field(http_parser *parser, const char *p, size_t n)
 {
 	struct up_conn *conn = parser->data;
-	struct up_mark mark = {0};
+	struct up_mark span = {0};
 	size_t i;
 
 	if (conn->marks->len == 0 || conn->in_value) {
 		if (conn->marks->len == UP_HEADERS_MAX)
 			return -1;
-		mark.name = conn->head->len;
-		g_array_append_val(conn->marks, mark);
+		span.name = conn->head->len;
+		g_array_append_val(conn->marks, span);
 		conn->in_value = false;
 	}
 	for (i = 0; i < n; i++)
 		g_string_append_c(conn->head, g_ascii_tolower(p[i]));
-	last_mark(conn)->nname += n;
+	last_span(conn)->nname += n;
 	return 0;
 }
 
@@ -83,29 +83,32 @@
 on_header_value(http_parser *parser, const char *p, size_t n)
 {
 	struct up_conn *conn = parser->data;
-	struct up_mark *mark = last_mark(conn);
+	struct up_mark *span = last_span(conn);
 
 	if (!conn->in_value)
-		mark->value = conn->head->len;
+		span->value = conn->head->len;
 	conn->in_value = true;
 	g_string_append_len(conn->head, p, (gssize)n);
-	mark->nvalue += n;
+	span->nvalue += n;
 	return 0;
 }
 
-/* "timeout=5" of a Keep-Alive header tells how long it may be idle. */
+/*
+ * Returns how long to keep an idle connection, by a Keep-Alive header such as
+ * "timeout=5" (seconds).
+ */
 static int64_t
-idle_time(struct str value)
+parse_keep_alive(struct str value)
 {
 	static const char key[] = "timeout=";
 	char text[64];
-	const char *at;
+	const char *found;
 
 	snprintf(text, sizeof(text), "%.*s", STR_ARG(value));
-	at = strstr(text, key);
-	if (at == NULL)
-		return IDLE_NS;
-	return g_ascii_strtoll(at + sizeof(key) - 1, NULL, 10) * NS_S / 100 *
+	found = strstr(text, key);
+	if (found == NULL)
+		return IDLE_DEFAULT_NS;
+	return g_ascii_strtoll(found + sizeof(key) - 1, NULL, 10) * NS_S / 100 *
 	    IDLE_USED_PERCENT;
 }
 
@@ -116,25 +119,26 @@
 	struct up_call *c = conn->call;
 	h2o_header_t headers[UP_HEADERS_MAX];
 	h2o_iovec_t names[UP_HEADERS_MAX];
-	const struct up_mark *m;
-	int64_t idle = IDLE_NS;
+	const struct up_mark *span;
+	int64_t idle_ns = IDLE_DEFAULT_NS;
 	guint i;
 
 	for (i = 0; i < conn->marks->len; i++) {
-		m = &g_array_index(conn->marks, struct up_mark, i);
-		names[i] = h2o_iovec_init(conn->head->str + m->name, m->nname);
+		span = &g_array_index(conn->marks, struct up_mark, i);
+		names[i] =
+		    h2o_iovec_init(conn->head->str + span->name, span->nname);
 		headers[i] = (h2o_header_t){.name = &names[i],
-		    .value =
-			h2o_iovec_init(conn->head->str + m->value, m->nvalue)};
+		    .value = h2o_iovec_init(
+			conn->head->str + span->value, span->nvalue)};
 		if (h2o_memis(
 			names[i].base, names[i].len, H2O_STRLIT("keep-alive")))
-			idle = idle_time(
+			idle_ns = parse_keep_alive(
 			    str_n(headers[i].value.base, headers[i].value.len));
 	}
-	/* An interim answer (100) is no answer yet. */
+	/* An interim response (1xx) precedes the final one. */
 	if (parser->status_code < 200)
 		return 0;
-	conn->idle_ns = idle;
+	conn->idle_ns = idle_ns;
 	c->ops->head(c->ctx, c, parser->status_code, headers, conn->marks->len);
 	if (conn->closing)
 		return -1;
@@ -162,7 +166,7 @@
 	struct up_conn *conn = parser->data;
 
 	if (parser->status_code < 200) {
-		forget_headers(conn);
+		clear_headers(conn);
 		return 0;
 	}
 	conn->done = true;
--- a/up_call.c
+++ b/up_call.c
@@ -10,7 +10,7 @@
  */
 #include "libup.h"
 
-/* A call by itself: its end, and what it does once nobody waits for it. */
+/* The end of a call, and callbacks for responses that nobody needs. */
 
 void
 up_call_free(struct up_call *c)
@@ -35,7 +35,7 @@
 	h2o_buffer_consume(&c->body, c->body->size);
 }
 
-/* What a drained call does: nothing, to the end. */
+/* Callbacks of a drained call, which do nothing. */
 
 static void
 ignore_head(void *ctx, struct up_call *c, int status,
--- a/up_conn.c
+++ b/up_conn.c
@@ -13,21 +13,25 @@
 #include "libup.h"
 
 /*
- * Connections: made for a call, kept for the next one where the answer allows
- * it, and closed when they break or the other side has gone.
+ * Connections.  One is opened for a call, kept for later calls if the response
+ * allows it, and closed on an error or when the server closes it.
  */
 
 enum {
-	IDLE_PER_ADDRESS = 64,
-	/* A peer that is dead or cut off is noticed after about so long. */
+	IDLE_PER_ADDRESS_MAX = 64,
+	/*
+	 * TCP keepalive: a server that is dead or unreachable is detected after
+	 * about 3 s.
+	 */
 	KEEPALIVE_IDLE_S = 1,
-	KEEPALIVE_STEP_S = 1,
-	KEEPALIVE_STEPS = 2,
+	KEEPALIVE_INTERVAL_S = 1,
+	KEEPALIVE_PROBES = 2,
+	/* A connection with data unacknowledged for so long is closed. */
 	UNACKED_MS = 2000
 };
 
-static void conn_finish(struct up_conn *);
-static void on_connect_timeout(void *);
+static void finish_call(struct up_conn *);
+static void on_start_timer(void *);
 
 static void
 on_closed(uv_handle_t *handle)
@@ -51,7 +55,6 @@
 	uv_close((uv_handle_t *)&conn->tcp, on_closed);
 }
 
-/* End the call of a connection with a failure, and close the connection. */
 void
 up_conn_fail(struct up_conn *conn, enum err_kind kind)
 {
@@ -76,11 +79,12 @@
 }
 
 /*
- * Was the connection closed in order?  libuv tells a reset that comes right
- * behind data as an end of file, so the socket itself is asked.
+ * Returns whether the server closed the connection without a reset.  libuv
+ * reports a reset that follows data as an end of file, so this reads from the
+ * socket itself.
  */
 static bool
-closed_in_order(struct up_conn *conn, ssize_t nread)
+closed_without_reset(struct up_conn *conn, ssize_t nread)
 {
 	uv_os_fd_t fd;
 	char byte;
@@ -91,21 +95,21 @@
 }
 
 /*
- * An answer without a length ends with its connection, but only where that
- * was closed in order: one that was reset is not complete.
+ * A response without a length ends with its connection.  If the connection was
+ * reset, the response is incomplete.
  */
 static void
-on_closed_by_peer(struct up_conn *conn, ssize_t nread)
+on_read_error(struct up_conn *conn, ssize_t nread)
 {
 	if (conn->call == NULL) {
 		up_conn_close(conn);
 		return;
 	}
-	if (closed_in_order(conn, nread))
+	if (closed_without_reset(conn, nread))
 		http_parser_execute(
 		    &conn->parser, &up_answer_settings, NULL, 0);
 	if (conn->call != NULL && conn->done)
-		conn_finish(conn);
+		finish_call(conn);
 	else
 		up_conn_fail(conn, ERR_CUT);
 }
@@ -119,10 +123,10 @@
 	if (nread == 0 || conn->closing)
 		return;
 	if (nread < 0) {
-		on_closed_by_peer(conn, nread);
+		on_read_error(conn, nread);
 		return;
 	}
-	/* Bytes that no call asked for: the connection is of no use. */
+	/* Data on an idle connection belongs to no response. */
 	if (conn->call == NULL) {
 		up_conn_close(conn);
 		return;
@@ -133,7 +137,7 @@
 		return;
 	if (conn->done) {
 		conn->surplus = used < (size_t)nread;
-		conn_finish(conn);
+		finish_call(conn);
 	} else if (HTTP_PARSER_ERRNO(&conn->parser) != HPE_OK) {
 		up_conn_fail(conn, ERR_CUT);
 	}
@@ -145,7 +149,9 @@
 	struct up_conn *conn = req->data;
 
 	conn->writing = false;
-	/* A peer may answer early and then read no more: wait for that answer.
+	/*
+	 * A server may respond before it has read the whole request, and then
+	 * stop reading.  Its response may still arrive.
 	 */
 	if (status < 0 && !conn->closing && conn->call != NULL &&
 	    status != UV_EPIPE && status != UV_ECONNRESET)
@@ -164,18 +170,19 @@
 	return rc;
 }
 
-/* Fail a call whose up_start() has not returned yet: a moment later. */
+/*
+ * Fails a call from a timer, because up_start() has not returned yet and the
+ * owner does not know the call.
+ */
 static void
-fail_soon(struct up_conn *conn, struct up_call *c)
+fail_later(struct up_conn *conn, struct up_call *c)
 {
 	conn->call = NULL;
 	c->conn = NULL;
 	up_conn_close(conn);
-	tmr_set(
-	    c->up->tmr, &c->timer, clk_ns(c->up->clk), on_connect_timeout, c);
+	tmr_set(c->up->tmr, &c->timer, clk_ns(c->up->clk), on_start_timer, c);
 }
 
-/* Send the call's request on a connection that stands. */
 void
 up_conn_start(struct up_conn *conn, struct up_call *c)
 {
@@ -193,13 +200,13 @@
 	if (rc == 0)
 		rc = up_conn_read(conn);
 	if (rc != 0)
-		fail_soon(conn, c);
+		fail_later(conn, c);
 }
 
 static void
 set_option(int fd, int level, int option, int value)
 {
-	/* Only a matter of noticing sooner; the timers notice anyway. */
+	/* On failure, timeouts of the callers detect a dead server later. */
 	(void)setsockopt(fd, level, option, &value, sizeof(value));
 }
 
@@ -213,8 +220,8 @@
 		return;
 	set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
 	set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
-	set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_STEP_S);
-	set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_STEPS);
+	set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
+	set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES);
 	set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_MS);
 }
 
@@ -235,8 +242,9 @@
 	up_conn_start(conn, c);
 }
 
+/* The time limit for connecting has passed, or fail_later() was called. */
 static void
-on_connect_timeout(void *ctx)
+on_start_timer(void *ctx)
 {
 	struct up_call *c = ctx;
 
@@ -262,9 +270,8 @@
 	return conn;
 }
 
-/* Connect, and send the request once the connection stands. */
 void
-up_conn_connect(struct up_pool *pool, struct up_call *c, int64_t wait)
+up_conn_connect(struct up_pool *pool, struct up_call *c, int64_t timeout_ns)
 {
 	struct up_conn *conn = conn_new(pool);
 	int rc;
@@ -275,14 +282,17 @@
 	rc = uv_tcp_connect(&conn->connect, &conn->tcp,
 	    (struct sockaddr *)&pool->sa, on_connected);
 	if (rc != 0) {
-		fail_soon(conn, c);
+		fail_later(conn, c);
 		return;
 	}
-	tmr_set(pool->up->tmr, &c->timer, clk_ns(pool->up->clk) + wait,
-	    on_connect_timeout, c);
+	tmr_set(pool->up->tmr, &c->timer, clk_ns(pool->up->clk) + timeout_ns,
+	    on_start_timer, c);
 }
 
-/* The connection used last is the one that is least likely to be closed. */
+/*
+ * The most recently used connection comes first, as the server is least likely
+ * to have closed it.
+ */
 struct up_conn *
 up_conn_take_idle(struct up_pool *pool)
 {
@@ -301,11 +311,11 @@
 }
 
 /*
- * The answer is complete.  The connection is kept where nothing came behind
- * the answer and the request has gone out whole.
+ * Ends a call whose response is complete.  The connection is kept for reuse
+ * only if the whole request was sent and nothing followed the response.
  */
 static void
-conn_finish(struct up_conn *conn)
+finish_call(struct up_conn *conn)
 {
 	struct up_call *c = conn->call;
 	struct up_pool *pool = conn->pool;
@@ -313,7 +323,7 @@
 
 	keep = http_should_keep_alive(&conn->parser) && !conn->surplus &&
 	    !conn->writing && !c->fresh && !c->paused &&
-	    pool->idle.length < IDLE_PER_ADDRESS;
+	    pool->idle.length < IDLE_PER_ADDRESS_MAX;
 	conn->call = NULL;
 	c->conn = NULL;
 	if (keep) {
