--- a/wire.h
+++ b/wire.h
@@ -19,29 +19,39 @@
 #include "msg.h"
 
 /*
- * Messages between our processes over ZeroMQ: each process binds one inbox
- * (PULL) and connects to the inboxes it writes to (PUSH).  Nothing waits:
- * what a peer cannot take now is dropped and counted, and the exchange of
- * digests heals it.
+ * Messages between fernjunction's processes over ZeroMQ.  Each process binds an
+ * inbox (a PULL socket) and connects to the inboxes that it sends to (PUSH
+ * sockets).  Sending never blocks: if the queue to a peer is full, the message
+ * is dropped and counted, and anti-entropy makes up for the loss.
  */
 struct wire;
 
+/*
+ * Receives a message.  The message is freed after the call.  The first argument
+ * is the pointer given to wire_open().
+ */
 typedef void wire_take_fn(void *, const struct msg *);
 
 /*
- * Bind the inbox at an address ("127.0.0.1:9000") and read it on the loop.
- * NULL and ERR_SYSTEM on failure.
+ * Binds the inbox to an address such as "127.0.0.1:9000" and reads it on the
+ * loop.  Returns NULL and sets ERR_SYSTEM on failure.
  */
 struct wire *
 wire_open(uv_loop_t *, struct str inbox, wire_take_fn *, void *, GError **);
 
-/* Stop reading and free; messages still on their way out are dropped. */
+/* Stops reading and frees all resources; queued messages are dropped. */
 void wire_close(struct wire *);
 
-/* Send a message to an inbox.  False if it was dropped. */
+/*
+ * Sends a message to the inbox at an address and sets its member `from`.
+ * Returns false if the message was dropped.
+ */
 bool wire_send(struct wire *, struct str to, struct msg *);
 
-/* Bytes and messages in and out since the start, and those dropped. */
+/*
+ * Bytes and messages received and sent since the start, messages that could
+ * not be sent, and messages received that were malformed.
+ */
 struct wire_totals {
 	uint64_t bytes_in, bytes_out, in, out, dropped, malformed;
 };
--- a/wire_zmq.c
+++ b/wire_zmq.c
@@ -18,71 +18,70 @@
 #include "wire.h"
 #include "zip.h"
 
-/* Messages between inboxes: over ZeroMQ, or in memory within one process. */
+/* Messages over ZeroMQ, or in memory between inboxes of one process. */
 
 enum {
-	QUEUE_MAX = 1000, /* messages waiting for one peer */
-	INBOX_MAX = 10000,
-	MESSAGE_MAX = 4 << 20,
+	QUEUE_MAX = 1000, /* messages queued for one peer */
+	INBOX_MAX = 10000, /* messages queued in the inbox */
+	MESSAGE_MAX = 4 << 20, /* bytes of a message as it is sent */
 	/*
-	 * Twice the longest way there and back.  A box without power says
-	 * nothing, and the network knocks again after a second only: for so
-	 * long boxes that are back would not know each other.
+	 * Twice the longest round trip.  A box that is powered off does not
+	 * answer, and TCP retransmits the first SYN only after a second.
+	 * Without this timeout boxes could not reach each other for that time
+	 * after power is back.
 	 */
-	CONNECT_MS = 250,
+	CONNECT_TIMEOUT_MS = 250,
 	RECONNECT_MIN_MS = 50,
-	RECONNECT_MAX_MS = 200, /* while another box is without power */
-	SWEEP_MS = 500, /* a look at the inbox even without an event */
-	IDLE_SWEEPS = 60, /* 30 s without a message closes a peer */
+	RECONNECT_MAX_MS = 200, /* while a peer is powered off */
+	SWEEP_MS = 500, /* interval of on_sweep() */
+	IDLE_SWEEPS = 60, /* a peer is closed 30 s after the last message */
 	/*
-	 * Messages of so many bytes go out deflated.  Gain: with 296 boxes and
-	 * 3,000 backend servers 0.037 GB cross between halls in a day instead
-	 * of 0.127, with a least size of 4096; 0.019 with this one and what
-	 * spread.c holds back (counted by kind and receiver, one day each).
+	 * Messages of this many bytes or more are deflated, which reduces the
+	 * traffic between halls several times.
 	 */
 	DEFLATE_MIN = 1024,
-	DEFLATED_MAX = 64, /* of those, kept for the next receiver */
-	UNACKED_MS = 2000 /* then a connection is given up and made anew */
+	DEFLATED_MAX = 64, /* deflated messages cached for more receivers */
+	UNACKED_MS = 2000 /* then a connection is closed and made again */
 };
 
 struct peer {
 	void *sock;
-	uint64_t used; /* the sweep in which it was last written to */
+	uint64_t last_sent; /* number of the sweep at the last message */
 };
 
 struct wire {
 	void *inbox;
-	GQueue local; /* GBytes * from inboxes of this process */
+	GQueue local_queue; /* GBytes *, from inboxes of this process */
 	uv_timer_t local_timer;
 	struct str address;
 	GHashTable *peers; /* char * address to struct peer * */
-	/* What was deflated lately: hash of the bytes to GBytes *. */
+	/* Deflated messages: uint64_t * hash of the message to GBytes *. */
 	GHashTable *deflated;
 	uv_poll_t poll;
-	uv_timer_t sweep;
-	uint64_t sweeps;
-	wire_take_fn *take;
+	uv_timer_t sweep_timer;
+	uint64_t sweeps; /* number of sweeps so far */
+	wire_take_fn *receive;
 	void *ctx;
-	struct wire_totals counts;
+	struct wire_totals totals;
 };
 
-/* Inboxes of one process share ZeroMQ's threads. */
+/* The inboxes of a process share a ZeroMQ context and its I/O thread. */
 static struct {
 	void *zmq;
 	GPtrArray *wires; /* struct wire * */
 } shared;
 
-static void on_local(uv_timer_t *);
-static void on_event(uv_poll_t *, int, int);
+static void deliver_local(uv_timer_t *);
+static void on_readable(uv_poll_t *, int, int);
 static void on_sweep(uv_timer_t *);
-static void read_all(struct wire *);
-static void take_one(struct wire *, const char *, size_t);
-static struct peer *peer_of(struct wire *, struct str);
+static void read_inbox(struct wire *);
+static void receive(struct wire *, const char *, size_t);
+static struct peer *get_peer(struct wire *, struct str);
 static void peer_free(void *);
 static gboolean is_idle(gpointer, gpointer, gpointer);
 
 static void
-set_int(void *sock, int option, int value)
+set_option(void *sock, int option, int value)
 {
 	zmq_setsockopt(sock, option, &value, sizeof(value));
 }
@@ -118,140 +117,144 @@
 }
 
 struct wire *
-wire_open(uv_loop_t *loop, struct str inbox, wire_take_fn *take, void *ctx,
-    GError **err)
+wire_open(uv_loop_t *loop, struct str inbox, wire_take_fn *receive_fn,
+    void *ctx, GError **err)
 {
-	struct wire *l = g_new0(struct wire, 1);
+	struct wire *w = g_new0(struct wire, 1);
 	char *url = g_strdup_printf("tcp://%.*s", STR_ARG(inbox));
 	size_t len = sizeof(int);
 	int fd;
 
 	shared_open();
-	l->inbox = zmq_socket(shared.zmq, ZMQ_PULL);
-	set_int(l->inbox, ZMQ_RCVHWM, INBOX_MAX);
-	set_int(l->inbox, ZMQ_LINGER, 0);
-	if (zmq_bind(l->inbox, url) != 0) {
+	w->inbox = zmq_socket(shared.zmq, ZMQ_PULL);
+	set_option(w->inbox, ZMQ_RCVHWM, INBOX_MAX);
+	set_option(w->inbox, ZMQ_LINGER, 0);
+	if (zmq_bind(w->inbox, url) != 0) {
 		err_set(err, ERR_SYSTEM, "%.*s: %s", STR_ARG(inbox),
 		    zmq_strerror(zmq_errno()));
-		zmq_close(l->inbox);
+		zmq_close(w->inbox);
 		shared_close();
 		g_free(url);
-		g_free(l);
+		g_free(w);
 		return NULL;
 	}
 	g_free(url);
-	l->address = str_dup(inbox);
-	l->peers =
+	w->address = str_dup(inbox);
+	w->peers =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, peer_free);
-	l->deflated = g_hash_table_new_full(
+	w->deflated = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, g_free, (GDestroyNotify)g_bytes_unref);
-	l->take = take;
-	l->ctx = ctx;
-	zmq_getsockopt(l->inbox, ZMQ_FD, &fd, &len);
-	uv_poll_init(loop, &l->poll, fd);
-	l->poll.data = l;
-	uv_poll_start(&l->poll, UV_READABLE, on_event);
-	g_queue_init(&l->local);
-	uv_timer_init(loop, &l->local_timer);
-	l->local_timer.data = l;
-	g_ptr_array_add(shared.wires, l);
-	uv_timer_init(loop, &l->sweep);
-	l->sweep.data = l;
-	uv_timer_start(&l->sweep, on_sweep, SWEEP_MS, SWEEP_MS);
-	return l;
+	w->receive = receive_fn;
+	w->ctx = ctx;
+	zmq_getsockopt(w->inbox, ZMQ_FD, &fd, &len);
+	uv_poll_init(loop, &w->poll, fd);
+	w->poll.data = w;
+	uv_poll_start(&w->poll, UV_READABLE, on_readable);
+	g_queue_init(&w->local_queue);
+	uv_timer_init(loop, &w->local_timer);
+	w->local_timer.data = w;
+	g_ptr_array_add(shared.wires, w);
+	uv_timer_init(loop, &w->sweep_timer);
+	w->sweep_timer.data = w;
+	uv_timer_start(&w->sweep_timer, on_sweep, SWEEP_MS, SWEEP_MS);
+	return w;
 }
 
-/* ZeroMQ's descriptor tells of edges only, so the inbox is read dry. */
+/* ZeroMQ's descriptor is edge-triggered, so the inbox is read until empty. */
 static void
-on_event(uv_poll_t *poll, int status, int events)
+on_readable(uv_poll_t *poll, int status, int events)
 {
 	(void)status;
 	(void)events;
-	read_all(poll->data);
+	read_inbox(poll->data);
 }
 
+/*
+ * Reads the inbox, in case an event was missed, empties the cache of deflated
+ * messages and closes idle peers.
+ */
 static void
 on_sweep(uv_timer_t *timer)
 {
-	struct wire *l = timer->data;
+	struct wire *w = timer->data;
 
-	l->sweeps++;
-	read_all(l);
-	g_hash_table_remove_all(l->deflated);
-	if (l->sweeps % IDLE_SWEEPS == 0)
-		g_hash_table_foreach_remove(l->peers, is_idle, l);
+	w->sweeps++;
+	read_inbox(w);
+	g_hash_table_remove_all(w->deflated);
+	if (w->sweeps % IDLE_SWEEPS == 0)
+		g_hash_table_foreach_remove(w->peers, is_idle, w);
 }
 
 static gboolean
 is_idle(gpointer key, gpointer value, gpointer ctx)
 {
 	const struct peer *peer = value;
-	const struct wire *l = ctx;
+	const struct wire *w = ctx;
 
 	(void)key;
-	return l->sweeps - peer->used > IDLE_SWEEPS;
+	return w->sweeps - peer->last_sent > IDLE_SWEEPS;
 }
 
 static void
-read_all(struct wire *l)
+read_inbox(struct wire *w)
 {
 	zmq_msg_t zm;
 
 	zmq_msg_init(&zm);
-	while (zmq_msg_recv(&zm, l->inbox, ZMQ_DONTWAIT) >= 0)
-		take_one(l, zmq_msg_data(&zm), zmq_msg_size(&zm));
+	while (zmq_msg_recv(&zm, w->inbox, ZMQ_DONTWAIT) >= 0)
+		receive(w, zmq_msg_data(&zm), zmq_msg_size(&zm));
 	zmq_msg_close(&zm);
 }
 
 static void
-on_after_send(uv_timer_t *timer)
+on_local_timer(uv_timer_t *timer)
 {
-	on_local(timer);
-	read_all(timer->data);
+	deliver_local(timer);
+	read_inbox(timer->data);
 }
 
-/* What another inbox of this process has sent. */
+/* Receives the messages that other inboxes of this process have sent. */
 static void
-on_local(uv_timer_t *timer)
+deliver_local(uv_timer_t *timer)
 {
-	struct wire *l = timer->data;
+	struct wire *w = timer->data;
 	GBytes *bytes;
 	gconstpointer p;
 	gsize n;
 
-	while ((bytes = g_queue_pop_head(&l->local)) != NULL) {
+	while ((bytes = g_queue_pop_head(&w->local_queue)) != NULL) {
 		p = g_bytes_get_data(bytes, &n);
-		take_one(l, p, n);
+		receive(w, p, n);
 		g_bytes_unref(bytes);
 	}
 }
 
 static struct wire *
-local_inbox(struct str address)
+find_local(struct str address)
 {
-	struct wire *l;
+	struct wire *w;
 	guint i;
 
 	for (i = 0; i < shared.wires->len; i++) {
-		l = g_ptr_array_index(shared.wires, i);
-		if (str_eq(l->address, address))
-			return l;
+		w = g_ptr_array_index(shared.wires, i);
+		if (str_eq(w->address, address))
+			return w;
 	}
 	return NULL;
 }
 
 static void
-drop_malformed(struct wire *l, GError *err)
+drop_malformed(struct wire *w, GError *err)
 {
-	l->counts.malformed++;
-	slog(SLOG_PEER, "a message is dropped", "why=%s",
+	w->totals.malformed++;
+	slog(SLOG_PEER, "a malformed message is dropped", "why=%s",
 	    slog_quote(err->message));
 	g_error_free(err);
 }
 
-/* Take the message in a deflated one; one in another is not well-formed. */
+/* Receives the message in a deflated one, which must not be deflated itself. */
 static void
-take_deflated(struct wire *l, const struct msg *outer)
+receive_deflated(struct wire *w, const struct msg *outer)
 {
 	const struct msg_deflated *d = &outer->u.deflated;
 	struct str text = zip_inflate(d->data, d->size);
@@ -259,69 +262,70 @@
 	struct msg m;
 
 	if (!msg_decode(text.p, text.n, &m, &err)) {
-		drop_malformed(l, err);
+		drop_malformed(w, err);
 		str_free(&text);
 		return;
 	}
 	if (m.kind == MSG_DEFLATED) {
-		err_set(&err, ERR_MESSAGE, "one deflated within another");
-		drop_malformed(l, err);
+		err_set(&err, ERR_MESSAGE,
+		    "a deflated message contains a deflated message");
+		drop_malformed(w, err);
 	} else {
-		l->take(l->ctx, &m);
+		w->receive(w->ctx, &m);
 	}
 	msg_done(&m);
 	str_free(&text);
 }
 
 static void
-take_one(struct wire *l, const char *p, size_t n)
+receive(struct wire *w, const char *p, size_t n)
 {
 	GError *err = NULL;
 	struct msg m;
 
-	l->counts.in++;
-	l->counts.bytes_in += n;
+	w->totals.in++;
+	w->totals.bytes_in += n;
 	if (!msg_decode(p, n, &m, &err)) {
-		drop_malformed(l, err);
+		drop_malformed(w, err);
 		return;
 	}
 	if (m.kind == MSG_DEFLATED)
-		take_deflated(l, &m);
+		receive_deflated(w, &m);
 	else
-		l->take(l->ctx, &m);
+		w->receive(w->ctx, &m);
 	msg_done(&m);
 }
 
 static struct peer *
-peer_of(struct wire *l, struct str to)
+get_peer(struct wire *w, struct str to)
 {
 	char *key = g_strndup(to.p, to.n), *url;
-	struct peer *peer = g_hash_table_lookup(l->peers, key);
+	struct peer *peer = g_hash_table_lookup(w->peers, key);
 
 	if (peer == NULL) {
 		url = g_strdup_printf("tcp://%s", key);
 		peer = g_new0(struct peer, 1);
 		peer->sock = zmq_socket(shared.zmq, ZMQ_PUSH);
-		set_int(peer->sock, ZMQ_SNDHWM, QUEUE_MAX);
-		set_int(peer->sock, ZMQ_LINGER, 0);
-		set_int(peer->sock, ZMQ_TCP_MAXRT, UNACKED_MS);
-		set_int(peer->sock, ZMQ_CONNECT_TIMEOUT, CONNECT_MS);
-		set_int(peer->sock, ZMQ_RECONNECT_IVL, RECONNECT_MIN_MS);
-		set_int(peer->sock, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
+		set_option(peer->sock, ZMQ_SNDHWM, QUEUE_MAX);
+		set_option(peer->sock, ZMQ_LINGER, 0);
+		set_option(peer->sock, ZMQ_TCP_MAXRT, UNACKED_MS);
+		set_option(peer->sock, ZMQ_CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS);
+		set_option(peer->sock, ZMQ_RECONNECT_IVL, RECONNECT_MIN_MS);
+		set_option(peer->sock, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
 		zmq_connect(peer->sock, url);
-		g_hash_table_insert(l->peers, g_strdup(key), peer);
+		g_hash_table_insert(w->peers, g_strdup(key), peer);
 		g_free(url);
 	}
 	g_free(key);
-	peer->used = l->sweeps;
+	peer->last_sent = w->sweeps;
 	return peer;
 }
 
 static GBytes *
-deflate(struct wire *l, const msgpack_sbuffer *buf)
+encode_deflated(struct wire *w, const msgpack_sbuffer *buf)
 {
 	struct str data = zip_deflate(str_n(buf->data, buf->size));
-	struct msg m = {.kind = MSG_DEFLATED, .from = l->address};
+	struct msg m = {.kind = MSG_DEFLATED, .from = w->address};
 	msgpack_sbuffer out;
 	GBytes *bytes;
 
@@ -336,50 +340,50 @@
 }
 
 /*
- * The bytes that go out for a large message.  What goes to many boxes is
- * deflated once: the last ones are kept.
+ * Returns the deflated form of an encoded message.  A message that is sent to
+ * many boxes is deflated only once, because the result is cached.
  */
 static GBytes *
-deflated(struct wire *l, const msgpack_sbuffer *buf)
+get_deflated(struct wire *w, const msgpack_sbuffer *buf)
 {
 	uint64_t hash = XXH3_64bits(buf->data, buf->size);
-	GBytes *bytes = g_hash_table_lookup(l->deflated, &hash);
+	GBytes *bytes = g_hash_table_lookup(w->deflated, &hash);
 
 	if (bytes != NULL)
 		return bytes;
-	if (g_hash_table_size(l->deflated) >= DEFLATED_MAX)
-		g_hash_table_remove_all(l->deflated);
-	bytes = deflate(l, buf);
-	g_hash_table_insert(l->deflated, g_memdup2(&hash, sizeof(hash)), bytes);
+	if (g_hash_table_size(w->deflated) >= DEFLATED_MAX)
+		g_hash_table_remove_all(w->deflated);
+	bytes = encode_deflated(w, buf);
+	g_hash_table_insert(w->deflated, g_memdup2(&hash, sizeof(hash)), bytes);
 	return bytes;
 }
 
 static bool
-send_bytes(struct wire *l, struct str to, const void *p, size_t n)
+send_bytes(struct wire *w, struct str to, const void *p, size_t n)
 {
 	if (n > MESSAGE_MAX ||
-	    zmq_send(peer_of(l, to)->sock, p, n, ZMQ_DONTWAIT) < 0) {
-		l->counts.dropped++;
+	    zmq_send(get_peer(w, to)->sock, p, n, ZMQ_DONTWAIT) < 0) {
+		w->totals.dropped++;
 		return false;
 	}
-	l->counts.out++;
-	l->counts.bytes_out += n;
+	w->totals.out++;
+	w->totals.bytes_out += n;
 	return true;
 }
 
 static bool
-send_far(struct wire *l, struct str to, const msgpack_sbuffer *buf)
+send_remote(struct wire *w, struct str to, const msgpack_sbuffer *buf)
 {
 	gconstpointer p = buf->data;
 	gsize n = buf->size;
 
 	if (n >= DEFLATE_MIN)
-		p = g_bytes_get_data(deflated(l, buf), &n);
-	return send_bytes(l, to, p, n);
+		p = g_bytes_get_data(get_deflated(w, buf), &n);
+	return send_bytes(w, to, p, n);
 }
 
 bool
-wire_send(struct wire *l, struct str to, struct msg *m)
+wire_send(struct wire *w, struct str to, struct msg *m)
 {
 	struct wire *local;
 	msgpack_sbuffer buf;
@@ -387,41 +391,44 @@
 
 	if (to.n == 0)
 		return false;
-	m->from = l->address;
+	m->from = w->address;
 	msgpack_sbuffer_init(&buf);
 	msg_encode(m, &buf);
-	local = local_inbox(to);
+	local = find_local(to);
 	if (local != NULL) {
 		g_queue_push_tail(
-		    &local->local, g_bytes_new(buf.data, buf.size));
-		uv_timer_start(&local->local_timer, on_after_send, 0, 0);
+		    &local->local_queue, g_bytes_new(buf.data, buf.size));
+		uv_timer_start(&local->local_timer, on_local_timer, 0, 0);
 	} else {
-		ok = send_far(l, to, &buf);
-		/* Sending may swallow the event of a message come in. */
-		uv_timer_start(&l->local_timer, on_after_send, 0, 0);
+		ok = send_remote(w, to, &buf);
+		/*
+		 * Sending may consume the event of a received message, so the
+		 * inbox is read afterwards.
+		 */
+		uv_timer_start(&w->local_timer, on_local_timer, 0, 0);
 	}
 	msgpack_sbuffer_destroy(&buf);
 	return ok;
 }
 
 void
-wire_close(struct wire *l)
+wire_close(struct wire *w)
 {
-	uv_poll_stop(&l->poll);
-	uv_timer_stop(&l->sweep);
-	uv_timer_stop(&l->local_timer);
-	g_hash_table_destroy(l->deflated);
-	g_queue_clear_full(&l->local, (GDestroyNotify)g_bytes_unref);
-	g_hash_table_destroy(l->peers);
-	zmq_close(l->inbox);
-	g_ptr_array_remove(shared.wires, l);
+	uv_poll_stop(&w->poll);
+	uv_timer_stop(&w->sweep_timer);
+	uv_timer_stop(&w->local_timer);
+	g_hash_table_destroy(w->deflated);
+	g_queue_clear_full(&w->local_queue, (GDestroyNotify)g_bytes_unref);
+	g_hash_table_destroy(w->peers);
+	zmq_close(w->inbox);
+	g_ptr_array_remove(shared.wires, w);
 	shared_close();
-	str_free(&l->address);
-	g_free(l);
+	str_free(&w->address);
+	g_free(w);
 }
 
 const struct wire_totals *
-wire_counts(const struct wire *l)
+wire_counts(const struct wire *w)
 {
-	return &l->counts;
+	return &w->totals;
 }
