--- a/plat.c
+++ b/plat.c
@@ -12,7 +12,7 @@
 #include "plat.h"
 #include "platform/platform.h"
 
-/* The forms in which the platform is told, by name. */
+/* The adapters by name, and parsing of the platform's JSON. */
 
 extern const struct plat_codec plat_fern_codec;
 
@@ -22,10 +22,11 @@
 static const char *const fern_feeds[] = {
     "backend,service,rule,listener,bundle,evacuation,rollout", NULL};
 
-static const struct plat_form fern_form = {
+static const struct plat_form fern_adapter = {
     "fern", &plat_fern_codec, &dial_fern, fern_feeds, false, NULL, NULL};
 
-static const struct plat_form *const forms[] = {&fern_form, &platform_form};
+static const struct plat_form *const adapters[] = {
+    &fern_adapter, &platform_form};
 
 const char *
 plat_result_name(enum plat_result r)
@@ -38,9 +39,9 @@
 {
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(forms); i++)
-		if (str_eq(str_c(forms[i]->name), name))
-			return forms[i];
+	for (i = 0; i < G_N_ELEMENTS(adapters); i++)
+		if (str_eq(str_c(adapters[i]->name), name))
+			return adapters[i];
 	return NULL;
 }
 
--- a/plat.h
+++ b/plat.h
@@ -19,44 +19,49 @@
 #include "str.h"
 
 /*
- * The platform's object API behind one interface, so that another wire form
- * can be put in its place.  Objects have a kind, a name, a version that
- * grows with every write, and a JSON value.
+ * The interface to the platform's object API.  An adapter implements it for the
+ * API of one platform.  Objects have a kind, a name, a version that increases
+ * with every write, and a JSON value.  A revision counts the writes to all
+ * objects.
  */
 enum plat_op {
-	PLAT_LIST, /* all objects of the kinds; complete at a revision */
+	PLAT_LIST, /* all objects of the kinds, complete at a revision */
 	PLAT_GET, /* one object */
-	PLAT_CREATE, /* only if it is not there */
-	PLAT_UPDATE, /* only if it has the version given */
-	PLAT_STATUS, /* the same, of what we may write of another's object */
-	PLAT_DELETE, /* only if it has the version given */
-	PLAT_WATCH, /* changes since a revision; waits for one */
+	PLAT_CREATE, /* only if the object does not exist */
+	PLAT_UPDATE, /* only if the object has the given version */
+	PLAT_STATUS, /* like an update, but of the object's status only */
+	PLAT_DELETE, /* only if the object has the given version */
+	PLAT_WATCH, /* changes since a revision; long poll */
 	PLAT_BOXES /* the list of boxes */
 };
 
 enum plat_result {
 	PLAT_OK,
-	PLAT_CONFLICT, /* the condition did not hold; the object is given */
-	PLAT_NONE, /* no such object */
-	PLAT_TOO_OLD, /* the watch's revision is no longer kept */
-	PLAT_UNSURE, /* sent; whether it took effect is not known */
-	PLAT_DOWN, /* not sent, or refused without effect */
-	PLAT_BAD /* the platform says the call is wrong */
+	PLAT_CONFLICT, /* the condition was not met; the body has the object */
+	PLAT_NONE, /* the object does not exist */
+	PLAT_TOO_OLD, /* the platform no longer has changes that old */
+	PLAT_UNSURE, /* sent, but it is unknown whether it took effect */
+	PLAT_DOWN, /* not sent, or failed without effect */
+	PLAT_BAD /* the platform rejected the call as invalid */
 };
 
 struct plat_request {
 	enum plat_op op;
-	struct str kind; /* or kinds, joined by commas, for list and watch */
+	struct str kind; /* list, watch: may be several, joined by commas */
 	struct str name;
-	uint64_t version; /* update, delete: condition; watch: since */
+	/* update, status, delete: the condition; watch: the revision */
+	uint64_t version;
 	const json_t *value;
-	/* List, watch: may be some seconds old, and is far cheaper. */
+	/*
+	 * list, watch: allows a result that is some seconds old, which costs
+	 * the platform far less.
+	 */
 	bool stale;
-	int64_t timeout_ms; /* for each page of a list */
-	int64_t wait_ms; /* watch: how long to wait for a change */
+	int64_t timeout_ms; /* for each page of a list; 0: the default */
+	int64_t wait_ms; /* watch: time to wait for a change */
 };
 
-/* The answer; `body` is borrowed and may be NULL. */
+/* Receives the result of a call.  `body` is borrowed and may be NULL. */
 typedef void plat_done_fn(void *, enum plat_result, json_t *body);
 
 struct plat_call;
@@ -66,7 +71,7 @@
 	    void *, const struct plat_request *, plat_done_fn *, void *);
 	void (*cancel)(void *, struct plat_call *);
 	void *ctx;
-	uint64_t calls; /* started since the beginning */
+	uint64_t calls; /* number of calls started */
 };
 
 static inline struct plat_call *
@@ -85,18 +90,20 @@
 
 const char *plat_result_name(enum plat_result);
 
-/* One HTTP exchange with the platform; what it points to is freed after it. */
+/*
+ * An HTTP request to the platform.  The path, header value and body are
+ * allocated by the codec and freed by the caller.
+ */
 struct plat_exchange {
 	const char *method;
 	char *path;
-	const char *header; /* one header, or NULL */
-	char *value;
+	const char *header; /* name of a header, or NULL */
+	char *value; /* its value */
 	char *body; /* or NULL */
 };
 
 /*
- * How calls and answers are written down.  Answers are given in one form,
- * whatever the platform's is:
+ * Encodes calls as HTTP requests and decodes the responses to a common format:
  *
  *	list, watch	{"revision": N, "objects": [OBJECT, ...]}
  *	get		OBJECT
@@ -108,67 +115,80 @@
  * with OBJECT {"kind", "name", "version", "deleted", "spec", "change"}.
  */
 struct plat_codec {
-	/* `after` is what decode() gave for the page before, else empty. */
+	/* `after` was set by decode() for the previous page, else empty. */
 	void (*encode)(const struct plat_request *, struct str after,
 	    struct plat_exchange *);
+	/* Returns the result that an HTTP status means. */
 	enum plat_result (*result)(const struct plat_request *, int status);
 	/*
-	 * A new reference, NULL if the body cannot be understood.  Sets *after
-	 * to a new string where a further page has to be fetched.
+	 * Returns a new reference, or NULL if the body cannot be decoded.  Sets
+	 * *after to a new string if there is a further page to fetch.
 	 */
 	json_t *(*decode)(const struct plat_request *, enum plat_result,
 	    json_t *body, char **after);
 };
 
 /*
- * Read an answer's body; NULL if it is no JSON.  Bytes that are no text are
- * replaced by a sign for that: they stand in one object, and a list is read
- * whole or not at all.  Strings may hold a NUL.
+ * Parses JSON.  Returns NULL if it is malformed.  Bytes that are not valid
+ * UTF-8 are replaced by the replacement character: they belong to one object,
+ * and without this the whole list would be lost.  Strings may contain NUL.
  */
 json_t *plat_parse(struct str);
 
-/* What the platform bounds us by; zero where it does not say. */
+/* Limits that the platform sets; zero if it sets none. */
 struct plat_bounds {
-	double retry_ratio; /* tries beyond the first, as a share of requests */
-	int64_t retry_slack; /* and so many more in each window */
+	/* Retries allowed in each window: a share of the requests ... */
+	double retry_ratio;
+	int64_t retry_slack; /* ... and a number of retries in addition */
 	/*
-	 * A cold backend server may get so many times the rate that it bears,
-	 * and so many requests more, in a second.
+	 * Requests per second allowed to a cold backend server: a multiple of
+	 * the rate that it can serve, and a number of requests in addition.
 	 */
 	double cold_over, cold_slack;
-	/* Share of the requests that an unproven version may get; 0: unsaid */
+	/* Share of the requests that an unproven version may get. */
 	double expose_share;
-	int64_t grace_ms; /* between the signal to stop and the end */
+	int64_t grace_ms; /* from the stop signal until the process is killed */
 };
 
 struct dial;
 
-/* All that depends on whose platform it is. */
+/* Everything that depends on the platform in use. */
 struct plat_form {
 	const char *name;
 	const struct plat_codec *codec;
 	const struct dial *dial;
-	/* Kinds of configuration; each entry is listed and watched by itself.
+	/*
+	 * Feeds of configuration, a list that ends with NULL.  Each is a kind
+	 * or several kinds joined by commas, and is listed and watched on its
+	 * own.
 	 */
 	const char *const *feeds;
 	/*
-	 * Its configuration is one object: none has been written yet as long
-	 * as there is no rule.  Elsewhere no rule is a configuration as well.
+	 * The configuration is a single object, and has not been written yet as
+	 * long as there is no rule.  If this is false, a configuration without
+	 * rules is valid.
 	 */
 	bool waits_for_rules;
-	/* Read the platform's bounds from a setting's text; NULL: none. */
+	/* Parses the limits from the text of a setting; NULL: there are none.
+	 */
 	void (*bounds)(struct str, struct plat_bounds *);
 	/*
-	 * Can there be anything in a feed, by what the settings say of the
-	 * platform?  NULL: in all of them.
+	 * Returns whether a feed may contain objects, given the setting
+	 * `contracts`.  NULL: every feed may.
 	 */
 	bool (*has_feed)(struct str contracts, const char *feed);
 };
 
-/* The forms are "fern", of fernplatform(7), and "objects".  NULL: unknown. */
+/*
+ * Returns the adapter "fern", for the API of fernplatform(7), or "objects".
+ * Returns NULL if the name is unknown.
+ */
 const struct plat_form *plat_form_by_name(struct str);
 
-/* A client that speaks HTTP and JSON in the form that the codec knows. */
+/*
+ * Opens a client that sends calls over HTTP as the codec encodes them.
+ * plat_http_close() frees it.
+ */
 struct up;
 struct tmr;
 struct clk;
--- a/plat_fern.c
+++ b/plat_fern.c
@@ -12,15 +12,15 @@
 
 #include "plat.h"
 
-/* The form of fernplatform(7), which needs no translation. */
+/* The codec of fernplatform(7), whose bodies need no conversion. */
 
 static void
 encode(const struct plat_request *, struct str, struct plat_exchange *);
-static enum plat_result result(const struct plat_request *, int);
+static enum plat_result result_from_status(const struct plat_request *, int);
 static json_t *
 decode(const struct plat_request *, enum plat_result, json_t *, char **);
 
-const struct plat_codec plat_fern_codec = {encode, result, decode};
+const struct plat_codec plat_fern_codec = {encode, result_from_status, decode};
 
 static const char *const methods[] = {[PLAT_LIST] = "GET",
     [PLAT_GET] = "GET",
@@ -32,7 +32,7 @@
     [PLAT_BOXES] = "GET"};
 
 static char *
-path_of(const struct plat_request *rq)
+build_path(const struct plat_request *rq)
 {
 	switch (rq->op) {
 	case PLAT_LIST:
@@ -60,7 +60,7 @@
 {
 	(void)after;
 	out->method = methods[rq->op];
-	out->path = path_of(rq);
+	out->path = build_path(rq);
 	if (rq->value != NULL)
 		out->body = json_dumps(rq->value, JSON_COMPACT);
 	if (rq->op == PLAT_CREATE) {
@@ -75,7 +75,7 @@
 }
 
 static enum plat_result
-result(const struct plat_request *rq, int status)
+result_from_status(const struct plat_request *rq, int status)
 {
 	if (status >= 200 && status < 300)
 		return PLAT_OK;
@@ -94,11 +94,11 @@
 }
 
 static json_t *
-decode(const struct plat_request *rq, enum plat_result res, json_t *body,
+decode(const struct plat_request *rq, enum plat_result result, json_t *body,
     char **after)
 {
 	(void)rq;
-	(void)res;
+	(void)result;
 	(void)after;
 	return json_incref(body);
 }
--- a/plat_http.c
+++ b/plat_http.c
@@ -14,10 +14,13 @@
 #include "tmr.h"
 #include "up.h"
 
-/* Calls to the platform over HTTP, page by page, whatever its form. */
+/* The platform client: sends calls over HTTP and joins the pages of lists. */
 
-enum { ANSWER_MAX = 64 << 20, TIMEOUT_MS = 2000 };
-#define CONNECT_NS (1 * NS_S)
+enum {
+	RESPONSE_MAX = 64 << 20, /* bytes of a response or page */
+	TIMEOUT_MS = 2000 /* default time limit of a call or page */
+};
+#define CONNECT_TIMEOUT_NS (1 * NS_S)
 
 struct plat_http {
 	struct plat plat;
@@ -30,23 +33,23 @@
 
 struct plat_call {
 	struct plat_http *http;
-	struct plat_request rq; /* with copies of its strings */
+	struct plat_request rq; /* owns copies of its strings */
 	struct plat_exchange ex;
 	struct up_call *up;
 	struct tmr_item timer;
-	int64_t patience; /* ns for an answer, or one page of it */
+	int64_t timeout_ns; /* for a response, or one page of a list */
 	plat_done_fn *done;
 	void *ctx;
-	bool sent, reads;
+	bool sent, read_only;
 	int status;
-	GString *answer;
-	json_t *pages; /* of a list, as far as they are here */
+	GString *response;
+	json_t *pages; /* the decoded pages so far, joined */
 };
 
 static struct plat_call *
 start(void *, const struct plat_request *, plat_done_fn *, void *);
 static void cancel(void *, struct plat_call *);
-static void exchange(struct plat_call *, struct str after);
+static void send_request(struct plat_call *, struct str after);
 static void on_connected(void *, struct up_call *);
 static void
 on_head(void *, struct up_call *, int, const h2o_header_t *, size_t);
@@ -98,9 +101,9 @@
 	c->rq = *rq;
 	c->rq.kind = str_dup(rq->kind);
 	c->rq.name = str_dup(rq->name);
-	c->answer = g_string_new(NULL);
-	c->patience = (ms + rq->wait_ms) * NS_MS;
-	exchange(c, str_c(NULL));
+	c->response = g_string_new(NULL);
+	c->timeout_ns = (ms + rq->wait_ms) * NS_MS;
+	send_request(c, str_c(NULL));
 	c->rq.value = NULL;
 	return c;
 }
@@ -114,9 +117,9 @@
 	memset(&c->ex, 0, sizeof(c->ex));
 }
 
-/* Send the call, or ask for its next page. */
+/* Sends the request of a call, or the request for its next page. */
 static void
-exchange(struct plat_call *c, struct str after)
+send_request(struct plat_call *c, struct str after)
 {
 	struct plat_http *h = c->http;
 	struct up_request up = {0};
@@ -124,16 +127,17 @@
 	h2o_iovec_t name;
 
 	exchange_clear(c);
-	g_string_truncate(c->answer, 0);
-	tmr_set(h->tmr, &c->timer, clk_ns(h->clk) + c->patience, on_timeout, c);
+	g_string_truncate(c->response, 0);
+	tmr_set(
+	    h->tmr, &c->timer, clk_ns(h->clk) + c->timeout_ns, on_timeout, c);
 	h->codec->encode(&c->rq, after, &c->ex);
-	c->reads = strcmp(c->ex.method, "GET") == 0;
+	c->read_only = strcmp(c->ex.method, "GET") == 0;
 	up.address = h->address;
 	up.host = h->address;
 	up.method = str_c(c->ex.method);
 	up.path = str_c(c->ex.path);
 	up.body = str_c(c->ex.body);
-	up.connect_ns = CONNECT_NS;
+	up.connect_ns = CONNECT_TIMEOUT_NS;
 	if (c->ex.header != NULL) {
 		name = h2o_iovec_init(c->ex.header, strlen(c->ex.header));
 		header.name = &name;
@@ -148,7 +152,7 @@
 call_free(struct plat_call *c)
 {
 	tmr_clear(c->http->tmr, &c->timer);
-	g_string_free(c->answer, TRUE);
+	g_string_free(c->response, TRUE);
 	exchange_clear(c);
 	json_decref(c->pages);
 	str_free(&c->rq.kind);
@@ -179,7 +183,7 @@
 
 	up_cancel(c->up);
 	c->up = NULL;
-	finish(c, c->sent && !c->reads ? PLAT_UNSURE : PLAT_DOWN, NULL);
+	finish(c, c->sent && !c->read_only ? PLAT_UNSURE : PLAT_DOWN, NULL);
 }
 
 static void
@@ -203,33 +207,34 @@
 	c->status = status;
 }
 
+/* Appends received bytes, or discards them if RESPONSE_MAX is exceeded. */
 static void
-take(struct plat_call *c, struct up_call *up)
+append_body(struct plat_call *c, struct up_call *up)
 {
 	h2o_buffer_t **buf = up_body(up);
 
-	if (c->answer->len + (*buf)->size <= ANSWER_MAX)
+	if (c->response->len + (*buf)->size <= RESPONSE_MAX)
 		g_string_append_len(
-		    c->answer, (*buf)->bytes, (gssize)(*buf)->size);
+		    c->response, (*buf)->bytes, (gssize)(*buf)->size);
 	h2o_buffer_consume(buf, (*buf)->size);
 }
 
 static void
 on_body(void *ctx, struct up_call *up)
 {
-	take(ctx, up);
+	append_body(ctx, up);
 }
 
 /*
- * A later page adds its objects to those before it.  The list is complete at
- * the oldest revision of its pages only: a stale page may be older than the
- * one before it.
+ * Appends the objects of a page to those of earlier pages.  The list is only
+ * complete at the oldest revision of its pages, and a stale page may be older
+ * than the one before it.
  */
 static void
 add_page(struct plat_call *c, json_t *page)
 {
-	json_t *first = json_object_get(c->pages, "revision");
-	json_t *own = json_object_get(page, "revision");
+	json_t *oldest_rev = json_object_get(c->pages, "revision");
+	json_t *page_rev = json_object_get(page, "revision");
 
 	if (c->pages == NULL) {
 		c->pages = json_incref(page);
@@ -237,8 +242,8 @@
 	}
 	json_array_extend(json_object_get(c->pages, "objects"),
 	    json_object_get(page, "objects"));
-	if (json_integer_value(own) < json_integer_value(first))
-		json_object_set(c->pages, "revision", own);
+	if (json_integer_value(page_rev) < json_integer_value(oldest_rev))
+		json_object_set(c->pages, "revision", page_rev);
 }
 
 static void
@@ -250,19 +255,19 @@
 	json_t *body, *page = NULL;
 	char *after = NULL;
 
-	take(c, up);
+	append_body(c, up);
 	c->up = NULL;
-	body = plat_parse(str_n(c->answer->str, c->answer->len));
+	body = plat_parse(str_n(c->response->str, c->response->len));
 	if (body != NULL)
 		page = codec->decode(&c->rq, result, body, &after);
 	json_decref(body);
 	if (page == NULL && result == PLAT_OK && c->rq.op != PLAT_DELETE)
-		result = c->reads ? PLAT_DOWN : PLAT_UNSURE;
+		result = c->read_only ? PLAT_DOWN : PLAT_UNSURE;
 	if (page != NULL)
 		add_page(c, page);
 	json_decref(page);
 	if (after != NULL && result == PLAT_OK)
-		exchange(c, str_c(after));
+		send_request(c, str_c(after));
 	else
 		finish(c, result, c->pages);
 	g_free(after);
@@ -275,6 +280,6 @@
 
 	(void)up;
 	c->up = NULL;
-	finish(
-	    c, kind == ERR_CONNECT || c->reads ? PLAT_DOWN : PLAT_UNSURE, NULL);
+	finish(c, kind == ERR_CONNECT || c->read_only ? PLAT_DOWN : PLAT_UNSURE,
+	    NULL);
 }
