--- a/daemon.c
+++ b/daemon.c
@@ -18,20 +18,20 @@
 #include "set.h"
 #include "slog.h"
 
-/* The main of a daemon, from its command line to its exit status. */
+/* The main function of a daemon, from its command line to its exit status. */
 
-enum { ERRORS_MAX = 8 };
+enum { ERRORS_MAX = 8 }; /* errors of the command line that are printed */
 
-/* What the command line says. */
+/* The command line. */
 struct args {
-	char *settings; /* the settings file */
+	char *settings; /* path of the settings file */
 	bool check; /* check the settings and exit */
-	bool quiet; /* no decision lines */
+	bool quiet; /* do not log each decision */
 };
 
 static bool
-parse(int, char **, const struct daemon_ops *, struct args *, int *);
-static int finish(const char *, GError *);
+parse_args(int, char **, const struct daemon_ops *, struct args *, int *);
+static int print_error(const char *, GError *);
 
 static void
 usage(const char *program, const char *about, void **table)
@@ -42,10 +42,13 @@
 	arg_print_glossary(stdout, table, "  %-24s %s\n");
 }
 
-/* False if the program should end, with *status as its exit status. */
+/*
+ * Returns whether the daemon is to run.  If not, the program exits with
+ * *status.
+ */
 static bool
-parse(int argc, char **argv, const struct daemon_ops *ops, struct args *args,
-    int *status)
+parse_args(int argc, char **argv, const struct daemon_ops *ops,
+    struct args *args, int *status)
 {
 	struct arg_lit *help = arg_lit0("h", "help", "print this and exit");
 	struct arg_lit *version = arg_lit0("V", "version", "print the version");
@@ -58,7 +61,7 @@
 	struct arg_end *end = arg_end(ERRORS_MAX);
 	void *table[] = {help, version, check, quiet, file, end};
 	int errors = arg_parse(argc, argv, table);
-	bool go = false;
+	bool run = false;
 
 	*status = 0;
 	if (help->count > 0)
@@ -69,7 +72,7 @@
 		if (errors > 0)
 			arg_print_errors(stderr, end, ops->program);
 		else
-			fprintf(stderr, "%s: a settings file is wanted\n",
+			fprintf(stderr, "%s: no settings file given\n",
 			    ops->program);
 		fprintf(stderr, "Try '%s --help'.\n", ops->program);
 		*status = err_answer(ERR_USAGE)->exit_code;
@@ -77,14 +80,15 @@
 		args->settings = g_strdup(file->filename[0]);
 		args->check = check->count > 0;
 		args->quiet = quiet->count > 0;
-		go = true;
+		run = true;
 	}
 	arg_freetable(table, G_N_ELEMENTS(table));
-	return go;
+	return run;
 }
 
+/* Prints and frees an error, if there is one; returns the exit status. */
 static int
-finish(const char *program, GError *err)
+print_error(const char *program, GError *err)
 {
 	int status;
 
@@ -103,17 +107,17 @@
 	GError *err = NULL;
 	int status;
 
-	if (!parse(argc, argv, ops, &args, &status))
+	if (!parse_args(argc, argv, ops, &args, &status))
 		return status;
 	signal(SIGPIPE, SIG_IGN);
 	slog_open(clk_system(), args.quiet);
 	if (ops->load(ops->ctx, args.settings, &err)) {
 		if (args.check)
-			printf("%s: the settings are right\n", args.settings);
+			printf("%s: the settings are valid\n", args.settings);
 		else if (ops->open(ops->ctx, &err))
 			ops->run(ops->ctx);
 	}
 	slog_close();
 	g_free(args.settings);
-	return finish(ops->program, err);
+	return print_error(ops->program, err);
 }
--- a/daemon.h
+++ b/daemon.h
@@ -14,20 +14,20 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/* What the two daemons have in common: command line, log and exit status. */
+/* Common main function of the daemons: command line, log and exit status. */
 struct daemon_ops {
-	const char *program;
-	const char *about;
-	/* Read and check the settings file. */
+	const char *program; /* name of the program */
+	const char *about; /* description in the output of --help */
+	/* Reads and checks the settings file. */
 	bool (*load)(void *, const char *file, GError **);
-	/* Open everything. */
+	/* Opens sockets and other resources. */
 	bool (*open)(void *, GError **);
-	/* Run until the end. */
+	/* Runs the event loop until the daemon stops. */
 	void (*run)(void *);
-	void *ctx;
+	void *ctx; /* first argument of the functions above */
 };
 
-/* Run a daemon's main; returns its exit status. */
+/* Runs a daemon and returns its exit status. */
 int daemon_main(int argc, char **argv, const struct daemon_ops *);
 
 #endif
--- a/dial.c
+++ b/dial.c
@@ -13,24 +13,24 @@
 
 #include "dial.h"
 
-/* What callers and backend servers say by headers, in our own dialect. */
+/* Fernjunction's own dialect, and functions that parse headers. */
 
-enum { PACE_USUAL = 100, MS_A_SECOND = 1000 };
+enum { SLOWDOWN_NONE_PERCENT = 100, MS_PER_SECOND = 1000 };
 
-static bool refused(int, const h2o_header_t *, size_t);
-static bool moved(int, const h2o_header_t *, size_t);
-static void word(int, const h2o_header_t *, size_t, struct dial_word *);
+static bool not_executed(int, const h2o_header_t *, size_t);
+static bool address_reassigned(int, const h2o_header_t *, size_t);
+static void parse_report(int, const h2o_header_t *, size_t, struct dial_word *);
 
 const struct dial dial_fern = {
     .name = "fern",
     .deadline = {"fern-deadline-ms", 16},
     .retried = {"fern-retried", 12},
-    .refused = refused,
-    .moved = moved,
-    .word = word,
+    .refused = not_executed,
+    .moved = address_reassigned,
+    .word = parse_report,
 };
 
-static const struct dial_word_names word_names = {
+static const struct dial_word_names report_headers = {
     .load = {"fern-load", 9},
     .cold = {"fern-cold-ms", 12},
     .leaves = {"fern-drain", 10},
@@ -55,25 +55,25 @@
 dial_read_load(struct str text, struct dial_load *out)
 {
 	char copy[64];
-	int n;
+	int fields;
 
 	if (text.n == 0 || text.n >= sizeof(copy))
 		return false;
 	memcpy(copy, text.p, text.n);
 	copy[text.n] = '\0';
-	out->pace = PACE_USUAL;
-	n = sscanf(copy, "%d,%d,%d,%d", &out->running, &out->waiting,
+	out->pace = SLOWDOWN_NONE_PERCENT;
+	fields = sscanf(copy, "%d,%d,%d,%d", &out->running, &out->waiting,
 	    &out->slots, &out->pace);
-	return n >= 3 && out->running >= 0 && out->waiting >= 0 &&
+	return fields >= 3 && out->running >= 0 && out->waiting >= 0 &&
 	    out->slots > 0 && out->pace > 0;
 }
 
 /*
- * "Fern-Ran: no" is a backend server's word that it refused before running.
- * Without it a 5xx may have run.
+ * "Fern-Ran: no" means that the backend server refused the request and did not
+ * run it.  A request that got a 5xx without this header may have run.
  */
 static bool
-refused(int status, const h2o_header_t *headers, size_t n)
+not_executed(int status, const h2o_header_t *headers, size_t n)
 {
 	struct str ran = dial_header(headers, n, STR_LIT("fern-ran"));
 
@@ -81,7 +81,7 @@
 }
 
 static bool
-moved(int status, const h2o_header_t *headers, size_t n)
+address_reassigned(int status, const h2o_header_t *headers, size_t n)
 {
 	(void)status;
 	(void)headers;
@@ -97,15 +97,16 @@
 	return str_u64(text, &ms) ? (int64_t)MIN(ms, DIAL_MS_MAX) : 0;
 }
 
+/* Any value but "0" is true. */
 static bool
-says_yes(struct str text)
+parse_flag(struct str text)
 {
 	return text.n > 0 && !str_eq(text, STR_LIT("0"));
 }
 
-/* A plain decimal number, without sign or exponent. */
+/* Parses a decimal number without sign or exponent. */
 static bool
-read_decimal(struct str text, double *out)
+parse_decimal(struct str text, double *out)
 {
 	char copy[DIAL_DECIMAL_MAX + 1];
 	size_t i, points = 0, digits = 0;
@@ -129,7 +130,7 @@
 {
 	double rate;
 
-	if (!read_decimal(text, &rate))
+	if (!parse_decimal(text, &rate))
 		return false;
 	*out = MAX(rate, DIAL_RATE_MIN);
 	return true;
@@ -140,15 +141,18 @@
 {
 	double seconds;
 
-	if (!read_decimal(text, &seconds))
+	if (!parse_decimal(text, &seconds))
 		return false;
-	*ms = (int64_t)MIN(seconds * MS_A_SECOND, DIAL_MS_MAX);
+	*ms = (int64_t)MIN(seconds * MS_PER_SECOND, DIAL_MS_MAX);
 	return true;
 }
 
-/* Only with these does Retry-After tell of the backend server itself. */
+/*
+ * Returns whether Retry-After applies to the backend server itself, not just to
+ * the request.
+ */
 static bool
-asks_for_rest(int status)
+is_overload_status(int status)
 {
 	return status == 429 || status == 503;
 }
@@ -159,22 +163,23 @@
 {
 	struct str load = dial_header(headers, n, names->load);
 	struct str limit = dial_header(headers, n, names->limit);
-	struct str rest = dial_header(headers, n, names->rest);
+	struct str retry_after = dial_header(headers, n, names->rest);
 
 	*out = (struct dial_word){
 	    .cold_ms = dial_ms(dial_header(headers, n, names->cold)),
-	    .leaves = says_yes(dial_header(headers, n, names->leaves)),
+	    .leaves = parse_flag(dial_header(headers, n, names->leaves)),
 	};
 	out->tells_load = dial_read_load(load, &out->load);
 	if (limit.p != NULL && !dial_read_rate(limit, &out->limit))
 		out->malformed = true;
-	if (rest.p != NULL && asks_for_rest(status) &&
-	    !dial_read_seconds(rest, &out->rest_ms))
+	if (retry_after.p != NULL && is_overload_status(status) &&
+	    !dial_read_seconds(retry_after, &out->rest_ms))
 		out->malformed = true;
 }
 
 static void
-word(int status, const h2o_header_t *headers, size_t n, struct dial_word *out)
+parse_report(
+    int status, const h2o_header_t *headers, size_t n, struct dial_word *out)
 {
-	dial_read_word(&word_names, status, headers, n, out);
+	dial_read_word(&report_headers, status, headers, n, out);
 }
--- a/dial.h
+++ b/dial.h
@@ -17,93 +17,103 @@
 #include "str.h"
 
 /*
- * A dialect: how callers and backend servers say what HTTP itself leaves
- * open.  The gate knows what is meant; the dialect knows the headers.
+ * Header dialects.  A dialect defines the headers and status codes by which
+ * callers and backend servers exchange what HTTP itself does not define, such
+ * as deadlines and load.
  */
 
-/* How busy a backend server is. */
+/* The load of a backend server, as it reports it. */
 struct dial_load {
-	int running; /* requests that it works on */
-	int waiting; /* requests in its own queue */
-	int slots;
-	int pace; /* percent of the usual time that work takes there now */
+	int running; /* requests in progress */
+	int waiting; /* requests in its queue */
+	int slots; /* requests that it can run at once */
+	/* Current processing time as a percentage of the usual one. */
+	int pace;
 };
 
-/* What a backend server says of itself with an answer. */
+/* The state of a backend server, as it reports it in a response. */
 struct dial_word {
-	bool tells_load;
+	bool tells_load; /* `load` is set */
 	struct dial_load load;
-	int64_t cold_ms; /* it stays cold for so long; 0: it does not say so */
-	bool leaves; /* it leaves, and wants nothing new */
-	int64_t rest_ms; /* it wants nothing more from the box that asked */
-	/* Requests a second that it takes from all boxes together; 0: any. */
+	int64_t cold_ms; /* remaining time of its slow start; 0: none */
+	bool leaves; /* it is shutting down and accepts no new requests */
+	/* Time during which this box is to send it no requests; 0: none. */
+	int64_t rest_ms;
+	/* Requests per second accepted from all boxes together; 0: no limit. */
 	double limit;
-	bool malformed; /* it says something that cannot be read */
+	bool malformed; /* a header is malformed */
 };
 
 struct dial {
 	const char *name;
 	/* Header names in lower case; an empty one is not used. */
-	struct str id; /* names a request; backend servers repeat it */
-	struct str deadline; /* milliseconds that are left */
-	struct str instance; /* the backend server that is meant */
-	struct str
-	    key; /* of the customer; goes no further than the first box */
-	struct str customer; /* by name; never a caller's own word */
+	struct str id; /* request id; backend servers return it */
+	struct str deadline; /* time left for the request in ms */
+	struct str instance; /* backend server that the request is for */
+	/* API key of the customer; not sent beyond the first box. */
+	struct str key;
+	/* Name of the customer; set by boxes, never copied from a caller. */
+	struct str customer;
 	struct str retried; /* "yes" on a request that was sent before */
 	bool fractions; /* Retry-After may be a fraction of a second */
 	/*
-	 * 408, 421, 429 and 503 promise by themselves that a request has not
-	 * run, so that none of them may be used where it may have.
+	 * 408, 421, 429 and 503 alone mean that a request was not run, so none
+	 * of them may be sent for a request that may have run.
 	 */
 	bool status_promises;
-	/* One that says that it leaves does not take that back. */
+	/* A backend server that reports leaving never withdraws it. */
 	bool leaves_for_life;
-	/* The backend server says that it did not run the request. */
+	/* Returns whether the backend server did not run the request. */
 	bool (*refused)(int status, const h2o_header_t *, size_t);
-	/* It says that another backend server has its address now. */
+	/* Returns whether its address now belongs to another backend server. */
 	bool (*moved)(int status, const h2o_header_t *, size_t);
-	/* What it says of itself. */
+	/* Parses the state that the backend server reports. */
 	void (*word)(
 	    int status, const h2o_header_t *, size_t, struct dial_word *);
 };
 
-/* Where a dialect has what a backend server says of itself. */
+/* Names of the headers that report the state of a backend server. */
 struct dial_word_names {
 	struct str load, cold, leaves, limit, rest;
 };
 
-/* Fernjunction's own dialect, as ferncaller(7) describes it. */
+/* Fernjunction's own dialect, described in ferncaller(7). */
 extern const struct dial dial_fern;
 
-/* The value of a header; an empty string if it is not there. */
+/* Returns the value of a header, or an empty string if it is absent. */
 struct str dial_header(const h2o_header_t *, size_t, struct str name);
 
-/* A time in whole milliseconds; 0 where there is none, or it is malformed. */
+/*
+ * Parses whole milliseconds.  Returns at most DIAL_MS_MAX, and 0 if the text is
+ * empty or malformed.
+ */
 int64_t dial_ms(struct str);
 enum { DIAL_MS_MAX = 24 * 3600 * 1000 };
 
-/* Read "running,waiting,slots[,pace]"; false if it is malformed. */
+/*
+ * Parses "running,waiting,slots[,percent]" as described at struct dial_load.
+ * Returns false if the text is malformed.
+ */
 bool dial_read_load(struct str, struct dial_load *);
 
-/* Decimal numbers are no longer than this. */
+/* Maximum number of characters of a decimal number. */
 enum { DIAL_DECIMAL_MAX = 16 };
 
 /*
- * Read requests a second, a plain decimal number; false if it is malformed.
- * Less than DIAL_RATE_MIN is read as that much: an answer has to tell of the
- * end.
+ * Parses requests per second, a decimal number without sign or exponent.
+ * Returns false if the text is malformed.  A rate below DIAL_RATE_MIN is raised
+ * to it: only the response to a request can report the end of the limit.
  */
 bool dial_read_rate(struct str, double *);
 #define DIAL_RATE_MIN 0.1
 
 /*
- * Read seconds, a plain decimal number, as ms, DIAL_MS_MAX at most; false if it
- * is malformed.
+ * Parses seconds, a decimal number without sign or exponent, to ms, at most
+ * DIAL_MS_MAX.  Returns false if the text is malformed.
  */
 bool dial_read_seconds(struct str, int64_t *ms);
 
-/* Read all that the headers of an answer say. */
+/* Parses the state that a backend server reports in a response's headers. */
 void dial_read_word(const struct dial_word_names *, int status,
     const h2o_header_t *, size_t, struct dial_word *);
 
--- a/probe.c
+++ b/probe.c
@@ -12,13 +12,15 @@
 
 #include "probe.h"
 
-enum { FAILS_DOWN = 2 };
+/* Consecutive failed probes after which a backend server is down. */
+enum { FAILURES_DOWN = 2 };
 
 struct target {
 	struct str backend, address, path;
-	int64_t interval, next;
-	bool wanted, out;
-	int fails;
+	int64_t interval, next; /* ns */
+	bool keep; /* added since probe_begin() */
+	bool in_flight; /* a probe was started, its outcome is pending */
+	int failures; /* consecutive ones */
 	enum msg_state state;
 };
 
@@ -26,14 +28,14 @@
 	struct probe_ops ops;
 	const struct rnd *rnd;
 	double rate;
-	struct limit budget;
+	struct limit limit;
 	GHashTable *targets; /* char * backend to struct target * */
-	uint64_t started, put_off;
+	uint64_t started, deferred;
 };
 
 static void target_free(void *);
-static gboolean is_unwanted(gpointer, gpointer, gpointer);
-static void conclude(struct probe *, struct target *, enum msg_state);
+static gboolean is_removed(gpointer, gpointer, gpointer);
+static void set_state(struct probe *, struct target *, enum msg_state);
 
 static void
 target_free(void *p)
@@ -74,19 +76,22 @@
 
 	g_hash_table_iter_init(&it, p->targets);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		((struct target *)value)->wanted = false;
+		((struct target *)value)->keep = false;
 }
 
 static void
-replace(struct str *s, struct str with)
+replace(struct str *s, struct str value)
 {
-	if (str_eq(*s, with))
+	if (str_eq(*s, value))
 		return;
 	str_free(s);
-	*s = str_dup(with);
+	*s = str_dup(value);
 }
 
-/* A new target's first probe comes at once, the others spread out. */
+/*
+ * The first probe of a new target is sent at once.  probe_tick() adds jitter to
+ * the interval, which spreads out later ones.
+ */
 void
 probe_want(struct probe *p, struct str backend, struct str address,
     struct str path, int64_t interval, int64_t now)
@@ -104,21 +109,21 @@
 	replace(&t->address, address);
 	replace(&t->path, path);
 	t->interval = interval;
-	t->wanted = true;
+	t->keep = true;
 }
 
 static gboolean
-is_unwanted(gpointer key, gpointer value, gpointer ctx)
+is_removed(gpointer key, gpointer value, gpointer ctx)
 {
 	(void)key;
 	(void)ctx;
-	return !((struct target *)value)->wanted;
+	return !((struct target *)value)->keep;
 }
 
 void
 probe_commit(struct probe *p)
 {
-	g_hash_table_foreach_remove(p->targets, is_unwanted, NULL);
+	g_hash_table_foreach_remove(p->targets, is_removed, NULL);
 }
 
 void
@@ -131,13 +136,13 @@
 	g_hash_table_iter_init(&it, p->targets);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		t = value;
-		if (t->out || now < t->next)
+		if (t->in_flight || now < t->next)
 			continue;
-		if (!limit_take(&p->budget, p->rate, now)) {
-			p->put_off++;
+		if (!limit_take(&p->limit, p->rate, now)) {
+			p->deferred++;
 			return;
 		}
-		t->out = true;
+		t->in_flight = true;
 		t->next = now + rnd_jitter(p->rnd, t->interval);
 		p->started++;
 		p->ops.probe(p->ops.ctx, t->backend, t->address, t->path);
@@ -145,7 +150,7 @@
 }
 
 static void
-conclude(struct probe *p, struct target *t, enum msg_state state)
+set_state(struct probe *p, struct target *t, enum msg_state state)
 {
 	if (t->state == state)
 		return;
@@ -155,7 +160,7 @@
 
 void
 probe_result(
-    struct probe *p, struct str backend, enum probe_found found, int64_t now)
+    struct probe *p, struct str backend, enum probe_found outcome, int64_t now)
 {
 	char *key = g_strndup(backend.p, backend.n);
 	struct target *t = g_hash_table_lookup(p->targets, key);
@@ -164,19 +169,19 @@
 	g_free(key);
 	if (t == NULL)
 		return;
-	t->out = false;
-	if (found != PROBE_FAILED)
-		t->fails = 0;
-	if (found == PROBE_OK)
-		conclude(p, t, STATE_UP);
-	else if (found == PROBE_DRAINING)
-		conclude(p, t, STATE_DRAINING);
-	else if (++t->fails >= FAILS_DOWN)
-		conclude(p, t, STATE_DOWN);
+	t->in_flight = false;
+	if (outcome != PROBE_FAILED)
+		t->failures = 0;
+	if (outcome == PROBE_OK)
+		set_state(p, t, STATE_UP);
+	else if (outcome == PROBE_DRAINING)
+		set_state(p, t, STATE_DRAINING);
+	else if (++t->failures >= FAILURES_DOWN)
+		set_state(p, t, STATE_DOWN);
 }
 
 void
-probe_each(const struct probe *p, probe_visit_fn *visit, void *ctx)
+probe_each(const struct probe *p, probe_visit_fn *fn, void *ctx)
 {
 	const struct target *t;
 	GHashTableIter it;
@@ -185,7 +190,7 @@
 	g_hash_table_iter_init(&it, p->targets);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		t = value;
-		visit(ctx, t->backend, t->state);
+		fn(ctx, t->backend, t->state);
 	}
 }
 
@@ -204,5 +209,5 @@
 uint64_t
 probe_put_off(const struct probe *p)
 {
-	return p->put_off;
+	return p->deferred;
 }
--- a/probe.h
+++ b/probe.h
@@ -20,47 +20,55 @@
 #include "str.h"
 
 /*
- * The schedule of probes and what is concluded from them.  Pure: probes go
- * out through a callback, their results come in by calls.  A budget holds
- * the probes of a box together, whatever there is to probe.
+ * Schedules health probes and derives the states of backend servers from their
+ * outcomes.  It does no I/O: probes are sent by a callback, and their outcomes
+ * are passed in.  A rate limit applies to all probes of a box together.
  */
 struct probe_ops {
-	/* Probe a backend server now; the result comes by probe_result(). */
+	/* Sends a probe; its outcome is passed to probe_result(). */
 	void (*probe)(
 	    void *, struct str backend, struct str address, struct str path);
-	/* What is thought of a backend server has changed. */
+	/* The state of a backend server has changed. */
 	void (*changed)(void *, struct str backend, enum msg_state);
 	void *ctx;
 };
 
-/* What one probe found. */
+/* The outcome of a probe. */
 enum probe_found { PROBE_OK, PROBE_FAILED, PROBE_DRAINING };
 
 struct probe;
 
+/* `rate` is the maximum number of probes per second. */
 struct probe *
 probe_new(const struct probe_ops *, const struct rnd *, double rate);
 void probe_free(struct probe *);
 
-/* The backend servers that this box has to probe, told anew each time. */
+/*
+ * Replace the set of backend servers to probe: begin, add each of them, then
+ * commit, which removes those not added.  Times are in ns.
+ */
 void probe_begin(struct probe *);
 void probe_want(struct probe *, struct str backend, struct str address,
     struct str path, int64_t interval, int64_t now);
 void probe_commit(struct probe *);
 
-/* Start the probes that are due, as far as the budget allows. */
+/* Starts the probes whose time has come, within the rate limit. */
 void probe_tick(struct probe *, int64_t now);
 
+/* Records the outcome of a probe. */
 void
 probe_result(struct probe *, struct str backend, enum probe_found, int64_t now);
 
-/* Visit what is thought now. */
+/* Calls a function with the current state of each backend server. */
 typedef void probe_visit_fn(void *, struct str backend, enum msg_state);
 void probe_each(const struct probe *, probe_visit_fn *, void *);
 
 unsigned probe_count(const struct probe *);
 
-/* Probes started, and those put off for want of budget. */
+/*
+ * The number of probes started, and how often the rate limit delayed probes to
+ * a later tick.
+ */
 uint64_t probe_started(const struct probe *);
 uint64_t probe_put_off(const struct probe *);
 
--- a/reload.c
+++ b/reload.c
@@ -12,15 +12,15 @@
 
 #include "reload.h"
 
-/* Looks whether a settings file is to be read anew. */
+/* Detects when a settings file is to be reloaded. */
 
-/* Soon enough for an operator, and cheap: one stat. */
-#define LOOK_NS (2 * NS_S)
+/* Soon enough for an operator, and cheap: one call of stat(). */
+#define CHECK_INTERVAL_NS (2 * NS_S)
 
 static void on_hup(uv_signal_t *, int);
-static void on_look(void *);
+static void on_check(void *);
 
-/* Has the file changed since it was last read? */
+/* Returns whether the file has changed since the last check. */
 static bool
 has_changed(struct reload *r)
 {
@@ -46,19 +46,20 @@
 }
 
 static void
-look_later(struct reload *r)
+schedule_check(struct reload *r)
 {
-	tmr_set(r->tmr, &r->timer, clk_ns(r->tmr->clk) + LOOK_NS, on_look, r);
+	tmr_set(r->tmr, &r->timer, clk_ns(r->tmr->clk) + CHECK_INTERVAL_NS,
+	    on_check, r);
 }
 
 static void
-on_look(void *ctx)
+on_check(void *ctx)
 {
 	struct reload *r = ctx;
 
 	if (has_changed(r))
 		r->fn(r->ctx);
-	look_later(r);
+	schedule_check(r);
 }
 
 void
@@ -73,5 +74,5 @@
 	uv_signal_init(loop, &r->hup);
 	r->hup.data = r;
 	uv_signal_start(&r->hup, on_hup, SIGHUP);
-	look_later(r);
+	schedule_check(r);
 }
--- a/reload.h
+++ b/reload.h
@@ -17,8 +17,8 @@
 #include "tmr.h"
 
 /*
- * Tells that a settings file is to be read anew: on SIGHUP, or because the
- * file has changed, which is looked at every few seconds.
+ * Calls a function when a settings file is to be reloaded: on SIGHUP, or after
+ * its modification time has changed, which is checked every few seconds.
  */
 typedef void reload_fn(void *);
 
@@ -27,7 +27,7 @@
 	uv_signal_t hup;
 	struct tmr_item timer;
 	const char *file;
-	struct timespec changed; /* the file's time when it was last read */
+	struct timespec changed; /* modification time at the last check */
 	reload_fn *fn;
 	void *ctx;
 };
--- a/tmr.c
+++ b/tmr.c
@@ -10,13 +10,13 @@
  */
 #include "tmr.h"
 
-/* A timer that fires so late tells that the loop has stalled. */
+/* A timer that is this late means that the event loop was blocked. */
 #define LATE_NS (20 * NS_MS)
 
-/* And one that fires so late, that the process was paused. */
-#define PAUSE_NS (1 * NS_S)
+/* A timer that is this late means that the process was suspended. */
+#define SUSPENDED_NS (1 * NS_S)
 
-/* The least that libuv does not run in the same round. */
+/* The shortest delay that libuv does not run in the same loop iteration. */
 enum { DEFER_MS = 1 };
 
 static void on_timer(uv_timer_t *);
@@ -39,7 +39,10 @@
 	queue_clear(&t->queue);
 }
 
-/* libuv counts in ms: round up, so that nothing fires early. */
+/*
+ * Starts the libuv timer for the first item.  libuv counts in ms; rounding up
+ * prevents that an item fires early.
+ */
 static void
 arm(struct tmr *t)
 {
@@ -59,17 +62,18 @@
 }
 
 /*
- * The loop has stalled, as a timer is late: what came in meanwhile may be
- * just what it waits for, and libuv would run that after it.  So I/O goes
- * first, once, and then all that is due.  After a pause timers go first: what
- * is overdue must end before anything is sent.
+ * Defers late timers once, so that pending I/O runs before them.  After the
+ * loop was blocked, the event that a timer limits the wait for may already be
+ * pending, and libuv would run the timer first.  After the process was
+ * suspended, timers run first, because overdue operations must end before
+ * anything is sent.
  */
 static bool
 defer(struct tmr *t, const struct queue_item *first, int64_t now)
 {
 	int64_t late = now - first->deadline;
 
-	if (t->deferred || late < LATE_NS || late >= PAUSE_NS)
+	if (t->deferred || late < LATE_NS || late >= SUSPENDED_NS)
 		return false;
 	t->deferred = true;
 	uv_update_time(t->timer.loop);
@@ -102,13 +106,13 @@
 }
 
 void
-tmr_set(
-    struct tmr *t, struct tmr_item *item, int64_t at, tmr_fn *fire, void *ctx)
+tmr_set(struct tmr *t, struct tmr_item *item, int64_t at, tmr_fn *callback,
+    void *ctx)
 {
 	tmr_clear(t, item);
 	item->item.deadline = at;
 	item->item.data = item;
-	item->fire = fire;
+	item->fire = callback;
 	item->ctx = ctx;
 	item->set = true;
 	queue_push(&t->queue, &item->item);
--- a/tmr.h
+++ b/tmr.h
@@ -19,8 +19,9 @@
 #include "queue.h"
 
 /*
- * Many timers over one libuv timer.  An item lives in its owner's struct
- * and needs no closing: clearing it is enough before the owner is freed.
+ * Any number of timers on one libuv timer.  An item is embedded in a struct of
+ * its owner and must be cleared before that is freed.  An item filled with
+ * zeros is not armed.
  */
 typedef void tmr_fn(void *);
 
@@ -35,13 +36,16 @@
 	uv_timer_t timer;
 	struct queue queue;
 	const struct clk *clk;
-	bool deferred; /* timers that are late let I/O go first, once */
+	bool deferred; /* late timers were deferred once, so that I/O runs */
 };
 
 void tmr_open(struct tmr *, uv_loop_t *, const struct clk *);
 void tmr_close(struct tmr *);
 
-/* Fire once at a monotonic time in ns; an item that is set is set anew. */
+/*
+ * Arms an item to call the function once, at a monotonic time in ns.  An item
+ * that is already armed is rearmed.
+ */
 void tmr_set(struct tmr *, struct tmr_item *, int64_t at, tmr_fn *, void *);
 void tmr_clear(struct tmr *, struct tmr_item *);
 
--- a/zip.c
+++ b/zip.c
@@ -13,7 +13,7 @@
 
 #include "zip.h"
 
-enum { LEVEL = 1 };
+enum { COMPRESSION_LEVEL = 1 };
 
 struct str
 zip_deflate(struct str in)
@@ -22,7 +22,8 @@
 	Bytef *out = g_try_malloc(len);
 
 	if (out == NULL ||
-	    compress2(out, &len, (const Bytef *)in.p, in.n, LEVEL) != Z_OK) {
+	    compress2(out, &len, (const Bytef *)in.p, in.n,
+		COMPRESSION_LEVEL) != Z_OK) {
 		g_free(out);
 		return str_c(NULL);
 	}
--- a/zip.h
+++ b/zip.h
@@ -14,16 +14,19 @@
 #include "str.h"
 
 /*
- * Bytes deflated at the fastest level; texts of routes and entries of backend
- * servers shrink five to tenfold.
+ * Compression with zlib at the fastest level.  It reduces routes and entries of
+ * backend servers five to ten times.
  */
 
-/* A copy, to be freed by str_free(); empty if there is no memory. */
+/*
+ * Returns the deflated bytes, to be freed with str_free(); an empty string if
+ * there is not enough memory.
+ */
 struct str zip_deflate(struct str);
 
 /*
- * The `size` bytes that were deflated, to be freed by str_free(); empty if they
- * are not that, or more than ZIP_MAX.
+ * Returns the inflated bytes, to be freed with str_free(); an empty string if
+ * they are malformed, not exactly `size` bytes or more than ZIP_MAX.
  */
 struct str zip_inflate(struct str, size_t size);
 
