--- a/up.h
+++ b/up.h
@@ -60,6 +60,7 @@
 };
 
 struct up *up_open(uv_loop_t *, struct tmr *, const struct clk *);
+/* Closes the idle connections. */
 void up_close(struct up *);
 
 /* Starts a call.  No callback but connected() is called before it returns. */
@@ -71,7 +72,7 @@
 
 /*
  * Discards the rest of the response, so that the connection can be reused.
- * No further callback of the owner is called.
+ * No further callback of the owner is called, and the call frees itself.
  */
 void up_drain(struct up_call *);
 
