--- a/plat.h
+++ b/plat.h
@@ -21,7 +21,7 @@
 /*
  * The interface to the platform's object API.  An adapter implements it for the
  * API of one platform.  Objects have a kind, a name, a version that increases
- * with every write, and a JSON value.  A revision counts the writes to all
+ * with every write, and a JSON value.  A revision orders the writes to all
  * objects.
  */
 enum plat_op {
@@ -169,8 +169,7 @@
 	 * rules is valid.
 	 */
 	bool waits_for_rules;
-	/* Parses the limits from the text of a setting; NULL: there are none.
-	 */
+	/* Parses the limits from the text of a setting; may be NULL. */
 	void (*bounds)(struct str, struct plat_bounds *);
 	/*
 	 * Returns whether a feed may contain objects, given the setting
