--- a/dial.c
+++ b/dial.c
@@ -19,27 +19,28 @@
 
 static bool not_executed(int, const h2o_header_t *, size_t);
 static bool address_reassigned(int, const h2o_header_t *, size_t);
-static void parse_report(int, const h2o_header_t *, size_t, struct dial_word *);
+static void
+parse_report(int, const h2o_header_t *, size_t, struct dial_report *);
 
-const struct dial dial_fern = {
+const struct dialect fern_dialect = {
     .name = "fern",
     .deadline = {"fern-deadline-ms", 16},
     .retried = {"fern-retried", 12},
-    .refused = not_executed,
-    .moved = address_reassigned,
-    .word = parse_report,
+    .not_executed = not_executed,
+    .address_reassigned = address_reassigned,
+    .parse_report = parse_report,
 };
 
-static const struct dial_word_names report_headers = {
+static const struct dial_report_headers report_headers = {
     .load = {"fern-load", 9},
-    .cold = {"fern-cold-ms", 12},
-    .leaves = {"fern-drain", 10},
-    .limit = {"fern-limit", 10},
-    .rest = {"retry-after", 11},
+    .slow_start = {"fern-cold-ms", 12},
+    .leaving = {"fern-drain", 10},
+    .rate_limit = {"fern-limit", 10},
+    .retry_after = {"retry-after", 11},
 };
 
 struct str
-dial_header(const h2o_header_t *headers, size_t n, struct str name)
+dial_find_header(const h2o_header_t *headers, size_t n, struct str name)
 {
 	size_t i;
 
@@ -52,7 +53,7 @@
 }
 
 bool
-dial_read_load(struct str text, struct dial_load *out)
+dial_parse_load(struct str text, struct dial_load *out)
 {
 	char copy[64];
 	int fields;
@@ -61,11 +62,11 @@
 		return false;
 	memcpy(copy, text.p, text.n);
 	copy[text.n] = '\0';
-	out->pace = SLOWDOWN_NONE_PERCENT;
+	out->latency_percent = SLOWDOWN_NONE_PERCENT;
 	fields = sscanf(copy, "%d,%d,%d,%d", &out->running, &out->waiting,
-	    &out->slots, &out->pace);
+	    &out->slots, &out->latency_percent);
 	return fields >= 3 && out->running >= 0 && out->waiting >= 0 &&
-	    out->slots > 0 && out->pace > 0;
+	    out->slots > 0 && out->latency_percent > 0;
 }
 
 /*
@@ -75,7 +76,7 @@
 static bool
 not_executed(int status, const h2o_header_t *headers, size_t n)
 {
-	struct str ran = dial_header(headers, n, STR_LIT("fern-ran"));
+	struct str ran = dial_find_header(headers, n, STR_LIT("fern-ran"));
 
 	return status >= 400 && str_eq(ran, STR_LIT("no"));
 }
@@ -90,7 +91,7 @@
 }
 
 int64_t
-dial_ms(struct str text)
+dial_parse_ms(struct str text)
 {
 	unsigned long long ms;
 
@@ -126,7 +127,7 @@
 }
 
 bool
-dial_read_rate(struct str text, double *out)
+dial_parse_rate(struct str text, double *out)
 {
 	double rate;
 
@@ -137,7 +138,7 @@
 }
 
 bool
-dial_read_seconds(struct str text, int64_t *ms)
+dial_parse_seconds(struct str text, int64_t *ms)
 {
 	double seconds;
 
@@ -158,28 +159,30 @@
 }
 
 void
-dial_read_word(const struct dial_word_names *names, int status,
-    const h2o_header_t *headers, size_t n, struct dial_word *out)
+dial_parse_report(const struct dial_report_headers *names, int status,
+    const h2o_header_t *headers, size_t n, struct dial_report *out)
 {
-	struct str load = dial_header(headers, n, names->load);
-	struct str limit = dial_header(headers, n, names->limit);
-	struct str retry_after = dial_header(headers, n, names->rest);
-
-	*out = (struct dial_word){
-	    .cold_ms = dial_ms(dial_header(headers, n, names->cold)),
-	    .leaves = parse_flag(dial_header(headers, n, names->leaves)),
+	struct str load = dial_find_header(headers, n, names->load);
+	struct str limit = dial_find_header(headers, n, names->rate_limit);
+	struct str retry_after =
+	    dial_find_header(headers, n, names->retry_after);
+
+	*out = (struct dial_report){
+	    .slow_start_ms =
+		dial_parse_ms(dial_find_header(headers, n, names->slow_start)),
+	    .leaving = parse_flag(dial_find_header(headers, n, names->leaving)),
 	};
-	out->tells_load = dial_read_load(load, &out->load);
-	if (limit.p != NULL && !dial_read_rate(limit, &out->limit))
+	out->has_load = dial_parse_load(load, &out->load);
+	if (limit.p != NULL && !dial_parse_rate(limit, &out->rate_limit))
 		out->malformed = true;
 	if (retry_after.p != NULL && is_overload_status(status) &&
-	    !dial_read_seconds(retry_after, &out->rest_ms))
+	    !dial_parse_seconds(retry_after, &out->retry_after_ms))
 		out->malformed = true;
 }
 
 static void
 parse_report(
-    int status, const h2o_header_t *headers, size_t n, struct dial_word *out)
+    int status, const h2o_header_t *headers, size_t n, struct dial_report *out)
 {
-	dial_read_word(&report_headers, status, headers, n, out);
+	dial_parse_report(&report_headers, status, headers, n, out);
 }
--- a/dial.h
+++ b/dial.h
@@ -28,73 +28,74 @@
 	int waiting; /* requests in its queue */
 	int slots; /* requests that it can run at once */
 	/* Current processing time as a percentage of the usual one. */
-	int pace;
+	int latency_percent;
 };
 
 /* The state of a backend server, as it reports it in a response. */
-struct dial_word {
-	bool tells_load; /* `load` is set */
+struct dial_report {
+	bool has_load; /* `load` is set */
 	struct dial_load load;
-	int64_t cold_ms; /* remaining time of its slow start; 0: none */
-	bool leaves; /* it is shutting down and accepts no new requests */
+	int64_t slow_start_ms; /* remaining time of its slow start; 0: none */
+	bool leaving; /* it is shutting down and accepts no new requests */
 	/* Time during which this box is to send it no requests; 0: none. */
-	int64_t rest_ms;
+	int64_t retry_after_ms;
 	/* Requests per second accepted from all boxes together; 0: no limit. */
-	double limit;
+	double rate_limit;
 	bool malformed; /* a header is malformed */
 };
 
-struct dial {
+struct dialect {
 	const char *name;
 	/* Header names in lower case; an empty one is not used. */
-	struct str id; /* request id; backend servers return it */
+	struct str request_id; /* request id; backend servers return it */
 	struct str deadline; /* time left for the request in ms */
 	struct str instance; /* backend server that the request is for */
 	/* API key of the customer; not sent beyond the first box. */
-	struct str key;
+	struct str customer_key;
 	/* Name of the customer; set by boxes, never copied from a caller. */
 	struct str customer;
 	struct str retried; /* "yes" on a request that was sent before */
-	bool fractions; /* Retry-After may be a fraction of a second */
+	bool fractional_retry_after; /* Retry-After may be a fraction of a
+					second */
 	/*
 	 * 408, 421, 429 and 503 alone mean that a request was not run, so none
 	 * of them may be sent for a request that may have run.
 	 */
-	bool status_promises;
+	bool status_means_not_run;
 	/* A backend server that reports leaving never withdraws it. */
-	bool leaves_for_life;
+	bool leaving_is_final;
 	/* Returns whether the backend server did not run the request. */
-	bool (*refused)(int status, const h2o_header_t *, size_t);
+	bool (*not_executed)(int status, const h2o_header_t *, size_t);
 	/* Returns whether its address now belongs to another backend server. */
-	bool (*moved)(int status, const h2o_header_t *, size_t);
+	bool (*address_reassigned)(int status, const h2o_header_t *, size_t);
 	/* Parses the state that the backend server reports. */
-	void (*word)(
-	    int status, const h2o_header_t *, size_t, struct dial_word *);
+	void (*parse_report)(
+	    int status, const h2o_header_t *, size_t, struct dial_report *);
 };
 
 /* Names of the headers that report the state of a backend server. */
-struct dial_word_names {
-	struct str load, cold, leaves, limit, rest;
+struct dial_report_headers {
+	struct str load, slow_start, leaving, rate_limit, retry_after;
 };
 
 /* Fernjunction's own dialect, described in ferncaller(7). */
-extern const struct dial dial_fern;
+extern const struct dialect fern_dialect;
 
 /* Returns the value of a header, or an empty string if it is absent. */
-struct str dial_header(const h2o_header_t *, size_t, struct str name);
+struct str dial_find_header(const h2o_header_t *, size_t, struct str name);
 
 /*
  * Parses whole milliseconds.  Returns at most DIAL_MS_MAX, and 0 if the text is
  * empty or malformed.
  */
-int64_t dial_ms(struct str);
+int64_t dial_parse_ms(struct str);
 enum { DIAL_MS_MAX = 24 * 3600 * 1000 };
 
 /*
  * Parses "running,waiting,slots[,percent]" as described at struct dial_load.
  * Returns false if the text is malformed.
  */
-bool dial_read_load(struct str, struct dial_load *);
+bool dial_parse_load(struct str, struct dial_load *);
 
 /* Maximum number of characters of a decimal number. */
 enum { DIAL_DECIMAL_MAX = 16 };
@@ -104,17 +105,17 @@
  * Returns false if the text is malformed.  A rate below DIAL_RATE_MIN is raised
  * to it: only the response to a request can report the end of the limit.
  */
-bool dial_read_rate(struct str, double *);
+bool dial_parse_rate(struct str, double *);
 #define DIAL_RATE_MIN 0.1
 
 /*
  * Parses seconds, a decimal number without sign or exponent, to ms, at most
  * DIAL_MS_MAX.  Returns false if the text is malformed.
  */
-bool dial_read_seconds(struct str, int64_t *ms);
+bool dial_parse_seconds(struct str, int64_t *ms);
 
 /* Parses the state that a backend server reports in a response's headers. */
-void dial_read_word(const struct dial_word_names *, int status,
-    const h2o_header_t *, size_t, struct dial_word *);
+void dial_parse_report(const struct dial_report_headers *, int status,
+    const h2o_header_t *, size_t, struct dial_report *);
 
 #endif
--- a/hsrv.h
+++ b/hsrv.h
@@ -28,14 +28,14 @@
  * Handles a request and sends the response with h2o's functions, either at
  * once or later.  The first argument is the pointer given to hsrv_open().
  */
-typedef void hsrv_fn(void *, h2o_req_t *);
+typedef void hsrv_handler_fn(void *, h2o_req_t *);
 
 /*
  * Listens on an address, an IP address and a port.  Request bodies are limited
  * to `body_max` bytes.  Returns NULL and sets ERR_SYSTEM on failure.
  */
 struct hsrv *hsrv_open(uv_loop_t *, struct str address, size_t body_max,
-    hsrv_fn *, void *, GError **);
+    hsrv_handler_fn *, void *, GError **);
 
 /*
  * From now on, pipelined requests of an HTTP/1.1 connection are handled
@@ -44,17 +44,17 @@
  * request has not been processed yet: its method, path and authority are in
  * its member `input`.
  */
-typedef bool hsrv_beside_fn(void *, const h2o_req_t *);
-void hsrv_side_by_side(struct hsrv *, hsrv_beside_fn *);
+typedef bool hsrv_concurrent_fn(void *, const h2o_req_t *);
+void hsrv_allow_concurrent(struct hsrv *, hsrv_concurrent_fn *);
 
 /* Stops accepting connections; open connections continue. */
-void hsrv_stop(struct hsrv *);
+void hsrv_stop_accepting(struct hsrv *);
 
 /*
  * Sets the maximum size of a request body in bytes and the idle timeout of
  * HTTP/1.1 connections in ms.
  */
-void hsrv_limits(struct hsrv *, size_t body_max, uint64_t idle_ms);
+void hsrv_set_limits(struct hsrv *, size_t body_max, uint64_t idle_ms);
 
 /*
  * Closes the HTTP/1.1 connections that have been idle for at least `idle_ms`.
@@ -73,10 +73,11 @@
  * Shuts down the HTTP/1.1 connection of a request at once, with all requests in
  * flight on it.  Only for test servers that simulate faults.
  */
-void hsrv_cut(const h2o_req_t *);
+void hsrv_abort(const h2o_req_t *);
 
 /* Sends a complete response.  `type` is its content type. */
-void hsrv_answer(h2o_req_t *, int status, const char *type, struct str body);
+void
+hsrv_send_response(h2o_req_t *, int status, const char *type, struct str body);
 
 /*
  * Returns the value of a request header, or an empty string if it is absent.
--- a/libhsrv.h
+++ b/libhsrv.h
@@ -21,36 +21,38 @@
 	h2o_globalconf_t conf;
 	h2o_context_t ctx;
 	h2o_accept_ctx_t accept;
-	h2o_timeout_t linger; /* for connections whose write side is shut */
+	h2o_timeout_t
+	    linger_timeout; /* for connections whose write side is shut */
 	uv_tcp_t listener;
 	bool listening;
-	hsrv_fn *fn;
-	hsrv_beside_fn *beside; /* NULL: requests are never concurrent */
-	void *fn_ctx;
-	char input[64 * 1024]; /* shared read buffer of all connections */
+	hsrv_handler_fn *handler;
+	hsrv_concurrent_fn
+	    *may_run_concurrently; /* NULL: requests are never concurrent */
+	void *handler_ctx;
+	char read_buf[64 * 1024]; /* shared read buffer of all connections */
 };
 
 /* A request, from its first byte to the last byte of its response. */
 struct hsrv_req {
 	h2o_req_t req;
-	h2o_ostream_t out; /* receives the response from h2o */
+	h2o_ostream_t ostream; /* receives the response from h2o */
 	struct hsrv_conn *conn;
 	GList link; /* in hsrv_conn.reqs */
 	/* The request target, header names and values, one after another. */
-	GString *text;
+	GString *head_text;
 	/* Start of each name and value in it, alternately; gsize. */
-	GArray *ends;
+	GArray *offsets;
 	GByteArray *body;
 	bool too_large;
-	bool expects; /* the caller waits for "100 Continue" */
+	bool expects_continue; /* the caller waits for "100 Continue" */
 	bool complete; /* the whole request was read */
 	bool handled; /* it was passed to the handler or rejected */
 	/* The part of the response that is to be written next. */
-	bool ready; /* there is such a part */
-	bool head_out; /* the head was written */
-	bool closes; /* the connection ends with this response */
-	h2o_send_state_t state;
-	GArray *bufs; /* uv_buf_t */
+	bool output_ready; /* there is such a part */
+	bool head_sent; /* the head was written */
+	bool closes_conn; /* the connection ends with this response */
+	h2o_send_state_t send_state;
+	GArray *out_bufs; /* uv_buf_t */
 };
 
 /* An HTTP/1.1 connection of a caller. */
@@ -59,21 +61,22 @@
 	struct hsrv *srv;
 	uv_tcp_t *tcp;
 	/* Called when a request has a part of its response to write. */
-	void (*ready)(struct hsrv_conn *);
+	void (*on_output_ready)(struct hsrv_conn *);
 	http_parser parser;
 	GByteArray *input; /* not parsed yet */
 	GQueue reqs; /* struct hsrv_req, in the order received */
-	struct hsrv_req *reading; /* the one that is being parsed, or NULL */
+	struct hsrv_req *parsing; /* the one that is being parsed, or NULL */
 	uv_write_t write;
 	uv_shutdown_t shutdown;
 	GString *head; /* of the response that is being written */
-	GArray *out; /* uv_buf_t */
-	h2o_timeout_entry_t idle, lingering;
-	bool fresh; /* the first bytes have not been inspected */
-	bool paused; /* too many bytes wait to be parsed */
+	GArray *out_bufs; /* uv_buf_t */
+	h2o_timeout_entry_t idle_timeout, linger_timeout;
+	bool protocol_unknown; /* the first bytes have not been inspected */
+	bool reading_paused; /* too many bytes wait to be parsed */
 	bool writing;
-	bool last; /* no further request is accepted */
-	bool ending; /* write side shut, waiting for the peer to close */
+	bool no_more_requests; /* no further request is accepted */
+	bool awaiting_peer_close; /* write side shut, waiting for the peer to
+				     close */
 	bool closed;
 };
 
@@ -82,14 +85,14 @@
 /* Serves an accepted connection; takes ownership of the handle. */
 void hsrv_conn_open(struct hsrv *, uv_tcp_t *);
 
-/* hsrv_parse.c: parses requests. */
-void hsrv_parse_open(struct hsrv_conn *);
+/* hsrv_parse_request.c: parses requests. */
+void hsrv_parser_init(struct hsrv_conn *);
 /*
  * Parses the bytes read so far, up to the end of one request.  Returns false
  * if they are not valid HTTP or the request is too large; the request that was
  * begun is then the last one of the connection.
  */
-bool hsrv_parse(struct hsrv_conn *);
+bool hsrv_parse_request(struct hsrv_conn *);
 
 /* hsrv_req.c: a request, and its response as h2o produces it. */
 
@@ -99,8 +102,8 @@
 /* Passes a complete request to the handler. */
 void hsrv_req_handle(struct hsrv_req *);
 /* Responds with 400 or 413 to a request that cannot be read to its end. */
-void hsrv_req_refuse(struct hsrv_req *);
+void hsrv_req_reject(struct hsrv_req *);
 /* Formats the head of the response. */
-void hsrv_req_head(const struct hsrv_req *, GString *);
+void hsrv_req_format_head(const struct hsrv_req *, GString *);
 
 #endif
--- a/libup.h
+++ b/libup.h
@@ -29,7 +29,7 @@
 struct up_pool {
 	struct up *up;
 	struct sockaddr_storage sa;
-	GQueue idle; /* struct up_conn *, most recently used first */
+	GQueue idle_conns; /* struct up_conn *, most recently used first */
 };
 
 struct up {
@@ -37,7 +37,7 @@
 	struct tmr *tmr;
 	const struct clk *clk;
 	GHashTable *pools; /* char * address to struct up_pool * */
-	char chunk[UP_READ_MAX]; /* shared read buffer of all connections */
+	char read_buf[UP_READ_MAX]; /* shared read buffer of all connections */
 };
 
 struct up_conn {
@@ -48,18 +48,19 @@
 	struct up_call *call; /* NULL: idle, or closing */
 	GList link; /* in pool->idle */
 	bool idle, closing, reading, writing;
-	bool done; /* the response is complete */
-	bool surplus; /* bytes were received after the response */
-	int64_t idle_ns; /* time limit for idling, by the last response */
+	bool response_complete; /* the response is complete */
+	bool has_surplus; /* bytes were received after the response */
+	int64_t
+	    idle_timeout_ns; /* time limit for idling, by the last response */
 	int64_t idle_until;
 	http_parser parser;
-	GString *head; /* header names and values, concatenated */
-	GArray *marks; /* struct up_mark */
+	GString *header_text; /* header names and values, concatenated */
+	GArray *header_spans; /* struct up_header_span */
 	bool in_value; /* the last part parsed was of a value */
 };
 
 /* Position of a header's name and value in up_conn.head. */
-struct up_mark {
+struct up_header_span {
 	size_t name, nname, value, nvalue;
 };
 
@@ -69,11 +70,11 @@
 	void *ctx;
 	struct up_conn *conn;
 	struct tmr_item timer;
-	GString *request; /* head of the request */
-	uv_buf_t bufs[2]; /* head and body of the request */
+	GString *request_head; /* head of the request */
+	uv_buf_t out_bufs[2]; /* head and body of the request */
 	h2o_buffer_t *body; /* response body, not consumed yet */
-	bool fresh, paused;
-	bool is_head; /* the method is HEAD */
+	bool new_connection, paused;
+	bool is_head_request; /* the method is HEAD */
 };
 
 /* up_call.c: the end of a call. */
@@ -87,18 +88,18 @@
 /* Connects within `timeout_ns`, then sends the request of the call. */
 void up_conn_connect(struct up_pool *, struct up_call *, int64_t timeout_ns);
 /* Removes an idle connection from the pool; returns NULL if there is none. */
-struct up_conn *up_conn_take_idle(struct up_pool *);
+struct up_conn *up_conn_pop_idle(struct up_pool *);
 /* Sends the request of a call on an established connection. */
-void up_conn_start(struct up_conn *, struct up_call *);
+void up_conn_send_request(struct up_conn *, struct up_call *);
 /* Starts reading if it is paused.  Returns 0 or an error of libuv. */
-int up_conn_read(struct up_conn *);
+int up_conn_start_reading(struct up_conn *);
 /* Fails the call on the connection, if there is one, and closes it. */
 void up_conn_fail(struct up_conn *, enum err_kind);
 void up_conn_close(struct up_conn *);
 
 /* up_answer.c: parses responses. */
-extern const http_parser_settings up_answer_settings;
+extern const http_parser_settings up_response_settings;
 /* Prepares the parser for the next response on the connection. */
-void up_answer_begin(struct up_conn *);
+void up_response_begin(struct up_conn *);
 
 #endif
--- a/plat.h
+++ b/plat.h
@@ -29,20 +29,21 @@
 	PLAT_GET, /* one object */
 	PLAT_CREATE, /* only if the object does not exist */
 	PLAT_UPDATE, /* only if the object has the given version */
-	PLAT_STATUS, /* like an update, but of the object's status only */
+	PLAT_UPDATE_STATUS, /* like an update, but of the object's status only
+			     */
 	PLAT_DELETE, /* only if the object has the given version */
 	PLAT_WATCH, /* changes since a revision; long poll */
-	PLAT_BOXES /* the list of boxes */
+	PLAT_LIST_BOXES /* the list of boxes */
 };
 
 enum plat_result {
 	PLAT_OK,
 	PLAT_CONFLICT, /* the condition was not met; the body has the object */
-	PLAT_NONE, /* the object does not exist */
+	PLAT_NOT_FOUND, /* the object does not exist */
 	PLAT_TOO_OLD, /* the platform no longer has changes that old */
-	PLAT_UNSURE, /* sent, but it is unknown whether it took effect */
-	PLAT_DOWN, /* not sent, or failed without effect */
-	PLAT_BAD /* the platform rejected the call as invalid */
+	PLAT_UNKNOWN, /* sent, but it is unknown whether it took effect */
+	PLAT_UNAVAILABLE, /* not sent, or failed without effect */
+	PLAT_BAD_REQUEST /* the platform rejected the call as invalid */
 };
 
 struct plat_request {
@@ -56,7 +57,7 @@
 	 * list, watch: allows a result that is some seconds old, which costs
 	 * the platform far less.
 	 */
-	bool stale;
+	bool allow_stale;
 	int64_t timeout_ms; /* for each page of a list; 0: the default */
 	int64_t wait_ms; /* watch: time to wait for a change */
 };
@@ -71,14 +72,14 @@
 	    void *, const struct plat_request *, plat_done_fn *, void *);
 	void (*cancel)(void *, struct plat_call *);
 	void *ctx;
-	uint64_t calls; /* number of calls started */
+	uint64_t calls_started; /* number of calls started */
 };
 
 static inline struct plat_call *
 plat_start(struct plat *p, const struct plat_request *rq, plat_done_fn *done,
     void *ctx)
 {
-	p->calls++;
+	p->calls_started++;
 	return p->start(p->ctx, rq, done, ctx);
 }
 
@@ -97,8 +98,8 @@
 struct plat_exchange {
 	const char *method;
 	char *path;
-	const char *header; /* name of a header, or NULL */
-	char *value; /* its value */
+	const char *header_name; /* name of a header, or NULL */
+	char *header_value; /* its value */
 	char *body; /* or NULL */
 };
 
@@ -119,7 +120,8 @@
 	void (*encode)(const struct plat_request *, struct str after,
 	    struct plat_exchange *);
 	/* Returns the result that an HTTP status means. */
-	enum plat_result (*result)(const struct plat_request *, int status);
+	enum plat_result (*result_from_status)(
+	    const struct plat_request *, int status);
 	/*
 	 * Returns a new reference, or NULL if the body cannot be decoded.  Sets
 	 * *after to a new string if there is a further page to fetch.
@@ -133,7 +135,7 @@
  * UTF-8 are replaced by the replacement character: they belong to one object,
  * and without this the whole list would be lost.  Strings may contain NUL.
  */
-json_t *plat_parse(struct str);
+json_t *plat_parse_json(struct str);
 
 /* Limits that the platform sets; zero if it sets none. */
 struct plat_bounds {
@@ -144,19 +146,20 @@
 	 * Requests per second allowed to a cold backend server: a multiple of
 	 * the rate that it can serve, and a number of requests in addition.
 	 */
-	double cold_over, cold_slack;
+	double cold_rate_factor, cold_rate_slack;
 	/* Share of the requests that an unproven version may get. */
-	double expose_share;
-	int64_t grace_ms; /* from the stop signal until the process is killed */
+	double unproven_share;
+	int64_t stop_grace_ms; /* from the stop signal until the process is
+				  killed */
 };
 
-struct dial;
+struct dialect;
 
 /* Everything that depends on the platform in use. */
-struct plat_form {
+struct plat_adapter {
 	const char *name;
 	const struct plat_codec *codec;
-	const struct dial *dial;
+	const struct dialect *dialect;
 	/*
 	 * Feeds of configuration, a list that ends with NULL.  Each is a kind
 	 * or several kinds joined by commas, and is listed and watched on its
@@ -168,9 +171,9 @@
 	 * long as there is no rule.  If this is false, a configuration without
 	 * rules is valid.
 	 */
-	bool waits_for_rules;
+	bool requires_rules;
 	/* Parses the limits from the text of a setting; may be NULL. */
-	void (*bounds)(struct str, struct plat_bounds *);
+	void (*parse_bounds)(struct str, struct plat_bounds *);
 	/*
 	 * Returns whether a feed may contain objects, given the setting
 	 * `contracts`.  NULL: every feed may.
@@ -182,7 +185,7 @@
  * Returns the adapter "fern", for the API of fernplatform(7), or "objects".
  * Returns NULL if the name is unknown.
  */
-const struct plat_form *plat_form_by_name(struct str);
+const struct plat_adapter *plat_adapter_by_name(struct str);
 
 /*
  * Opens a client that sends calls over HTTP as the codec encodes them.
--- a/probe.c
+++ b/probe.c
@@ -18,10 +18,10 @@
 struct target {
 	struct str backend, address, path;
 	int64_t interval, next; /* ns */
-	bool keep; /* added since probe_begin() */
+	bool keep; /* added since probe_targets_begin() */
 	bool in_flight; /* a probe was started, its outcome is pending */
 	int failures; /* consecutive ones */
-	enum msg_state state;
+	enum msg_health_state state;
 };
 
 struct probe {
@@ -35,7 +35,7 @@
 
 static void target_free(void *);
 static gboolean is_removed(gpointer, gpointer, gpointer);
-static void set_state(struct probe *, struct target *, enum msg_state);
+static void set_state(struct probe *, struct target *, enum msg_health_state);
 
 static void
 target_free(void *p)
@@ -69,7 +69,7 @@
 }
 
 void
-probe_begin(struct probe *p)
+probe_targets_begin(struct probe *p)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -93,7 +93,7 @@
  * the interval, which spreads out later ones.
  */
 void
-probe_want(struct probe *p, struct str backend, struct str address,
+probe_targets_add(struct probe *p, struct str backend, struct str address,
     struct str path, int64_t interval, int64_t now)
 {
 	char *key = g_strndup(backend.p, backend.n);
@@ -121,7 +121,7 @@
 }
 
 void
-probe_commit(struct probe *p)
+probe_targets_commit(struct probe *p)
 {
 	g_hash_table_foreach_remove(p->targets, is_removed, NULL);
 }
@@ -138,29 +138,29 @@
 		t = value;
 		if (t->in_flight || now < t->next)
 			continue;
-		if (!limit_take(&p->limit, p->rate, now)) {
+		if (!limit_allow(&p->limit, p->rate, now)) {
 			p->deferred++;
 			return;
 		}
 		t->in_flight = true;
 		t->next = now + rnd_jitter(p->rnd, t->interval);
 		p->started++;
-		p->ops.probe(p->ops.ctx, t->backend, t->address, t->path);
+		p->ops.start_probe(p->ops.ctx, t->backend, t->address, t->path);
 	}
 }
 
 static void
-set_state(struct probe *p, struct target *t, enum msg_state state)
+set_state(struct probe *p, struct target *t, enum msg_health_state state)
 {
 	if (t->state == state)
 		return;
 	t->state = state;
-	p->ops.changed(p->ops.ctx, t->backend, state);
+	p->ops.state_changed(p->ops.ctx, t->backend, state);
 }
 
 void
-probe_result(
-    struct probe *p, struct str backend, enum probe_found outcome, int64_t now)
+probe_record_outcome(struct probe *p, struct str backend,
+    enum probe_outcome outcome, int64_t now)
 {
 	char *key = g_strndup(backend.p, backend.n);
 	struct target *t = g_hash_table_lookup(p->targets, key);
@@ -173,15 +173,15 @@
 	if (outcome != PROBE_FAILED)
 		t->failures = 0;
 	if (outcome == PROBE_OK)
-		set_state(p, t, STATE_UP);
+		set_state(p, t, HEALTH_UP);
 	else if (outcome == PROBE_DRAINING)
-		set_state(p, t, STATE_DRAINING);
+		set_state(p, t, HEALTH_DRAINING);
 	else if (++t->failures >= FAILURES_DOWN)
-		set_state(p, t, STATE_DOWN);
+		set_state(p, t, HEALTH_DOWN);
 }
 
 void
-probe_each(const struct probe *p, probe_visit_fn *fn, void *ctx)
+probe_each(const struct probe *p, probe_each_fn *fn, void *ctx)
 {
 	const struct target *t;
 	GHashTableIter it;
@@ -195,19 +195,19 @@
 }
 
 unsigned
-probe_count(const struct probe *p)
+probe_target_count(const struct probe *p)
 {
 	return g_hash_table_size(p->targets);
 }
 
 uint64_t
-probe_started(const struct probe *p)
+probe_started_count(const struct probe *p)
 {
 	return p->started;
 }
 
 uint64_t
-probe_put_off(const struct probe *p)
+probe_deferred_count(const struct probe *p)
 {
 	return p->deferred;
 }
--- a/probe.h
+++ b/probe.h
@@ -25,16 +25,17 @@
  * are passed in.  A rate limit applies to all probes of a box together.
  */
 struct probe_ops {
-	/* Sends a probe; its outcome is passed to probe_result(). */
-	void (*probe)(
+	/* Sends a probe; its outcome is passed to probe_record_outcome(). */
+	void (*start_probe)(
 	    void *, struct str backend, struct str address, struct str path);
 	/* The state of a backend server has changed. */
-	void (*changed)(void *, struct str backend, enum msg_state);
+	void (*state_changed)(
+	    void *, struct str backend, enum msg_health_state);
 	void *ctx;
 };
 
 /* The outcome of a probe. */
-enum probe_found { PROBE_OK, PROBE_FAILED, PROBE_DRAINING };
+enum probe_outcome { PROBE_OK, PROBE_FAILED, PROBE_DRAINING };
 
 struct probe;
 
@@ -47,29 +48,29 @@
  * Replace the set of backend servers to probe: begin, add each of them, then
  * commit, which removes those not added.  Times are in ns.
  */
-void probe_begin(struct probe *);
-void probe_want(struct probe *, struct str backend, struct str address,
+void probe_targets_begin(struct probe *);
+void probe_targets_add(struct probe *, struct str backend, struct str address,
     struct str path, int64_t interval, int64_t now);
-void probe_commit(struct probe *);
+void probe_targets_commit(struct probe *);
 
 /* Starts the probes whose time has come, within the rate limit. */
 void probe_tick(struct probe *, int64_t now);
 
 /* Records the outcome of a probe. */
-void
-probe_result(struct probe *, struct str backend, enum probe_found, int64_t now);
+void probe_record_outcome(
+    struct probe *, struct str backend, enum probe_outcome, int64_t now);
 
 /* Calls a function with the current state of each backend server. */
-typedef void probe_visit_fn(void *, struct str backend, enum msg_state);
-void probe_each(const struct probe *, probe_visit_fn *, void *);
+typedef void probe_each_fn(void *, struct str backend, enum msg_health_state);
+void probe_each(const struct probe *, probe_each_fn *, void *);
 
-unsigned probe_count(const struct probe *);
+unsigned probe_target_count(const struct probe *);
 
 /*
  * The number of probes started, and how often the rate limit delayed probes to
  * a later tick.
  */
-uint64_t probe_started(const struct probe *);
-uint64_t probe_put_off(const struct probe *);
+uint64_t probe_started_count(const struct probe *);
+uint64_t probe_deferred_count(const struct probe *);
 
 #endif
--- a/reload.h
+++ b/reload.h
@@ -27,8 +27,8 @@
 	uv_signal_t hup;
 	struct tmr_item timer;
 	const char *file;
-	struct timespec changed; /* modification time at the last check */
-	reload_fn *fn;
+	struct timespec mtime; /* modification time at the last check */
+	reload_fn *on_change;
 	void *ctx;
 };
 
--- a/tmr.c
+++ b/tmr.c
@@ -98,8 +98,8 @@
 			return;
 		queue_pop(&t->queue);
 		item = first->data;
-		item->set = false;
-		item->fire(item->ctx);
+		item->armed = false;
+		item->callback(item->ctx);
 	}
 	t->deferred = false;
 	arm(t);
@@ -112,9 +112,9 @@
 	tmr_clear(t, item);
 	item->item.deadline = at;
 	item->item.data = item;
-	item->fire = callback;
+	item->callback = callback;
 	item->ctx = ctx;
-	item->set = true;
+	item->armed = true;
 	queue_push(&t->queue, &item->item);
 	if (queue_first(&t->queue) == &item->item)
 		arm(t);
@@ -123,8 +123,8 @@
 void
 tmr_clear(struct tmr *t, struct tmr_item *item)
 {
-	if (!item->set)
+	if (!item->armed)
 		return;
 	queue_remove(&t->queue, &item->item);
-	item->set = false;
+	item->armed = false;
 }
--- a/up.h
+++ b/up.h
@@ -36,8 +36,9 @@
 	const h2o_header_t *headers; /* without Host and Content-Length */
 	size_t nheaders;
 	struct str body; /* must outlive the call */
-	bool fresh; /* use a new connection and close it afterwards */
-	int64_t connect_ns; /* time limit for connecting; 0: the default */
+	bool new_connection; /* use a new connection and close it afterwards */
+	int64_t
+	    connect_timeout_ns; /* time limit for connecting; 0: the default */
 };
 
 /*
--- a/up_answer.c
+++ b/up_answer.c
@@ -27,7 +27,7 @@
 static int on_body(http_parser *, const char *, size_t);
 static int on_message_complete(http_parser *);
 
-const http_parser_settings up_answer_settings = {
+const http_parser_settings up_response_settings = {
     .on_header_field = on_header_field,
     .on_header_value = on_header_value,
     .on_headers_complete = on_headers_complete,
@@ -38,24 +38,24 @@
 static void
 clear_headers(struct up_conn *conn)
 {
-	g_string_truncate(conn->head, 0);
-	g_array_set_size(conn->marks, 0);
+	g_string_truncate(conn->header_text, 0);
+	g_array_set_size(conn->header_spans, 0);
 	conn->in_value = false;
 }
 
 void
-up_answer_begin(struct up_conn *conn)
+up_response_begin(struct up_conn *conn)
 {
 	http_parser_init(&conn->parser, HTTP_RESPONSE);
 	conn->parser.data = conn;
 	clear_headers(conn);
 }
 
-static struct up_mark *
+static struct up_header_span *
 last_span(struct up_conn *conn)
 {
-	return &g_array_index(
-	    conn->marks, struct up_mark, conn->marks->len - 1);
+	return &g_array_index(conn->header_spans, struct up_header_span,
+	    conn->header_spans->len - 1);
 }
 
 /* Names are stored in lower case, because h2o looks them up that way. */
@@ -63,18 +63,18 @@
 on_header_field(http_parser *parser, const char *p, size_t n)
 {
 	struct up_conn *conn = parser->data;
-	struct up_mark span = {0};
+	struct up_header_span span = {0};
 	size_t i;
 
-	if (conn->marks->len == 0 || conn->in_value) {
-		if (conn->marks->len == UP_HEADERS_MAX)
+	if (conn->header_spans->len == 0 || conn->in_value) {
+		if (conn->header_spans->len == UP_HEADERS_MAX)
 			return -1;
-		span.name = conn->head->len;
-		g_array_append_val(conn->marks, span);
+		span.name = conn->header_text->len;
+		g_array_append_val(conn->header_spans, span);
 		conn->in_value = false;
 	}
 	for (i = 0; i < n; i++)
-		g_string_append_c(conn->head, g_ascii_tolower(p[i]));
+		g_string_append_c(conn->header_text, g_ascii_tolower(p[i]));
 	last_span(conn)->nname += n;
 	return 0;
 }
@@ -83,12 +83,12 @@
 on_header_value(http_parser *parser, const char *p, size_t n)
 {
 	struct up_conn *conn = parser->data;
-	struct up_mark *span = last_span(conn);
+	struct up_header_span *span = last_span(conn);
 
 	if (!conn->in_value)
-		span->value = conn->head->len;
+		span->value = conn->header_text->len;
 	conn->in_value = true;
-	g_string_append_len(conn->head, p, (gssize)n);
+	g_string_append_len(conn->header_text, p, (gssize)n);
 	span->nvalue += n;
 	return 0;
 }
@@ -119,17 +119,18 @@
 	struct up_call *c = conn->call;
 	h2o_header_t headers[UP_HEADERS_MAX];
 	h2o_iovec_t names[UP_HEADERS_MAX];
-	const struct up_mark *span;
+	const struct up_header_span *span;
 	int64_t idle_ns = IDLE_DEFAULT_NS;
 	guint i;
 
-	for (i = 0; i < conn->marks->len; i++) {
-		span = &g_array_index(conn->marks, struct up_mark, i);
-		names[i] =
-		    h2o_iovec_init(conn->head->str + span->name, span->nname);
+	for (i = 0; i < conn->header_spans->len; i++) {
+		span = &g_array_index(
+		    conn->header_spans, struct up_header_span, i);
+		names[i] = h2o_iovec_init(
+		    conn->header_text->str + span->name, span->nname);
 		headers[i] = (h2o_header_t){.name = &names[i],
 		    .value = h2o_iovec_init(
-			conn->head->str + span->value, span->nvalue)};
+			conn->header_text->str + span->value, span->nvalue)};
 		if (h2o_memis(
 			names[i].base, names[i].len, H2O_STRLIT("keep-alive")))
 			idle_ns = parse_keep_alive(
@@ -138,11 +139,12 @@
 	/* An interim response (1xx) precedes the final one. */
 	if (parser->status_code < 200)
 		return 0;
-	conn->idle_ns = idle_ns;
-	c->ops->head(c->ctx, c, parser->status_code, headers, conn->marks->len);
+	conn->idle_timeout_ns = idle_ns;
+	c->ops->head(
+	    c->ctx, c, parser->status_code, headers, conn->header_spans->len);
 	if (conn->closing)
 		return -1;
-	return c->is_head ? 1 : 0;
+	return c->is_head_request ? 1 : 0;
 }
 
 static int
@@ -169,7 +171,7 @@
 		clear_headers(conn);
 		return 0;
 	}
-	conn->done = true;
+	conn->response_complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
--- a/wire.h
+++ b/wire.h
@@ -30,14 +30,14 @@
  * Receives a message.  The message is freed after the call.  The first argument
  * is the pointer given to wire_open().
  */
-typedef void wire_take_fn(void *, const struct msg *);
+typedef void wire_receive_fn(void *, const struct msg *);
 
 /*
  * Binds the inbox to an address such as "127.0.0.1:9000" and reads it on the
  * loop.  Returns NULL and sets ERR_SYSTEM on failure.
  */
 struct wire *
-wire_open(uv_loop_t *, struct str inbox, wire_take_fn *, void *, GError **);
+wire_open(uv_loop_t *, struct str inbox, wire_receive_fn *, void *, GError **);
 
 /* Stops reading and frees all resources; queued messages are dropped. */
 void wire_close(struct wire *);
@@ -53,8 +53,9 @@
  * not be sent, and messages received that were malformed.
  */
 struct wire_totals {
-	uint64_t bytes_in, bytes_out, in, out, dropped, malformed;
+	uint64_t bytes_in, bytes_out, messages_in, messages_out, dropped,
+	    malformed;
 };
-const struct wire_totals *wire_counts(const struct wire *);
+const struct wire_totals *wire_get_totals(const struct wire *);
 
 #endif
--- a/wire_zmq.c
+++ b/wire_zmq.c
@@ -60,7 +60,7 @@
 	uv_poll_t poll;
 	uv_timer_t sweep_timer;
 	uint64_t sweeps; /* number of sweeps so far */
-	wire_take_fn *receive;
+	wire_receive_fn *receive;
 	void *ctx;
 	struct wire_totals totals;
 };
@@ -117,7 +117,7 @@
 }
 
 struct wire *
-wire_open(uv_loop_t *loop, struct str inbox, wire_take_fn *receive_fn,
+wire_open(uv_loop_t *loop, struct str inbox, wire_receive_fn *receive_fn,
     void *ctx, GError **err)
 {
 	struct wire *w = g_new0(struct wire, 1);
@@ -273,7 +273,7 @@
 	} else {
 		w->receive(w->ctx, &m);
 	}
-	msg_done(&m);
+	msg_release(&m);
 	str_free(&text);
 }
 
@@ -283,7 +283,7 @@
 	GError *err = NULL;
 	struct msg m;
 
-	w->totals.in++;
+	w->totals.messages_in++;
 	w->totals.bytes_in += n;
 	if (!msg_decode(p, n, &m, &err)) {
 		drop_malformed(w, err);
@@ -293,7 +293,7 @@
 		receive_deflated(w, &m);
 	else
 		w->receive(w->ctx, &m);
-	msg_done(&m);
+	msg_release(&m);
 }
 
 static struct peer *
@@ -366,7 +366,7 @@
 		w->totals.dropped++;
 		return false;
 	}
-	w->totals.out++;
+	w->totals.messages_out++;
 	w->totals.bytes_out += n;
 	return true;
 }
@@ -428,7 +428,7 @@
 }
 
 const struct wire_totals *
-wire_counts(const struct wire *w)
+wire_get_totals(const struct wire *w)
 {
 	return &w->totals;
 }
--- a/zip.h
+++ b/zip.h
@@ -26,10 +26,10 @@
 
 /*
  * Returns the inflated bytes, to be freed with str_free(); an empty string if
- * they are malformed, not exactly `size` bytes or more than ZIP_MAX.
+ * they are malformed, not exactly `size` bytes or more than ZIP_INFLATED_MAX.
  */
 struct str zip_inflate(struct str, size_t size);
 
-enum { ZIP_MAX = 64 << 20 };
+enum { ZIP_INFLATED_MAX = 64 << 20 };
 
 #endif
