--- a/dial.c
+++ b/dial.c
@@ -15,7 +15,7 @@
 
 /* Fernjunction's own dialect, and functions that parse headers. */
 
-enum { SLOWDOWN_NONE_PERCENT = 100, MS_PER_SECOND = 1000 };
+enum { LATENCY_USUAL_PERCENT = 100, MS_PER_SECOND = 1000 };
 
 static bool not_executed(int, const h2o_header_t *, size_t);
 static bool address_reassigned(int, const h2o_header_t *, size_t);
@@ -62,7 +62,7 @@
 		return false;
 	memcpy(copy, text.p, text.n);
 	copy[text.n] = '\0';
-	out->latency_percent = SLOWDOWN_NONE_PERCENT;
+	out->latency_percent = LATENCY_USUAL_PERCENT;
 	fields = sscanf(copy, "%d,%d,%d,%d", &out->running, &out->waiting,
 	    &out->slots, &out->latency_percent);
 	return fields >= 3 && out->running >= 0 && out->waiting >= 0 &&
--- a/dial.h
+++ b/dial.h
@@ -27,7 +27,7 @@
 	int running; /* requests in progress */
 	int waiting; /* requests in its queue */
 	int slots; /* requests that it can run at once */
-	/* Current processing time as a percentage of the usual one. */
+	/* Current service time as a percentage of the usual one. */
 	int latency_percent;
 };
 
@@ -44,6 +44,7 @@
 	bool malformed; /* a header is malformed */
 };
 
+/* A dialect: the names of its headers, its rules and its parsers. */
 struct dialect {
 	const char *name;
 	/* Header names in lower case; an empty one is not used. */
@@ -55,8 +56,8 @@
 	/* Name of the customer; set by boxes, never copied from a caller. */
 	struct str customer;
 	struct str retried; /* "yes" on a request that was sent before */
-	bool fractional_retry_after; /* Retry-After may be a fraction of a
-					second */
+	/* Retry-After may be sent as a fraction of a second. */
+	bool fractional_retry_after;
 	/*
 	 * 408, 421, 429 and 503 alone mean that a request was not run, so none
 	 * of them may be sent for a request that may have run.
--- a/hsrv_req.c
+++ b/hsrv_req.c
@@ -14,8 +14,9 @@
 
 /*
  * Receives the next part of the response from h2o.  For a response that is
- * aborted, h2o passes an invalid chunk.  It is discarded, because with it a
- * caller could not tell the bytes received so far from a malformed response.
+ * aborted, h2o passes an invalid chunk.  It is not sent, because with it a
+ * caller could not tell the bytes received so far from a malformed response;
+ * the connection is closed instead.
  */
 static void
 on_send(h2o_ostream_t *out, h2o_req_t *req, h2o_iovec_t *bufs, size_t n,
--- a/libhsrv.h
+++ b/libhsrv.h
@@ -21,13 +21,12 @@
 	h2o_globalconf_t conf;
 	h2o_context_t ctx;
 	h2o_accept_ctx_t accept;
-	h2o_timeout_t
-	    linger_timeout; /* for connections whose write side is shut */
+	/* Time limit for the peer to close after the write side was shut. */
+	h2o_timeout_t linger_timeout;
 	uv_tcp_t listener;
 	bool listening;
 	hsrv_handler_fn *handler;
-	hsrv_concurrent_fn
-	    *may_run_concurrently; /* NULL: requests are never concurrent */
+	hsrv_concurrent_fn *may_run_concurrently; /* NULL: none may */
 	void *handler_ctx;
 	char read_buf[64 * 1024]; /* shared read buffer of all connections */
 };
@@ -40,19 +39,18 @@
 	GList link; /* in hsrv_conn.reqs */
 	/* The request target, header names and values, one after another. */
 	GString *head_text;
-	/* Start of each name and value in it, alternately; gsize. */
+	/* gsize; offsets in head_text of names and values, alternately */
 	GArray *offsets;
 	GByteArray *body;
 	bool too_large;
 	bool expects_continue; /* the caller waits for "100 Continue" */
 	bool complete; /* the whole request was read */
 	bool handled; /* it was passed to the handler or rejected */
-	/* The part of the response that is to be written next. */
-	bool output_ready; /* there is such a part */
-	bool head_sent; /* the head was written */
+	bool output_ready; /* out_bufs are to be written */
+	bool head_sent; /* the head of the response was written */
 	bool closes_conn; /* the connection ends with this response */
-	h2o_send_state_t send_state;
-	GArray *out_bufs; /* uv_buf_t */
+	h2o_send_state_t send_state; /* whether out_bufs are the last ones */
+	GArray *out_bufs; /* uv_buf_t; next part of the response body */
 };
 
 /* An HTTP/1.1 connection of a caller. */
@@ -69,14 +67,13 @@
 	uv_write_t write;
 	uv_shutdown_t shutdown;
 	GString *head; /* of the response that is being written */
-	GArray *out_bufs; /* uv_buf_t */
+	GArray *out_bufs; /* uv_buf_t; buffers that are being written */
 	h2o_timeout_entry_t idle_timeout, linger_timeout;
 	bool protocol_unknown; /* the first bytes have not been inspected */
 	bool reading_paused; /* too many bytes wait to be parsed */
 	bool writing;
 	bool no_more_requests; /* no further request is accepted */
-	bool awaiting_peer_close; /* write side shut, waiting for the peer to
-				     close */
+	bool awaiting_peer_close; /* the write side was shut */
 	bool closed;
 };
 
@@ -85,7 +82,7 @@
 /* Serves an accepted connection; takes ownership of the handle. */
 void hsrv_conn_open(struct hsrv *, uv_tcp_t *);
 
-/* hsrv_parse_request.c: parses requests. */
+/* hsrv_parse.c: parses requests. */
 void hsrv_parser_init(struct hsrv_conn *);
 /*
  * Parses the bytes read so far, up to the end of one request.  Returns false
--- a/libup.h
+++ b/libup.h
@@ -46,20 +46,19 @@
 	uv_write_t write;
 	struct up_pool *pool;
 	struct up_call *call; /* NULL: idle, or closing */
-	GList link; /* in pool->idle */
+	GList link; /* in pool->idle_conns */
 	bool idle, closing, reading, writing;
-	bool response_complete; /* the response is complete */
+	bool response_complete;
 	bool has_surplus; /* bytes were received after the response */
-	int64_t
-	    idle_timeout_ns; /* time limit for idling, by the last response */
-	int64_t idle_until;
+	int64_t idle_timeout_ns; /* according to the last response */
+	int64_t idle_until; /* not reused after this time, in ns */
 	http_parser parser;
 	GString *header_text; /* header names and values, concatenated */
 	GArray *header_spans; /* struct up_header_span */
 	bool in_value; /* the last part parsed was of a value */
 };
 
-/* Position of a header's name and value in up_conn.head. */
+/* Offsets and lengths of a header's name and value in up_conn.header_text. */
 struct up_header_span {
 	size_t name, nname, value, nvalue;
 };
@@ -70,7 +69,7 @@
 	void *ctx;
 	struct up_conn *conn;
 	struct tmr_item timer;
-	GString *request_head; /* head of the request */
+	GString *request_head;
 	uv_buf_t out_bufs[2]; /* head and body of the request */
 	h2o_buffer_t *body; /* response body, not consumed yet */
 	bool new_connection, paused;
--- a/plat.c
+++ b/plat.c
@@ -26,7 +26,7 @@
     "fern", &plat_fern_codec, &fern_dialect, fern_feeds, false, NULL, NULL};
 
 static const struct plat_adapter *const adapters[] = {
-    &fern_adapter, &platform_form};
+    &fern_adapter, &pf_adapter};
 
 const char *
 plat_result_name(enum plat_result r)
--- a/regress/test_platform.cpp
+++ b/regress/test_platform.cpp
@@ -396,7 +396,7 @@
 
 TEST(Platform, HeadersOfBackendServers)
 {
-	const struct dialect *d = platform_form.dialect;
+	const struct dialect *d = pf_adapter.dialect;
 	h2o_iovec_t name = {
 	    const_cast<char *>("fernjunction-not-executed"), 25};
 	h2o_iovec_t load = {
@@ -434,7 +434,7 @@
 /* How many requests a second a backend server takes, as it says it. */
 TEST(Platform, WhatABackendServerTakes)
 {
-	const struct dialect *d = platform_form.dialect;
+	const struct dialect *d = pf_adapter.dialect;
 	h2o_iovec_t name = {const_cast<char *>("server-limit"), 12};
 	h2o_header_t h = {};
 	struct dial_report w = {};
@@ -468,7 +468,7 @@
 /* For how long one that turns a request away wants nothing more. */
 TEST(Platform, WhatRestABackendServerAsksFor)
 {
-	const struct dialect *d = platform_form.dialect;
+	const struct dialect *d = pf_adapter.dialect;
 	h2o_iovec_t name = {const_cast<char *>("retry-after"), 11};
 	h2o_header_t h = {};
 	struct dial_report w = {};
@@ -500,7 +500,7 @@
 
 TEST(Platform, WhetherABackendServerSaysThatItLeaves)
 {
-	const struct dialect *d = platform_form.dialect;
+	const struct dialect *d = pf_adapter.dialect;
 	h2o_iovec_t name = {const_cast<char *>("server-leaving"), 14};
 	h2o_header_t h = {};
 	struct dial_report w = {};
@@ -564,7 +564,7 @@
 
 TEST(Platform, WhatItHasNotIsNotWatched)
 {
-	const struct plat_adapter *f = &platform_form;
+	const struct plat_adapter *f = &pf_adapter;
 
 	EXPECT_TRUE(f->has_feed(STR_LIT("base,rollout"), "rollout"));
 	EXPECT_FALSE(f->has_feed(STR_LIT("base,rollouts"), "rollout"));
--- a/up.h
+++ b/up.h
@@ -37,8 +37,7 @@
 	size_t nheaders;
 	struct str body; /* must outlive the call */
 	bool new_connection; /* use a new connection and close it afterwards */
-	int64_t
-	    connect_timeout_ns; /* time limit for connecting; 0: the default */
+	int64_t connect_timeout_ns; /* 0: the default */
 };
 
 /*
--- a/up_answer.c
+++ b/up_answer.c
@@ -18,7 +18,7 @@
 /* Idle timeout of a connection if the server states none. */
 #define IDLE_DEFAULT_NS (2 * NS_S)
 
-/* Percentage of the server's idle timeout after which we do not reuse it. */
+/* A connection is reused for this share of the server's idle timeout. */
 enum { IDLE_USED_PERCENT = 80 };
 
 static int on_header_field(http_parser *, const char *, size_t);
--- a/up_conn.c
+++ b/up_conn.c
@@ -171,8 +171,8 @@
 }
 
 /*
- * Fails a call from a timer, because up_start() has not returned yet and the
- * owner does not know the call.
+ * Fails a call from a timer, because up_start() may not have returned yet, and
+ * then the owner does not know the call.
  */
 static void
 fail_later(struct up_conn *conn, struct up_call *c)
--- a/wire_zmq.c
+++ b/wire_zmq.c
@@ -130,8 +130,8 @@
 	set_option(w->inbox, ZMQ_RCVHWM, INBOX_MAX);
 	set_option(w->inbox, ZMQ_LINGER, 0);
 	if (zmq_bind(w->inbox, url) != 0) {
-		err_set(err, ERR_SYSTEM, "%.*s: %s", STR_ARG(inbox),
-		    zmq_strerror(zmq_errno()));
+		err_set(err, ERR_SYSTEM, "cannot bind inbox %.*s: %s",
+		    STR_ARG(inbox), zmq_strerror(zmq_errno()));
 		zmq_close(w->inbox);
 		shared_close();
 		g_free(url);
