--- a/plat.h
+++ b/plat.h
@@ -40,7 +40,7 @@
 	PLAT_OK,
 	PLAT_CONFLICT, /* the condition was not met; the body has the object */
 	PLAT_NOT_FOUND, /* the object does not exist */
-	PLAT_TOO_OLD, /* the platform no longer has changes that old */
+	PLAT_TOO_OLD, /* changes since the given revision are not kept */
 	PLAT_UNKNOWN, /* sent, but it is unknown whether it took effect */
 	PLAT_UNAVAILABLE, /* not sent, or failed without effect */
 	PLAT_BAD_REQUEST /* the platform rejected the call as invalid */
--- a/tmr.c
+++ b/tmr.c
@@ -62,11 +62,10 @@
 }
 
 /*
- * Defers late timers once, so that pending I/O runs before them.  After the
- * loop was blocked, the event that a timer limits the wait for may already be
- * pending, and libuv would run the timer first.  After the process was
- * suspended, timers run first, because overdue operations must end before
- * anything is sent.
+ * Defers late timers once, so that pending I/O runs before them.  If the loop
+ * was blocked, data may have arrived in time although its timeout has expired,
+ * and libuv would run the timer first.  If the process was suspended, timers
+ * run first, because overdue operations must end before anything is sent.
  */
 static bool
 defer(struct tmr *t, const struct queue_item *first, int64_t now)
--- a/up_call.c
+++ b/up_call.c
@@ -35,7 +35,7 @@
 	h2o_buffer_consume(&c->body, c->body->size);
 }
 
-/* Callbacks of a drained call, which do nothing. */
+/* Callbacks that discard a response; see up_drain(). */
 
 static void
 ignore_head(void *ctx, struct up_call *c, int status,
