--- a/libhsrv.h
+++ b/libhsrv.h
@@ -21,80 +21,86 @@
 	h2o_globalconf_t conf;
 	h2o_context_t ctx;
 	h2o_accept_ctx_t accept;
-	h2o_timeout_t linger_timeout; /* of connections that we have ended */
+	/* Time limit for the peer to close after the write side was shut. */
+	h2o_timeout_t linger_timeout;
 	uv_tcp_t listener;
 	bool listening;
 	hsrv_handler_fn *handler;
-	hsrv_concurrent_fn
-	    *may_run_concurrently; /* NULL: requests run one after another */
+	hsrv_concurrent_fn *may_run_concurrently; /* NULL: none may */
 	void *handler_ctx;
-	char read_buf[64 * 1024]; /* of the connection that is read right now */
+	char read_buf[64 * 1024]; /* shared read buffer of all connections */
 };
 
-/* One request of a connection, from its first byte to its answer's last. */
+/* A request, from its first byte to the last byte of its response. */
 struct hsrv_req {
 	h2o_req_t req;
-	h2o_ostream_t ostream; /* where h2o hands us the answer */
+	h2o_ostream_t ostream; /* receives the response from h2o */
 	struct hsrv_conn *conn;
-	GList link; /* in the connection's requests */
-	/* While it is read: names and values, and where each begins. */
+	GList link; /* in hsrv_conn.reqs */
+	/* The request target, header names and values, one after another. */
 	GString *head_text;
-	GArray *offsets; /* gsize; names and values in turns */
+	/* gsize; offsets in head_text of names and values, alternately */
+	GArray *offsets;
 	GByteArray *body;
 	bool too_large;
-	bool expects_continue; /* waits for "100 Continue" */
-	bool complete; /* all of it was read */
-	bool handled; /* the server's function has it */
-	/* A piece of its answer that waits to be written. */
-	bool output_ready;
-	bool head_sent;
-	bool closes_conn; /* the connection ends with this answer */
-	h2o_send_state_t send_state;
-	GArray *out_bufs; /* uv_buf_t */
+	bool expects_continue; /* the caller waits for "100 Continue" */
+	bool complete; /* the whole request was read */
+	bool handled; /* it was passed to the handler or rejected */
+	bool output_ready; /* out_bufs are to be written */
+	bool head_sent; /* the head of the response was written */
+	bool closes_conn; /* the connection ends with this response */
+	h2o_send_state_t send_state; /* whether out_bufs are the last ones */
+	GArray *out_bufs; /* uv_buf_t; next part of the response body */
 };
 
-/* A caller's connection that speaks HTTP/1.1. */
+/* An HTTP/1.1 connection of a caller. */
 struct hsrv_conn {
 	h2o_conn_t super;
 	struct hsrv *srv;
 	uv_tcp_t *tcp;
-	void (*on_output_ready)(
-	    struct hsrv_conn *); /* a request has a piece of answer */
+	/* Called when a request has a part of its response to write. */
+	void (*on_output_ready)(struct hsrv_conn *);
 	http_parser parser;
 	GByteArray *input; /* not parsed yet */
-	GQueue reqs; /* struct hsrv_req, in the order of their answers */
-	struct hsrv_req *parsing; /* of these, the one that is read; or NULL */
+	GQueue reqs; /* struct hsrv_req, in the order received */
+	struct hsrv_req *parsing; /* the one that is being parsed, or NULL */
 	uv_write_t write;
 	uv_shutdown_t shutdown;
-	GString *head; /* of the answer that is written */
-	GArray *out_bufs; /* uv_buf_t */
+	GString *head; /* of the response that is being written */
+	GArray *out_bufs; /* uv_buf_t; buffers that are being written */
 	h2o_timeout_entry_t idle_timeout, linger_timeout;
-	bool protocol_unknown; /* nothing was read yet */
-	bool reading_paused; /* too much was read ahead */
+	bool protocol_unknown; /* the first bytes have not been inspected */
+	bool reading_paused; /* too many bytes wait to be parsed */
 	bool writing;
-	bool no_more_requests; /* no more requests are taken */
-	bool awaiting_peer_close; /* all is written, the other side's end is
-				     awaited */
+	bool no_more_requests; /* no further request is accepted */
+	bool awaiting_peer_close; /* the write side was shut */
 	bool closed;
 };
 
-/* hsrv_conn.c: a connection's requests side by side, answers in order. */
+/* hsrv_conn.c: runs requests concurrently, sends responses in order. */
+
+/* Serves an accepted connection; takes ownership of the handle. */
 void hsrv_conn_open(struct hsrv *, uv_tcp_t *);
 
-/* hsrv_parse_request.c: bytes to requests. */
+/* hsrv_parse.c: parses requests. */
 void hsrv_parser_init(struct hsrv_conn *);
 /*
- * Parse what was read, up to the end of one request.  False if it cannot be
- * read as HTTP; what is there of the request is then the connection's last.
+ * Parses the bytes read so far, up to the end of one request.  Returns false
+ * if they are not valid HTTP or the request is too large; the request that was
+ * begun is then the last one of the connection.
  */
 bool hsrv_parse_request(struct hsrv_conn *);
 
-/* hsrv_req.c: one request, and its answer's way from h2o. */
+/* hsrv_req.c: a request, and its response as h2o produces it. */
+
+/* Creates a request and appends it to those of the connection. */
 struct hsrv_req *hsrv_req_new(struct hsrv_conn *);
 void hsrv_req_free(struct hsrv_req *);
+/* Passes a complete request to the handler. */
 void hsrv_req_handle(struct hsrv_req *);
+/* Responds with 400 or 413 to a request that cannot be read to its end. */
 void hsrv_req_reject(struct hsrv_req *);
-/* The head of its answer, as text. */
+/* Formats the head of the response. */
 void hsrv_req_format_head(const struct hsrv_req *, GString *);
 
 #endif
--- a/up_answer.c
+++ b/up_answer.c
@@ -11,14 +11,14 @@
 #include "libup.h"
 
 /*
- * The parser's findings in an answer: its headers are gathered until the head
- * is complete, its body goes to the call, its end marks the connection.
+ * Callbacks of the response parser.  They collect the headers until the head
+ * is complete, pass the body to the call and note the end of the response.
  */
 
-/* An idle connection is kept so long where the other side says nothing. */
-#define IDLE_NS (2 * NS_S)
+/* Idle timeout of a connection if the server states none. */
+#define IDLE_DEFAULT_NS (2 * NS_S)
 
-/* Of the idle time that the other side states, this share is used. */
+/* A connection is reused for this share of the server's idle timeout. */
 enum { IDLE_USED_PERCENT = 80 };
 
 static int on_header_field(http_parser *, const char *, size_t);
@@ -36,7 +36,7 @@
 };
 
 static void
-forget_headers(struct up_conn *conn)
+clear_headers(struct up_conn *conn)
 {
 	g_string_truncate(conn->header_text, 0);
 	g_array_set_size(conn->header_spans, 0);
@@ -48,34 +48,34 @@
 {
 	http_parser_init(&conn->parser, HTTP_RESPONSE);
 	conn->parser.data = conn;
-	forget_headers(conn);
+	clear_headers(conn);
 }
 
 static struct up_header_span *
-last_mark(struct up_conn *conn)
+last_span(struct up_conn *conn)
 {
 	return &g_array_index(conn->header_spans, struct up_header_span,
 	    conn->header_spans->len - 1);
 }
 
-/* Names are kept in lower case, as h2o looks them up. */
+/* Names are stored in lower case, because h2o looks them up that way. */
 static int
 on_header_field(http_parser *parser, const char *p, size_t n)
 {
 	struct up_conn *conn = parser->data;
-	struct up_header_span mark = {0};
+	struct up_header_span span = {0};
 	size_t i;
 
 	if (conn->header_spans->len == 0 || conn->in_value) {
 		if (conn->header_spans->len == UP_HEADERS_MAX)
 			return -1;
-		mark.name = conn->header_text->len;
-		g_array_append_val(conn->header_spans, mark);
+		span.name = conn->header_text->len;
+		g_array_append_val(conn->header_spans, span);
 		conn->in_value = false;
 	}
 	for (i = 0; i < n; i++)
 		g_string_append_c(conn->header_text, g_ascii_tolower(p[i]));
-	last_mark(conn)->nname += n;
+	last_span(conn)->nname += n;
 	return 0;
 }
 
@@ -83,29 +83,32 @@
 on_header_value(http_parser *parser, const char *p, size_t n)
 {
 	struct up_conn *conn = parser->data;
-	struct up_header_span *mark = last_mark(conn);
+	struct up_header_span *span = last_span(conn);
 
 	if (!conn->in_value)
-		mark->value = conn->header_text->len;
+		span->value = conn->header_text->len;
 	conn->in_value = true;
 	g_string_append_len(conn->header_text, p, (gssize)n);
-	mark->nvalue += n;
+	span->nvalue += n;
 	return 0;
 }
 
-/* "timeout=5" of a Keep-Alive header tells how long it may be idle. */
+/*
+ * Returns how long to keep an idle connection, by a Keep-Alive header such as
+ * "timeout=5" (seconds).
+ */
 static int64_t
-idle_time(struct str value)
+parse_keep_alive(struct str value)
 {
 	static const char key[] = "timeout=";
 	char text[64];
-	const char *at;
+	const char *found;
 
 	snprintf(text, sizeof(text), "%.*s", STR_ARG(value));
-	at = strstr(text, key);
-	if (at == NULL)
-		return IDLE_NS;
-	return g_ascii_strtoll(at + sizeof(key) - 1, NULL, 10) * NS_S / 100 *
+	found = strstr(text, key);
+	if (found == NULL)
+		return IDLE_DEFAULT_NS;
+	return g_ascii_strtoll(found + sizeof(key) - 1, NULL, 10) * NS_S / 100 *
 	    IDLE_USED_PERCENT;
 }
 
@@ -116,27 +119,27 @@
 	struct up_call *c = conn->call;
 	h2o_header_t headers[UP_HEADERS_MAX];
 	h2o_iovec_t names[UP_HEADERS_MAX];
-	const struct up_header_span *m;
-	int64_t idle = IDLE_NS;
+	const struct up_header_span *span;
+	int64_t idle_ns = IDLE_DEFAULT_NS;
 	guint i;
 
 	for (i = 0; i < conn->header_spans->len; i++) {
-		m = &g_array_index(
+		span = &g_array_index(
 		    conn->header_spans, struct up_header_span, i);
-		names[i] =
-		    h2o_iovec_init(conn->header_text->str + m->name, m->nname);
+		names[i] = h2o_iovec_init(
+		    conn->header_text->str + span->name, span->nname);
 		headers[i] = (h2o_header_t){.name = &names[i],
 		    .value = h2o_iovec_init(
-			conn->header_text->str + m->value, m->nvalue)};
+			conn->header_text->str + span->value, span->nvalue)};
 		if (h2o_memis(
 			names[i].base, names[i].len, H2O_STRLIT("keep-alive")))
-			idle = idle_time(
+			idle_ns = parse_keep_alive(
 			    str_n(headers[i].value.base, headers[i].value.len));
 	}
-	/* An interim answer (100) is no answer yet. */
+	/* An interim response (1xx) precedes the final one. */
 	if (parser->status_code < 200)
 		return 0;
-	conn->idle_timeout_ns = idle;
+	conn->idle_timeout_ns = idle_ns;
 	c->ops->head(
 	    c->ctx, c, parser->status_code, headers, conn->header_spans->len);
 	if (conn->closing)
@@ -165,7 +168,7 @@
 	struct up_conn *conn = parser->data;
 
 	if (parser->status_code < 200) {
-		forget_headers(conn);
+		clear_headers(conn);
 		return 0;
 	}
 	conn->response_complete = true;
