--- a/memb.c
+++ b/memb.c
@@ -14,30 +14,30 @@
 
 #include "memb.h"
 
-/* One question in so many goes to a box that is dead or only listed. */
-enum { ASK_LOST_ONE_IN = 6 };
+/* One request in this many goes to a box that is dead or only listed. */
+enum { LOST_TARGET_ONE_IN = 6 };
 
-/* A hall that some member is in. */
+/* A hall that has at least one member. */
 struct hall {
 	struct str name;
-	uint64_t most; /* the greatest power there, of dead boxes too */
+	uint64_t max_power; /* greatest power, including dead boxes */
 	struct memb_member *hubs[MEMB_HUBS];
 	unsigned nhubs;
 };
 
 struct memb {
 	struct memb_member own;
-	GPtrArray *members; /* struct memb_member *, ourselves not among them */
+	GPtrArray *members; /* struct memb_member *, without `own` */
 	GHashTable *by_name; /* struct str * to struct memb_member * of these */
 	GPtrArray *halls; /* struct hall * */
-	int64_t contact; /* monotonic ns of the last word of any box */
-	bool dirty; /* who is a hub has to be found out anew */
+	int64_t last_contact; /* monotonic ns of the last message of any box */
+	bool hubs_stale; /* the hubs have to be computed again */
 };
 
-static struct memb_member *find(const struct memb *, struct str);
-static struct memb_member *add(struct memb *, struct str);
+static struct memb_member *find_member(const struct memb *, struct str);
+static struct memb_member *add_member(struct memb *, struct str);
 static void member_free(void *);
-static void refresh(struct memb *);
+static void refresh_hubs(struct memb *);
 
 void
 memb_info_copy(struct memb_info *to, const struct memb_info *from)
@@ -104,13 +104,13 @@
 	struct memb *mb = g_new0(struct memb, 1);
 
 	memb_info_copy(&mb->own.info, self);
-	/* Beat 0 stands for never: see memb_told(). */
+	/* 0 means that nothing was sent yet, see memb_told(). */
 	mb->own.info.beat = MAX(self->beat, 1);
 	mb->own.weight = hub_weight(self->box);
 	mb->members = g_ptr_array_new_with_free_func(member_free);
 	mb->by_name = g_hash_table_new(name_hash, name_equal);
 	mb->halls = g_ptr_array_new_with_free_func(hall_free);
-	mb->dirty = true;
+	mb->hubs_stale = true;
 	return mb;
 }
 
@@ -134,11 +134,11 @@
 memb_changed(struct memb *mb)
 {
 	mb->own.info.beat++;
-	mb->dirty = true;
+	mb->hubs_stale = true;
 }
 
 static struct memb_member *
-find(const struct memb *mb, struct str box)
+find_member(const struct memb *mb, struct str box)
 {
 	return g_hash_table_lookup(mb->by_name, &box);
 }
@@ -146,11 +146,11 @@
 const struct memb_member *
 memb_find(const struct memb *mb, struct str box)
 {
-	return find(mb, box);
+	return find_member(mb, box);
 }
 
 static struct memb_member *
-add(struct memb *mb, struct str box)
+add_member(struct memb *mb, struct str box)
 {
 	struct memb_member *m = g_new0(struct memb_member, 1);
 	struct memb_info empty = {.box = box};
@@ -160,21 +160,21 @@
 	m->rank = -1;
 	g_ptr_array_add(mb->members, m);
 	g_hash_table_insert(mb->by_name, &m->info.box, m);
-	mb->dirty = true;
+	mb->hubs_stale = true;
 	return m;
 }
 
 static void
-forget(struct memb *mb, guint at)
+remove_member(struct memb *mb, guint at)
 {
 	struct memb_member *m = g_ptr_array_index(mb->members, at);
 
 	g_hash_table_remove(mb->by_name, &m->info.box);
 	g_ptr_array_remove_index_fast(mb->members, at);
-	mb->dirty = true;
+	mb->hubs_stale = true;
 }
 
-/* Who is a hub. */
+/* Selection of hubs. */
 
 static struct hall *
 hall_of(struct memb *mb, struct str name)
@@ -199,9 +199,9 @@
 	return m == &mb->own ? !m->info.leaving : memb_alive(m);
 }
 
-/* Put a strong box in its place among the first of its hall. */
+/* Inserts a strong box into the hubs of its hall if its weight suffices. */
 static void
-enter_hub(struct hall *h, struct memb_member *m)
+insert_hub(struct hall *h, struct memb_member *m)
 {
 	unsigned at = h->nhubs;
 
@@ -217,29 +217,29 @@
 }
 
 static void
-measure(struct memb *mb, const struct memb_member *m)
+update_max_power(struct memb *mb, const struct memb_member *m)
 {
 	struct hall *h = hall_of(mb, m->info.hall);
 
-	h->most = MAX(h->most, m->info.power);
+	h->max_power = MAX(h->max_power, m->info.power);
 }
 
 static void
-judge(struct memb *mb, struct memb_member *m)
+classify(struct memb *mb, struct memb_member *m)
 {
 	struct hall *h = hall_of(mb, m->info.hall);
 
 	m->rank = -1;
-	m->strong = m->info.power * MEMB_STRONG_RATIO >= h->most;
+	m->strong = m->info.power * MEMB_STRONG_RATIO >= h->max_power;
 	if (!is_alive(mb, m))
 		return;
 	m->was_hub = false;
 	if (m->strong)
-		enter_hub(h, m);
+		insert_hub(h, m);
 }
 
 static void
-number_hubs(struct hall *h)
+rank_hubs(struct hall *h)
 {
 	unsigned i;
 
@@ -249,36 +249,36 @@
 	}
 }
 
-/* Find out anew who is a hub, after members have changed. */
+/* Computes the hubs of all halls again if members have changed. */
 static void
-refresh(struct memb *mb)
+refresh_hubs(struct memb *mb)
 {
 	struct hall *h;
 	guint i;
 
-	if (!mb->dirty)
+	if (!mb->hubs_stale)
 		return;
-	mb->dirty = false;
+	mb->hubs_stale = false;
 	for (i = 0; i < mb->halls->len; i++) {
 		h = g_ptr_array_index(mb->halls, i);
-		h->most = h->nhubs = 0;
+		h->max_power = h->nhubs = 0;
 	}
-	measure(mb, &mb->own);
+	update_max_power(mb, &mb->own);
 	for (i = 0; i < mb->members->len; i++)
-		measure(mb, g_ptr_array_index(mb->members, i));
-	judge(mb, &mb->own);
+		update_max_power(mb, g_ptr_array_index(mb->members, i));
+	classify(mb, &mb->own);
 	for (i = 0; i < mb->members->len; i++)
-		judge(mb, g_ptr_array_index(mb->members, i));
+		classify(mb, g_ptr_array_index(mb->members, i));
 	for (i = 0; i < mb->halls->len; i++)
-		number_hubs(g_ptr_array_index(mb->halls, i));
+		rank_hubs(g_ptr_array_index(mb->halls, i));
 }
 
 bool
 memb_is_hub(struct memb *mb, struct str box)
 {
-	const struct memb_member *m = find(mb, box);
+	const struct memb_member *m = find_member(mb, box);
 
-	refresh(mb);
+	refresh_hubs(mb);
 	if (str_eq(box, mb->own.info.box))
 		return mb->own.rank >= 0;
 	return m != NULL && m->rank >= 0;
@@ -287,7 +287,7 @@
 bool
 memb_is_strong(struct memb *mb)
 {
-	refresh(mb);
+	refresh_hubs(mb);
 	return mb->own.strong;
 }
 
@@ -297,7 +297,7 @@
 	size_t n = 0;
 	guint i;
 
-	refresh(mb);
+	refresh_hubs(mb);
 	for (i = 0; i < mb->halls->len; i++)
 		n += ((struct hall *)g_ptr_array_index(mb->halls, i))->nhubs;
 	return n;
@@ -310,7 +310,7 @@
 	guint i;
 	unsigned j;
 
-	refresh(mb);
+	refresh_hubs(mb);
 	for (i = 0; i < mb->halls->len; i++) {
 		h = g_ptr_array_index(mb->halls, i);
 		for (j = 0; j < h->nhubs; j++)
@@ -327,7 +327,7 @@
 	const struct hall *h;
 	unsigned i;
 
-	refresh(mb);
+	refresh_hubs(mb);
 	h = hall_of(mb, hall);
 	for (i = 0; i < h->nhubs; i++)
 		out[i] = &h->hubs[i]->info;
@@ -335,13 +335,13 @@
 }
 
 static bool
-is_near(const struct memb *mb, const struct memb_member *m)
+is_in_own_hall(const struct memb *mb, const struct memb_member *m)
 {
 	return str_eq(m->info.hall, mb->own.info.hall);
 }
 
 static bool
-is_for_all(const struct memb_member *m)
+is_or_was_hub(const struct memb_member *m)
 {
 	return m->rank >= 0 || m->was_hub;
 }
@@ -350,44 +350,49 @@
 memb_concerns(
     struct memb *mb, const struct memb_member *to, const struct memb_member *m)
 {
-	refresh(mb);
-	if (is_for_all(m) || to == NULL)
+	refresh_hubs(mb);
+	if (is_or_was_hub(m) || to == NULL)
 		return true;
 	return to->rank >= 0 && str_eq(to->info.hall, m->info.hall);
 }
 
 /*
- * Is it news that we pass on to a box?  Of leaves hubs alone tell: a leaf that
- * was taken for a hub while its hall started knows the whole hall, and else
- * tells hubs for minutes, at 1 kB a second, what they know.
+ * Returns whether the state of a member remains to be relayed to a box.  Only
+ * hubs relay the state of leaves.  A leaf that counted as a hub while its hall
+ * started knows the whole hall, and would otherwise send hubs for minutes, at
+ * 1 kB/s, what they already know.
  */
 static bool
-is_news(
+is_to_relay(
     struct memb *mb, const struct memb_member *to, const struct memb_member *m)
 {
 	return m->untold > 0 && m != to && memb_concerns(mb, to, m) &&
-	    (mb->own.rank >= 0 || is_for_all(m));
+	    (mb->own.rank >= 0 || is_or_was_hub(m));
 }
 
-/* A death that is kept to ourselves; see memb_tick(). */
+/* Returns whether a death is not reported to other boxes; see memb_tick(). */
 static bool
-is_private(const struct memb *mb, const struct memb_member *m)
+is_unreported_death(const struct memb *mb, const struct memb_member *m)
 {
-	return m->info.dead && m->by_us && (m->in_doubt || !is_near(mb, m));
+	return m->info.dead && m->by_us &&
+	    (m->in_doubt || !is_in_own_hall(mb, m));
 }
 
 bool
 memb_is_worth_listing(const struct memb *mb, const struct memb_member *m)
 {
 	return memb_alive(m) ||
-	    (m->heard != 0 && m->was_hub && !is_private(mb, m));
+	    (m->heard != 0 && m->was_hub && !is_unreported_death(mb, m));
 }
 
-/* What is heard, and what is passed on. */
+/* Received state, and how often it is relayed. */
 
-/* Every news reaches all with near certainty after so many tellings. */
+/*
+ * Returns how often an update is relayed.  The number grows with the logarithm
+ * of the members, so that an update reaches all boxes almost certainly.
+ */
 static unsigned
-tellings(const struct memb *mb)
+relay_count(const struct memb *mb)
 {
 	unsigned n = 4, boxes;
 
@@ -396,14 +401,18 @@
 	return n;
 }
 
-/* Of two words with one beat, the worse one counts. */
+/* Of two states with the same incarnation, the more severe one wins. */
 static int
-badness(const struct memb_info *info)
+severity(const struct memb_info *info)
 {
 	return info->dead ? 2 : info->leaving ? 1 : 0;
 }
 
-/* We are told dead, or by an earlier start of ours: say the contrary. */
+/*
+ * Handles a received state of this box.  If it claims that this box is dead, or
+ * has a later start time, raises the own start time or incarnation above it, so
+ * that the present state wins at the other boxes.
+ */
 static bool
 refute(struct memb *mb, const struct memb_info *info)
 {
@@ -420,8 +429,8 @@
 }
 
 /*
- * A later boot wins, then a later beat, then the worse word.  Of a box that
- * is not known a death is no news.
+ * The later start time wins, then the higher incarnation, then the more severe
+ * state.  The death of an unknown box is ignored.
  */
 bool
 memb_heard(struct memb *mb, const struct memb_info *info, int64_t now)
@@ -432,19 +441,19 @@
 		return false;
 	if (str_eq(info->box, mb->own.info.box))
 		return refute(mb, info);
-	m = find(mb, info->box);
+	m = find_member(mb, info->box);
 	if (m == NULL && info->dead)
 		return false;
 	if (m == NULL)
-		m = add(mb, info->box);
+		m = add_member(mb, info->box);
 	if (m->heard != 0 &&
 	    (info->boot < m->info.boot ||
 		(info->boot == m->info.boot &&
 		    (info->beat < m->info.beat ||
 			(info->beat == m->info.beat &&
-			    badness(info) <= badness(&m->info))))))
+			    severity(info) <= severity(&m->info))))))
 		return false;
-	/* A new start has heard nothing of us. */
+	/* A restarted box has not received our state. */
 	if (info->boot != m->info.boot)
 		m->told = 0;
 	memb_info_clear(&m->info);
@@ -452,28 +461,31 @@
 	m->by_us = m->in_doubt = false;
 	m->heard = now;
 	m->asked = 0;
-	m->untold = tellings(mb);
-	mb->dirty = true;
+	m->untold = relay_count(mb);
+	mb->hubs_stale = true;
 	return true;
 }
 
 void
 memb_asked(struct memb *mb, struct str box, int64_t now)
 {
-	struct memb_member *m = find(mb, box);
+	struct memb_member *m = find_member(mb, box);
 
 	if (m != NULL && m->asked == 0 && m->heard != 0)
 		m->asked = now;
 }
 
 static void
-revive(struct memb *mb, struct memb_member *m)
+mark_alive(struct memb *mb, struct memb_member *m)
 {
 	m->info.dead = m->by_us = m->in_doubt = false;
-	mb->dirty = true;
+	mb->hubs_stale = true;
 }
 
-/* The first word after a while in which nobody spoke to us. */
+/*
+ * Revokes the uncertain deaths with the first message after a time without any
+ * message.
+ */
 static void
 end_isolation(struct memb *mb)
 {
@@ -484,23 +496,23 @@
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
 		if (m->in_doubt)
-			revive(mb, m);
+			mark_alive(mb, m);
 	}
 }
 
 void
 memb_answered(struct memb *mb, struct str box, int64_t now)
 {
-	struct memb_member *m = find(mb, box);
+	struct memb_member *m = find_member(mb, box);
 
-	if (now - mb->contact > MEMB_ANSWER_NS)
+	if (now - mb->last_contact > MEMB_ANSWER_NS)
 		end_isolation(mb);
-	mb->contact = now;
+	mb->last_contact = now;
 	if (m == NULL)
 		return;
 	m->asked = 0;
 	if (m->info.dead && m->by_us)
-		revive(mb, m);
+		mark_alive(mb, m);
 }
 
 int64_t
@@ -512,7 +524,7 @@
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		if (m->asked != 0 && is_near(mb, m) &&
+		if (m->asked != 0 && is_in_own_hall(mb, m) &&
 		    (since == 0 || m->asked < since))
 			since = m->asked;
 	}
@@ -522,14 +534,14 @@
 void
 memb_told(struct memb *mb, struct str box)
 {
-	struct memb_member *m = find(mb, box);
+	struct memb_member *m = find_member(mb, box);
 
 	if (m != NULL)
 		m->told = mb->own.info.beat;
 }
 
 static bool
-may_ask(const struct memb *mb, const struct memb_member *m, enum memb_who who,
+is_target(const struct memb *mb, const struct memb_member *m, enum memb_who who,
     bool lost)
 {
 	bool hub = lost ? m->strong : m->rank >= 0;
@@ -537,14 +549,14 @@
 	if (m->info.inbox.n == 0 || m->info.leaving ||
 	    lost != (m->info.dead || m->heard == 0))
 		return false;
-	if (is_near(mb, m))
+	if (is_in_own_hall(mb, m))
 		return hub ? who == MEMB_NEAR_HUB : who == MEMB_NEAR_LEAF;
 	return hub && who == MEMB_FAR_HUB;
 }
 
 static const struct memb_member *
-ask_any(const struct memb *mb, const struct rnd *rnd, enum memb_who who,
-    bool lost, bool owing)
+pick_random(const struct memb *mb, const struct rnd *rnd, enum memb_who who,
+    bool lost, bool with_unanswered)
 {
 	const struct memb_member *m, *chosen = NULL;
 	unsigned seen = 0;
@@ -552,7 +564,8 @@
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		if (!may_ask(mb, m, who, lost) || (!owing && m->asked != 0))
+		if (!is_target(mb, m, who, lost) ||
+		    (!with_unanswered && m->asked != 0))
 			continue;
 		if (rnd_below(rnd, ++seen) == 0)
 			chosen = m;
@@ -563,25 +576,25 @@
 const struct memb_member *
 memb_ask_next(struct memb *mb, const struct rnd *rnd, enum memb_who who)
 {
-	bool lost = rnd_below(rnd, ASK_LOST_ONE_IN) == 0;
+	bool lost = rnd_below(rnd, LOST_TARGET_ONE_IN) == 0;
 	const struct memb_member *chosen;
 
-	refresh(mb);
-	chosen = ask_any(mb, rnd, who, lost, true);
+	refresh_hubs(mb);
+	chosen = pick_random(mb, rnd, who, lost, true);
 	if (chosen == NULL)
-		chosen = ask_any(mb, rnd, who, !lost, true);
+		chosen = pick_random(mb, rnd, who, !lost, true);
 	return chosen;
 }
 
 const struct memb_member *
 memb_ask_other(struct memb *mb, const struct rnd *rnd, enum memb_who who)
 {
-	refresh(mb);
-	return ask_any(mb, rnd, who, false, false);
+	refresh_hubs(mb);
+	return pick_random(mb, rnd, who, false, false);
 }
 
 static const struct memb_member *
-lost_of(const struct memb *mb, const struct hall *h, guint from)
+find_lost(const struct memb *mb, const struct hall *h, guint from)
 {
 	const struct memb_member *m;
 	guint i;
@@ -590,8 +603,8 @@
 		m = g_ptr_array_index(
 		    mb->members, (from + i) % mb->members->len);
 		if (str_eq(m->info.hall, h->name) &&
-		    (may_ask(mb, m, MEMB_NEAR_HUB, true) ||
-			may_ask(mb, m, MEMB_FAR_HUB, true)))
+		    (is_target(mb, m, MEMB_NEAR_HUB, true) ||
+			is_target(mb, m, MEMB_FAR_HUB, true)))
 			return m;
 	}
 	return NULL;
@@ -602,17 +615,17 @@
     const struct memb_member **out, size_t n)
 {
 	const struct memb_member *m;
-	size_t got = 0;
+	size_t count = 0;
 	guint i;
 
-	refresh(mb);
-	for (i = 0; i < mb->halls->len && got < n; i++) {
-		m = lost_of(mb, g_ptr_array_index(mb->halls, i),
+	refresh_hubs(mb);
+	for (i = 0; i < mb->halls->len && count < n; i++) {
+		m = find_lost(mb, g_ptr_array_index(mb->halls, i),
 		    (guint)rnd_below(rnd, MAX(mb->members->len, 1)));
 		if (m != NULL)
-			out[got++] = m;
+			out[count++] = m;
 	}
-	return got;
+	return count;
 }
 
 void
@@ -634,9 +647,9 @@
 
 	if (str_eq(info->box, mb->own.info.box))
 		return;
-	m = find(mb, info->box);
+	m = find_member(mb, info->box);
 	if (m == NULL)
-		m = add(mb, info->box);
+		m = add_member(mb, info->box);
 	m->listed = true;
 	if (m->heard != 0)
 		return;
@@ -646,26 +659,26 @@
 	m->info.inbox = str_dup(info->inbox);
 	m->info.power = info->power;
 	m->info.leaving = info->leaving;
-	mb->dirty = true;
+	mb->hubs_stale = true;
 }
 
 static bool
-is_overdue(const struct memb_member *m, int64_t now)
+has_timed_out(const struct memb_member *m, int64_t now)
 {
 	return m->asked != 0 && now - m->asked > MEMB_ANSWER_NS &&
 	    !m->info.dead;
 }
 
 static void
-find_dead(struct memb *mb, struct memb_member *m, int64_t now)
+mark_dead(struct memb *mb, struct memb_member *m, int64_t now)
 {
 	m->by_us = true;
-	m->in_doubt = mb->contact <= m->asked;
+	m->in_doubt = mb->last_contact <= m->asked;
 	m->info.dead = true;
 	m->asked = 0;
 	m->heard = now;
-	m->untold = is_private(mb, m) ? 0 : tellings(mb);
-	mb->dirty = true;
+	m->untold = is_unreported_death(mb, m) ? 0 : relay_count(mb);
+	mb->hubs_stale = true;
 }
 
 bool
@@ -677,13 +690,13 @@
 
 	for (i = mb->members->len; i-- > 0;) {
 		m = g_ptr_array_index(mb->members, i);
-		if (is_overdue(m, now)) {
-			find_dead(mb, m, now);
+		if (has_timed_out(m, now)) {
+			mark_dead(mb, m, now);
 			died = true;
 		}
 		if (!m->listed && (m->info.dead || m->info.leaving) &&
 		    now - m->heard > MEMB_FORGET_NS)
-			forget(mb, i);
+			remove_member(mb, i);
 	}
 	return died;
 }
@@ -740,7 +753,7 @@
 	return n;
 }
 
-/* What of a member others have to know as well. */
+/* Hashes name, start time and readiness of a member. */
 static uint64_t
 digest(const struct memb_member *m)
 {
@@ -756,7 +769,7 @@
 	uint64_t sum = 0;
 	guint i, j;
 
-	refresh(mb);
+	refresh_hubs(mb);
 	for (i = 0; i < mb->halls->len; i++) {
 		h = g_ptr_array_index(mb->halls, i);
 		for (j = 0; j < h->nhubs; j++)
@@ -774,13 +787,13 @@
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		if (memb_alive(m) && is_near(mb, m))
+		if (memb_alive(m) && is_in_own_hall(mb, m))
 			sum += digest(m);
 	}
 	return sum;
 }
 
-/* Gates known to serve in a hall. */
+/* Counts the gates of a hall that this box knows to be serving. */
 static uint64_t
 count_serving(const struct memb *mb, struct str hall)
 {
@@ -802,9 +815,9 @@
 	return count_serving(mb, mb->own.info.hall);
 }
 
-/* The same, or as its hubs tell. */
+/* The maximum of that and of what the hubs of the hall reported. */
 static uint64_t
-serving(const struct memb *mb, const struct hall *h)
+max_serving(const struct memb *mb, const struct hall *h)
 {
 	uint64_t n = count_serving(mb, h->name);
 	unsigned i;
@@ -821,9 +834,9 @@
 	uint64_t n = !mb->own.info.ready;
 	guint i;
 
-	refresh(mb);
+	refresh_hubs(mb);
 	for (i = 0; i < mb->halls->len; i++)
-		n += serving(mb, g_ptr_array_index(mb->halls, i));
+		n += max_serving(mb, g_ptr_array_index(mb->halls, i));
 	return n;
 }
 
@@ -838,12 +851,12 @@
 bool
 memb_is_first(struct memb *mb, struct str key, struct str hall, int k)
 {
-	uint64_t own = memb_weight(key, mb->own.info.box);
+	uint64_t own_weight = memb_weight(key, mb->own.info.box);
 	const struct hall *h;
 	int before = 0;
 	unsigned i, j;
 
-	refresh(mb);
+	refresh_hubs(mb);
 	if (mb->own.rank < 0 ||
 	    (hall.n > 0 && !str_eq(hall, mb->own.info.hall)))
 		return false;
@@ -853,33 +866,33 @@
 			continue;
 		for (j = 0; j < h->nhubs; j++)
 			before += h->hubs[j] != &mb->own &&
-			    memb_weight(key, h->hubs[j]->info.box) > own;
+			    memb_weight(key, h->hubs[j]->info.box) > own_weight;
 	}
 	return before < k;
 }
 
 static bool
-watches_before(const struct memb_member *a, const struct memb_member *b)
+ranks_before(const struct memb_member *a, const struct memb_member *b)
 {
 	return a->rank != b->rank ? a->rank < b->rank : a->weight > b->weight;
 }
 
-/* Hubs that come before a box; of these, those that the platform answers. */
+/* Counts the hubs before a box, and those of them that the platform answers. */
 static int
-count_before(struct memb *mb, const struct memb_member *m, int *seeing)
+count_before(struct memb *mb, const struct memb_member *m, int *with_platform)
 {
 	const struct hall *h;
 	int before = 0;
 	unsigned i, j;
 
-	*seeing = 0;
+	*with_platform = 0;
 	for (i = 0; i < mb->halls->len; i++) {
 		h = g_ptr_array_index(mb->halls, i);
 		for (j = 0; j < h->nhubs; j++) {
-			if (!watches_before(h->hubs[j], m))
+			if (!ranks_before(h->hubs[j], m))
 				continue;
 			before++;
-			*seeing += !h->hubs[j]->info.blind;
+			*with_platform += !h->hubs[j]->info.blind;
 		}
 	}
 	return before;
@@ -888,16 +901,17 @@
 bool
 memb_watches(struct memb *mb, struct str box, int k)
 {
-	const struct memb_member *m = find(mb, box);
-	int before, seeing;
+	const struct memb_member *m = find_member(mb, box);
+	int before, with_platform;
 
-	refresh(mb);
+	refresh_hubs(mb);
 	if (str_eq(box, mb->own.info.box))
 		m = &mb->own;
 	if (m == NULL || m->rank < 0)
 		return false;
-	before = count_before(mb, m, &seeing);
-	return before < k || (!m->info.blind && seeing < MEMB_SEEING_MIN);
+	before = count_before(mb, m, &with_platform);
+	return before < k ||
+	    (!m->info.blind && with_platform < MEMB_SEEING_MIN);
 }
 
 bool
@@ -908,7 +922,7 @@
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		if (is_news(mb, to, m))
+		if (is_to_relay(mb, to, m))
 			return true;
 	}
 	return false;
@@ -918,24 +932,25 @@
 memb_news(struct memb *mb, const struct rnd *rnd, struct str to,
     const struct memb_member **out, size_t n)
 {
-	struct memb_member *m, *own = find(mb, to);
-	size_t got = 0;
-	guint i, at, len = mb->members->len;
+	struct memb_member *m, *recipient = find_member(mb, to);
+	size_t count = 0;
+	guint i, start, len = mb->members->len;
 
 	if (len == 0 || n == 0)
 		return 0;
-	if (own != NULL && own->info.dead)
-		out[got++] = own;
-	at = (guint)rnd_below(rnd, len);
-	for (i = 0; i < len && got < n; i++) {
-		m = g_ptr_array_index(mb->members, (at + i) % len);
-		if (!is_news(mb, own, m))
+	if (recipient != NULL && recipient->info.dead)
+		out[count++] = recipient;
+	start = (guint)rnd_below(rnd, len);
+	for (i = 0; i < len && count < n; i++) {
+		m = g_ptr_array_index(mb->members, (start + i) % len);
+		if (!is_to_relay(mb, recipient, m))
 			continue;
 		m->untold--;
-		out[got++] = m;
+		out[count++] = m;
 	}
-	m = g_ptr_array_index(mb->members, at);
-	if (got == 0 && m->heard != 0 && m != own && memb_concerns(mb, own, m))
-		out[got++] = m;
-	return got;
+	m = g_ptr_array_index(mb->members, start);
+	if (count == 0 && m->heard != 0 && m != recipient &&
+	    memb_concerns(mb, recipient, m))
+		out[count++] = m;
+	return count;
 }
--- a/memb.h
+++ b/memb.h
@@ -19,46 +19,52 @@
 #include "str.h"
 
 /*
- * Membership: the platform's lagging list of boxes joined with what the boxes
- * tell of each other.  A box counts as alive from its first word until it
- * says that it leaves, or until some box that asked it got no answer and
- * tells so.  A box that hears itself told as dead refutes that with a higher
- * beat.  No I/O is done here.
+ * Membership: merges the platform's list of boxes, which lags behind, with the
+ * state that the boxes send each other by gossip.  A box counts as alive from
+ * the first state received of it until it announces that it is leaving, or
+ * until some box gets no answer from it and reports it dead.  A box that
+ * receives a report of its own death refutes it by sending its state with a
+ * higher incarnation number.  No I/O is done here.
  *
  * The first few strong boxes of a hall are its hubs.  Hubs know all boxes of
- * their hall and the hubs of all halls; the other boxes, the leaves, know hubs
- * only.  So what a leaf holds and hears does not grow with the fleet, and what
- * a hub does grows with its hall.  Which boxes are hubs follows from who is
- * alive; boxes that see others may differ for a moment.
+ * their hall and the hubs of all halls; the other boxes, the leaves, know only
+ * hubs.  So the state and traffic of a leaf do not grow with the fleet, and
+ * those of a hub grow with its hall.  Each box computes the hubs from the set
+ * of boxes that it considers alive; boxes with different sets may disagree for
+ * a short time.
  */
 
-#define MEMB_ANSWER_NS (3 * NS_S) /* time to answer before it is told dead */
+/* A box that leaves a request unanswered for longer is declared dead. */
+#define MEMB_ANSWER_NS (3 * NS_S)
+/* How long a dead or departed box is kept that the platform does not list. */
 #define MEMB_FORGET_NS (120 * NS_S)
 
 enum {
-	MEMB_POWER_UNIT = 1000, /* the power of a whole processor */
-	MEMB_STRONG_RATIO = 2, /* strong: half the greatest power, or more */
+	MEMB_POWER_UNIT = 1000, /* `power` of one whole processor */
+	/* A strong box has at least 1/2 of the greatest power of its hall. */
+	MEMB_STRONG_RATIO = 2,
 	/*
-	 * Hubs of a hall: so many that the loss of half of them leaves some
-	 * to share its services, and that all boxes of a small hall are hubs.
+	 * Maximum number of hubs of a hall.  If half of them fail, several are
+	 * left to share the services of the hall, and in a small hall all
+	 * boxes are hubs.
 	 */
 	MEMB_HUBS = 6,
-	/* So many of those that watch the platform should be answered by it. */
+	/* Wanted number of watchers that the platform answers. */
 	MEMB_SEEING_MIN = 2
 };
 
-/* What a box tells about itself. */
+/* The state of a box, as it sends it to other boxes. */
 struct memb_info {
 	struct str box;
 	struct str hall;
-	struct str inbox; /* its agent's ZeroMQ address */
-	struct str pass; /* its gate's address for passed requests */
-	struct str gate_inbox; /* its gate's ZeroMQ address */
+	struct str inbox; /* ZeroMQ address of its agent */
+	struct str pass; /* where its gate accepts forwarded requests */
+	struct str gate_inbox; /* ZeroMQ address of its gate */
 	uint64_t boot; /* start of its agent, ms since 1970 */
-	uint64_t beat; /* counts up with each change of its word */
-	uint64_t power; /* its share of a processor, in thousandths */
-	uint64_t crowd; /* gates that serve in its hall, as far as it knows */
-	bool dead; /* told by a box that got no answer */
+	uint64_t beat; /* incremented with each change of this state */
+	uint64_t power; /* its processor share, in 1/MEMB_POWER_UNIT */
+	uint64_t crowd; /* gates serving in its hall, as far as it knows */
+	bool dead; /* reported by a box that got no answer from it */
 	bool leaving;
 	bool ready; /* its gate serves */
 	bool blind; /* the platform does not answer it */
@@ -66,174 +72,200 @@
 
 struct memb_member {
 	struct memb_info info;
-	int64_t heard; /* monotonic ns of the last news; 0: never */
-	int64_t asked; /* monotonic ns of a question without answer; 0: none */
-	unsigned untold; /* how often this news is still to be passed on */
+	int64_t heard; /* monotonic ns of the last update; 0: none */
+	int64_t asked; /* monotonic ns of the unanswered request; 0: none */
+	unsigned untold; /* how often `info` is still to be relayed */
 	bool listed; /* on the platform's list */
-	uint64_t told; /* the beat of ours that was sent to it last */
-	/* The rest is memb.c's own. */
-	uint64_t weight; /* the order among strong boxes */
-	bool strong; /* by the most powerful box of its hall */
-	bool was_hub; /* in its present state, or before it died or left */
-	bool by_us; /* it was we who found it dead */
-	bool in_doubt; /* and nobody spoke to us then */
-	int rank; /* hubs of its hall before it; -1: it is none */
+	uint64_t told; /* incarnation of our own state last sent to it */
+	/* The members below are maintained by memb.c. */
+	uint64_t weight; /* orders the strong boxes of a hall */
+	bool strong; /* see MEMB_STRONG_RATIO */
+	bool was_hub; /* is a hub, or was one when it died or left */
+	bool by_us; /* dead, and this box detected it */
+	bool in_doubt; /* and this box received no messages meanwhile */
+	int rank; /* position among the hubs of its hall; -1: not a hub */
 };
 
-/* Whom a box may ask. */
+/* Which boxes a request may go to. */
 enum memb_who { MEMB_NEAR_HUB, MEMB_NEAR_LEAF, MEMB_FAR_HUB };
 
 struct memb;
 
+/* `self` is copied. */
 struct memb *memb_new(const struct memb_info *self);
 void memb_free(struct memb *);
 
 /*
- * The box's own entry.  Whoever changes it calls memb_changed() then, so that
- * the others take the new word.
+ * The state of this box.  The caller may modify it, and then calls
+ * memb_changed(), which increments its incarnation number so that other boxes
+ * accept the new state.
  */
 struct memb_info *memb_self(struct memb *);
 void memb_changed(struct memb *);
 
-/* A box was heard of.  True if this tells something new. */
+/*
+ * Merges the state of a box that was received from it or from another box.
+ * Returns whether it was newer than the known state.
+ */
 bool memb_heard(struct memb *, const struct memb_info *, int64_t now);
 
+/* Records that a request was sent to a box. */
+void memb_asked(struct memb *, struct str box, int64_t now);
+
 /*
- * A box was asked; it answered, or told something by itself, and lives if it
- * was we who found it dead.
+ * Records that a message, answer or not, was received from a box.  The box is
+ * alive again if it was this box that had declared it dead.
  */
-void memb_asked(struct memb *, struct str box, int64_t now);
 void memb_answered(struct memb *, struct str box, int64_t now);
 
 /*
- * Since when a box of our hall has a question of ours that it has not answered,
- * in monotonic ns; 0: none has.
+ * Returns when the oldest unanswered request to a box of our hall was sent, in
+ * monotonic ns, or 0 if there is none.
  */
 int64_t memb_waits_near(const struct memb *);
 
-/* A box was sent our own word. */
+/* Records that our own state was sent to a box. */
 void memb_told(struct memb *, struct str box);
 
 /*
- * Whom to ask next, at random; now and then one that is dead or only listed,
- * as it may be back.  NULL if none.
+ * Returns a random box of a class to send a request to, or NULL if there is
+ * none.  Occasionally picks a box that is dead or only listed, as it may have
+ * returned.
  */
 const struct memb_member *
 memb_ask_next(struct memb *, const struct rnd *, enum memb_who);
 
-/* The same among those that live and owe us no answer. */
+/* The same among the live boxes without an unanswered request. */
 const struct memb_member *
 memb_ask_other(struct memb *, const struct rnd *, enum memb_who);
 
 /*
- * One strong box, dead or only listed, of each hall that has any; n at most.
- * They may be back, or we are.
+ * Stores one strong box that is dead or only listed for each hall that has
+ * any, n at most, and returns their number.  They may have returned, or this
+ * box may have been cut off from them.
  */
 size_t memb_ask_lost(
     struct memb *, const struct rnd *, const struct memb_member **, size_t n);
 
-/* The platform's list names a box; those not named since begin are unlisted. */
+/*
+ * Replace the platform's list: memb_list_begin() marks all boxes as unlisted,
+ * memb_listed() marks one as listed and adds it if it is not known.
+ */
 void memb_list_begin(struct memb *);
 void memb_listed(struct memb *, const struct memb_info *);
 
 /*
- * Time passes: boxes that did not answer are dead, and those that are dead
- * for long and not listed are forgotten.  True if somebody died.
+ * Declares boxes dead that have not answered in MEMB_ANSWER_NS, and removes
+ * unlisted ones that have been dead or gone for MEMB_FORGET_NS.  Returns
+ * whether any box was declared dead.
  *
- * Where nobody has spoken to us since we asked, it may be we that are cut off:
- * such deaths are not told, and forgotten with the next word of any box.  A
- * death in another hall is kept to ourselves as well: the boxes of that hall
- * know better, and a hall that was cut off would tell all others dead when it
- * is back.
+ * If no message at all has been received since the request, this box itself
+ * may be cut off: such deaths are not reported to others, and are revoked with
+ * the next message from any box.  A death in another hall is not reported
+ * either: the boxes of that hall know better, and a hall that was cut off would
+ * otherwise report all others dead when its connection is restored.
  */
 bool memb_tick(struct memb *, int64_t now);
 
-/* We were paused: that nobody answered meanwhile tells nothing. */
+/*
+ * Forgets all unanswered requests.  For use after this process was paused, when
+ * missing answers say nothing about other boxes.
+ */
 void memb_paused(struct memb *);
 
 bool memb_alive(const struct memb_member *);
 
-/* Visit all members except ourselves. */
+/* Calls the function for all members except this box. */
 typedef void memb_visit_fn(void *, const struct memb_member *);
 void memb_each(const struct memb *, memb_visit_fn *, void *);
 
+/* Returns the number of live boxes, including this one. */
 size_t memb_count_alive(const struct memb *);
 
-/* Boxes that are alive in a hall, ours among them; and how many serve. */
+/* Returns the number of live boxes of a hall, including this one. */
 size_t memb_count_hall(const struct memb *, struct str hall);
 
 /*
- * Numbers that are equal where two boxes know the same hubs, or the same boxes
- * of one hall, each in its present start and state.
+ * Digests of the known hubs, and of the known live boxes of our hall.  They
+ * cover name, start time and readiness of each.  Two boxes that know the same
+ * compute equal digests.
  */
 uint64_t memb_digest_hubs(struct memb *);
 uint64_t memb_digest_hall(const struct memb *);
 
-/* Gates that serve in our hall, as far as we know ourselves. */
+/* Returns the number of serving gates of our hall known to this box. */
 uint64_t memb_count_serving(const struct memb *);
 
-/* Gates that serve in the fleet, ours counted, as far as hubs have told. */
+/*
+ * Returns the number of serving gates of the fleet, by this box's knowledge
+ * and that of the hubs.  Always counts the gate of this box.
+ */
 uint64_t memb_fleet(struct memb *);
 
-/* Is a box, ours or another one, a hub of its hall? */
+/* Returns whether a box, which may be this one, is a hub of its hall. */
 bool memb_is_hub(struct memb *, struct str box);
 
-/* Has our box half the power of its hall's strongest, or more? */
+/* Returns whether this box is a strong one, see MEMB_STRONG_RATIO. */
 bool memb_is_strong(struct memb *);
 
-/* Hubs alive in all halls, ours among them if it is one. */
+/* Returns the number of live hubs of all halls, including this box. */
 size_t memb_count_hubs(struct memb *);
 
-/* Does the platform answer any hub, as far as hubs have told? */
+/* Returns whether the platform answers any hub, by the state that they sent. */
 bool memb_has_seeing_hub(struct memb *);
 
-/* The hubs of a hall in their order; how many there are. */
+/* Stores the hubs of a hall, ordered by rank, and returns their number. */
 size_t
 memb_hubs(struct memb *, struct str hall, const struct memb_info *[MEMB_HUBS]);
 
 /*
- * Must a box know of a member?  Hubs are everybody's concern; leaves are that
- * of the hubs of their hall.
+ * Returns whether the box `to` must know of a member: all boxes must know the
+ * hubs, and the hubs of a hall must know its leaves.
  */
 bool memb_concerns(
     struct memb *, const struct memb_member *to, const struct memb_member *);
 
 /*
- * Is it one to put on a list for others: alive, or a hub that is not any more,
- * as others have to hear of that too?
+ * Returns whether a member belongs on a list sent to other boxes: it is alive,
+ * or it was a hub and others have to learn that it died or left.
  */
 bool memb_is_worth_listing(const struct memb *, const struct memb_member *);
 
+/* Returns NULL if the box is not known, or is this box. */
 const struct memb_member *memb_find(const struct memb *, struct str box);
 
 /*
- * Is our box among the k hubs that come first for a key, by highest random
- * weight over the hubs of `hall` that are alive (of all, if hall is empty)?
- * Needs no agreement: boxes that see other lists may both think so.
+ * Returns whether this box is among the first k hubs for a key, by highest
+ * random weight over the live hubs of `hall`, or of all halls if `hall` is
+ * empty.  This needs no agreement, so that more than k boxes may get true
+ * while they know different hubs.
  */
 bool memb_is_first(struct memb *, struct str key, struct str hall, int k);
 
 /*
- * Is a box one of the k that watch the platform for the fleet?  The first hub
- * of each hall goes before the second of any.  Where the platform answers too
- * few of these, the next hubs that it answers watch as well.
+ * Returns whether a box is one of the k that watch the platform for the fleet.
+ * Hubs are chosen by rank: the first hubs of all halls, then the second ones,
+ * and so on.  If the platform answers fewer than MEMB_SEEING_MIN of them, the
+ * next hubs that it answers watch as well.
  */
 bool memb_watches(struct memb *, struct str box, int k);
 
-/* Is there news that a box, which may be NULL, has not been told? */
+/* Returns whether updates remain to be relayed to a box; it may be NULL. */
 bool memb_has_news(struct memb *, const struct memb_member *to);
 
-/* The weight of a box for a key, as memb_is_first() ranks them. */
+/* Returns the weight of a box for a key, by which memb_is_first() orders. */
 uint64_t memb_weight(struct str key, struct str box);
 
 /*
- * Up to n members worth passing on to a box: what is held of that box itself
- * if that is not its own word, then news, then one at random; only such as
- * concern it.
+ * Stores up to n members to relay to a box and returns their number.  First
+ * comes the box's own entry if it is held dead here, so that it can refute
+ * that, then updates that remain to be relayed, and if there are none of either
+ * a random member.  Only members that the box must know are stored.
  */
 size_t memb_news(struct memb *, const struct rnd *, struct str to,
     const struct memb_member **, size_t n);
 
+/* Copies the strings too; memb_info_clear() frees them. */
 void memb_info_copy(struct memb_info *, const struct memb_info *);
 void memb_info_clear(struct memb_info *);
 
