--- a/gossip.c
+++ b/gossip.c
@@ -11,72 +11,85 @@
 #include "gossip.h"
 
 enum {
-	GOSSIP_MEMBERS = 12, /* news in one hello */
-	SEEDS_ONE_IN = 10, /* of the fleet asks seeds in a round, at rest */
-	SEED_ROUNDS_MAX = 16, /* between questions to seeds that lead nowhere */
+	UPDATES_MAX = 12, /* updates about other boxes in one announcement */
+	/* One box of the fleet in this many contacts a seed in a round. */
+	SEED_REQUEST_ONE_IN = 10,
+	/* Maximum rounds between requests to seeds while no hub is found. */
+	SEED_ROUNDS_MAX = 16,
 	/*
-	 * Questions a second that a hub gets from leaves: with their answers
-	 * some 5 kB/s, of the 6 kB/s that a box may spend on control.
+	 * Requests a second that a hub gets from leaves.  With the answers
+	 * this takes about 5 kB/s of the 6 kB/s that a box may use for control
+	 * traffic.
 	 */
-	HUB_ASKED_MAX = 24,
-	GREET_NEAR_MAX =
-	    8, /* listed boxes of our hall that are asked at once */
-	GREET_FAR_MAX = 4, /* and, by strong boxes, of each other hall */
-	OTHERS_ASKED = 2, /* hubs of other halls at once where ours is silent */
-	LOST_MAX = 8, /* hubs that are dead for us, asked in one round */
-	ANNOUNCE_BATCH = 32 /* boxes told at once, before I/O gets its turn */
+	HUB_REQUESTS_PER_S = 24,
+	/* Listed boxes of our hall that are contacted at once. */
+	CONTACT_OWN_HALL_MAX = 8,
+	/* Listed boxes of each other hall that are contacted at once. */
+	CONTACT_OTHER_HALL_MAX = 4,
+	/* Hubs of other halls contacted at once if one of ours is silent. */
+	FALLBACK_REQUESTS = 2,
+	LOST_REQUESTS_MAX = 8, /* dead hubs contacted in one round */
+	/* Announcements sent in one go, before other I/O is handled. */
+	ANNOUNCE_BATCH = 32
 };
 
-/* Boxes that are there answer sooner than this. */
-#define ANSWERS_NS (300 * NS_MS)
-/* Those of our hall, and then two of others, had their time to answer. */
-#define UNATTENDED_NS (2 * ANSWERS_NS)
-/* A platform that has not listed boxes by then may be away. */
-#define UNLISTED_NS (2 * NS_S)
-/* The first list after one that showed no hub of our hall; then doubled. */
+/* A live box answers a request within this time. */
+#define ANSWER_WAIT_NS (300 * NS_MS)
+/* Both a request in our hall and those to other halls went unanswered. */
+#define UNATTENDED_NS (2 * ANSWER_WAIT_NS)
+/* If the platform has not listed boxes by then, it may be unreachable. */
+#define LIST_WAIT_NS (2 * NS_S)
+/* Delay before listing again if no hub of our hall is known; then doubled. */
 #define RELIST_NS (1 * NS_S)
 #define RELIST_MAX_NS (16 * NS_S)
 #define ANNOUNCE_GAP_NS (20 * NS_MS)
 /*
- * Where the platform lists nobody a box cannot know whether it is a strong
- * one.  It waits for stronger ones, the longer the weaker it is, so much for
- * each time that its power is missing to a whole processor.  A tenth then
- * waits for 3.6 s, which is more than stale lists are behind; with it, of 473
- * boxes of a tenth and a half of a processor that start together, only the
- * strong ones write to the platform and list backend servers.
+ * If the platform lists no other box of the hall, a box cannot know if it is a
+ * strong one, and waits for stronger ones to announce themselves.  A box with
+ * the fraction p of a processor waits for POWER_WAIT_NS * (1 / p - 1).  A box
+ * with a tenth of a processor waits for 3.6 s, longer than a stale list lags
+ * behind, so that only strong boxes write to the platform and list backend
+ * servers when boxes of mixed power start together.
  */
-#define PATIENCE_NS (400 * NS_MS)
-#define PATIENCE_MAX_NS (5 * NS_S)
+#define POWER_WAIT_NS (400 * NS_MS)
+#define POWER_WAIT_MAX_NS (5 * NS_S)
 
 struct gossip {
 	struct gossip_ops ops;
-	struct gossip_set set;
+	struct gossip_set settings;
 	struct memb *memb;
 	const struct clk *clk;
 	const struct rnd *rnd;
+	/* All times are monotonic ns. */
 	int64_t started;
-	int64_t round_at; /* the next round, or a look whether it is due */
-	int64_t turn_at; /* our turn among the leaves of the hall */
-	int64_t answer_at; /* then a leaf asks elsewhere; 0: it need not */
-	int64_t waits_since; /* for a word of a hub that sees; 0: not */
-	int64_t blind_at; /* the last word of a blind hub; 0: none */
+	int64_t round_at; /* when to check if a round is due */
+	int64_t turn_at; /* when the next round is due */
+	/* When to send requests to other halls instead; 0: not needed. */
+	int64_t fallback_at;
+	/*
+	 * Since when this box waits for a message of a hub that the platform
+	 * answers; 0: it does not.
+	 */
+	int64_t awaiting_hub_since;
+	/* Last message of a hub that the platform does not answer; 0: none. */
+	int64_t platform_down_reported;
 	unsigned rounds;
-	unsigned seeds_at; /* the round in which seeds are asked next */
-	unsigned seeds_gap; /* rounds until the time after that */
-	/* The list of boxes. */
-	int64_t list_at; /* 0: is being fetched, or is not needed */
+	unsigned seed_round; /* in which a seed is contacted next */
+	unsigned seed_round_gap; /* rounds from then to the next time */
+	/* The platform's list of boxes. */
+	int64_t list_at; /* 0: it is being listed, or is not needed */
 	int64_t list_gap;
-	bool fetching;
-	bool listed; /* it has been read */
-	bool known; /* it named others of our hall */
-	/* The first questions. */
-	GHashTable *greeted; /* char * box: was asked */
-	int64_t greeted_at; /* 0: no answer is waited for */
-	int64_t settle_at; /* then we go on with whom we know */
+	bool listing;
+	bool list_received; /* at least once */
+	bool hall_listed; /* it contained other boxes of our hall */
+	/* The discovery at the start. */
+	GHashTable *contacted; /* set of char *, names of boxes */
+	int64_t contacted_at; /* 0: no answers are waited for */
+	int64_t settle_at; /* when the discovery ends at the latest */
 	bool settled;
-	/* Our word of this beat is for all whom it concerns. */
+	/* Incarnation of our state that all who must know it are sent. */
 	uint64_t announced;
-	int64_t announce_at; /* 0: all have been told */
+	int64_t announce_at; /* 0: it was sent to all of them */
 };
 
 struct gossip *
@@ -90,10 +103,10 @@
 	g->clk = clk;
 	g->rnd = rnd;
 	g->started = g->round_at = g->list_at = clk_ns(clk);
-	g->settle_at = g->started + UNLISTED_NS;
+	g->settle_at = g->started + LIST_WAIT_NS;
 	g->list_gap = RELIST_NS;
-	g->seeds_gap = 1;
-	g->greeted =
+	g->seed_round_gap = 1;
+	g->contacted =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return g;
 }
@@ -101,18 +114,18 @@
 void
 gossip_free(struct gossip *g)
 {
-	g_hash_table_destroy(g->greeted);
+	g_hash_table_destroy(g->contacted);
 	g_free(g);
 }
 
 void
-gossip_configure(struct gossip *g, const struct gossip_set *set)
+gossip_configure(struct gossip *g, const struct gossip_set *settings)
 {
-	g->set = *set;
+	g->settings = *settings;
 }
 
 static bool
-is_own_hub(struct gossip *g)
+self_is_hub(struct gossip *g)
 {
 	return memb_is_hub(g->memb, memb_self(g->memb)->box);
 }
@@ -123,47 +136,50 @@
 	return memb_self(g->memb)->hall;
 }
 
-/* Hubs of our hall beside ourselves. */
+/* Counts the other hubs of our hall. */
 static size_t
-count_near_hubs(struct gossip *g)
+count_other_hubs(struct gossip *g)
 {
 	const struct memb_info *hubs[MEMB_HUBS];
 
-	return memb_hubs(g->memb, own_hall(g), hubs) - is_own_hub(g);
+	return memb_hubs(g->memb, own_hall(g), hubs) - self_is_hub(g);
 }
 
 /*
- * Do we lack company: do we know no other hub of our hall, or only such as the
- * platform does not list?  Where all boxes start at once, leaves that have
- * heard of each other only would take each other for hubs.
+ * Returns whether this box knows no other hub of its hall that it can rely on:
+ * none at all, or none while the platform has listed no box of the hall.  If
+ * all boxes start at once, leaves that know only each other would consider each
+ * other hubs.
  */
 static bool
-is_lonely(struct gossip *g)
+lacks_listed_hub(struct gossip *g)
 {
-	return !g->known || count_near_hubs(g) == 0;
+	return !g->hall_listed || count_other_hubs(g) == 0;
 }
 
-/* What is sent. */
+/* Sending. */
 
-/* A question to a leaf does not lead to a word of the platform. */
+/* Starts waiting for a hub; a request to a leaf brings no such answer. */
 static void
-note_question(struct gossip *g, struct str box)
+start_hub_wait(struct gossip *g, struct str box)
 {
 	const struct memb_member *m = memb_find(g->memb, box);
 
-	if (g->waits_since == 0 && (m == NULL || m->strong))
-		g->waits_since = clk_ns(g->clk);
+	if (g->awaiting_hub_since == 0 && (m == NULL || m->strong))
+		g->awaiting_hub_since = clk_ns(g->clk);
 }
 
 static void
-send_hello(struct gossip *g, struct str to, struct str box, bool asks)
+send_announcement(
+    struct gossip *g, struct str to, struct str box, bool expects_reply)
 {
-	const struct memb_member *some[GOSSIP_MEMBERS];
-	struct memb_info infos[GOSSIP_MEMBERS];
-	struct msg_hello h = {.self = *memb_self(g->memb), .asks = asks};
+	const struct memb_member *some[UPDATES_MAX];
+	struct memb_info infos[UPDATES_MAX];
+	struct msg_hello h = {
+	    .self = *memb_self(g->memb), .asks = expects_reply};
 	size_t i, n;
 
-	n = memb_news(g->memb, g->rnd, box, some, GOSSIP_MEMBERS);
+	n = memb_news(g->memb, g->rnd, box, some, UPDATES_MAX);
 	for (i = 0; i < n; i++)
 		infos[i] = some[i]->info;
 	h.hubs = memb_digest_hubs(g->memb);
@@ -171,16 +187,17 @@
 	h.holds = g->ops.holds(g->ops.ctx);
 	h.others.items = infos;
 	h.others.n = n;
-	if (asks) {
+	if (expects_reply) {
 		memb_asked(g->memb, box, clk_ns(g->clk));
-		note_question(g, box);
+		start_hub_wait(g, box);
 	}
 	memb_told(g->memb, box);
 	g->ops.hello(g->ops.ctx, to, &h);
 }
 
 static void
-send_beat(struct gossip *g, struct str to, struct str box, bool asks)
+send_heartbeat(
+    struct gossip *g, struct str to, struct str box, bool expects_reply)
 {
 	const struct memb_info *self = memb_self(g->memb);
 	struct msg_beat b = {
@@ -190,54 +207,57 @@
 	    .hubs = memb_digest_hubs(g->memb),
 	    .near = memb_digest_hall(g->memb),
 	    .holds = g->ops.holds(g->ops.ctx),
-	    .asks = asks,
+	    .asks = expects_reply,
 	};
 
-	if (asks) {
+	if (expects_reply) {
 		memb_asked(g->memb, box, clk_ns(g->clk));
-		note_question(g, box);
+		start_hub_wait(g, box);
 	}
 	g->ops.beat(g->ops.ctx, to, &b);
 }
 
-/* Does a box know our present word, and have we nothing else to tell it? */
+/*
+ * Returns whether a box was sent our present state and no updates remain to be
+ * relayed to it.
+ */
 static bool
-beat_will_do(struct gossip *g, const struct memb_member *m)
+heartbeat_suffices(struct gossip *g, const struct memb_member *m)
 {
 	return memb_alive(m) && m->told == memb_self(g->memb)->beat &&
 	    !memb_has_news(g->memb, m);
 }
 
 static void
-ask_one(struct gossip *g, const struct memb_member *m)
+send_request(struct gossip *g, const struct memb_member *m)
 {
-	if (beat_will_do(g, m))
-		send_beat(g, m->info.inbox, m->info.box, true);
+	if (heartbeat_suffices(g, m))
+		send_heartbeat(g, m->info.inbox, m->info.box, true);
 	else
-		send_hello(g, m->info.inbox, m->info.box, true);
+		send_announcement(g, m->info.inbox, m->info.box, true);
 }
 
 static bool
-ask(struct gossip *g, enum memb_who who)
+request_random(struct gossip *g, enum memb_who who)
 {
 	const struct memb_member *m = memb_ask_next(g->memb, g->rnd, who);
 
 	if (m != NULL)
-		ask_one(g, m);
+		send_request(g, m);
 	return m != NULL;
 }
 
-/* Members that concern a box. */
-struct choice {
+/* Collects the members that a box must know. */
+struct relevant_members {
 	struct gossip *gossip;
 	const struct memb_member *to;
 	GArray *infos; /* struct memb_info */
 };
 
 static void
-choose(void *ctx, const struct memb_member *m)
+add_if_relevant(void *ctx, const struct memb_member *m)
 {
-	struct choice *c = ctx;
+	struct relevant_members *c = ctx;
 
 	if (m != c->to && memb_is_worth_listing(c->gossip->memb, m) &&
 	    memb_concerns(c->gossip->memb, c->to, m))
@@ -247,11 +267,11 @@
 static void
 send_members(struct gossip *g, struct str to, struct str box)
 {
-	struct choice c = {g, memb_find(g->memb, box),
+	struct relevant_members c = {g, memb_find(g->memb, box),
 	    g_array_new(FALSE, FALSE, sizeof(struct memb_info))};
 	struct msg_members list = {0};
 
-	memb_each(g->memb, choose, &c);
+	memb_each(g->memb, add_if_relevant, &c);
 	list.members.items = (struct memb_info *)c.infos->data;
 	list.members.n = c.infos->len;
 	if (list.members.n > 0)
@@ -259,63 +279,65 @@
 	g_array_free(c.infos, TRUE);
 }
 
-/* Rounds of questions. */
+/* Rounds of requests. */
 
 /*
- * One of the seeds is asked while we lack company and the platform's list had
- * time to come, each time later; and then so seldom that they get few
- * questions from the whole fleet.
+ * Returns whether a seed is to be contacted in this round.  While no reliable
+ * hub is known, this starts with the second round, so that the platform's list
+ * has time to arrive, and the gap doubles each time.  Later it is rare enough
+ * that seeds get few requests from the whole fleet.
  */
 static bool
-should_ask_seed(struct gossip *g)
+should_contact_seed(struct gossip *g)
 {
-	if (json_array_size(g->set.seeds) == 0 || g->rounds == 0)
+	if (json_array_size(g->settings.seeds) == 0 || g->rounds == 0)
 		return false;
-	if (!is_lonely(g)) {
-		g->seeds_gap = 1;
-		g->seeds_at = g->rounds;
-		return rnd_below(g->rnd, SEEDS_ONE_IN * memb_fleet(g->memb)) ==
-		    0;
+	if (!lacks_listed_hub(g)) {
+		g->seed_round_gap = 1;
+		g->seed_round = g->rounds;
+		return rnd_below(g->rnd,
+			   SEED_REQUEST_ONE_IN * memb_fleet(g->memb)) == 0;
 	}
-	if (g->rounds < g->seeds_at)
+	if (g->rounds < g->seed_round)
 		return false;
-	g->seeds_at = g->rounds + g->seeds_gap;
-	g->seeds_gap = MIN(g->seeds_gap * 2, SEED_ROUNDS_MAX);
+	g->seed_round = g->rounds + g->seed_round_gap;
+	g->seed_round_gap = MIN(g->seed_round_gap * 2, SEED_ROUNDS_MAX);
 	return true;
 }
 
 static void
-ask_seed(struct gossip *g)
+contact_seed(struct gossip *g)
 {
-	size_t n = json_array_size(g->set.seeds);
+	size_t n = json_array_size(g->settings.seeds);
 	struct str seed;
 
-	if (!should_ask_seed(g))
+	if (!should_contact_seed(g))
 		return;
 	seed = str_c(json_string_value(
-	    json_array_get(g->set.seeds, rnd_below(g->rnd, n))));
+	    json_array_get(g->settings.seeds, rnd_below(g->rnd, n))));
 	if (!str_eq(seed, memb_self(g->memb)->inbox))
-		send_hello(g, seed, str_c(NULL), true);
+		send_announcement(g, seed, str_c(NULL), true);
 }
 
 /*
- * Hubs that are dead for us may be back, or it was we that were cut off: one of
- * each hall is asked in each round, so that they are known again within some
- * seconds of their return.
+ * Contacts one dead hub of each hall.  They may have returned, or this box may
+ * have been cut off from them.  As this happens in each round, they are known
+ * again within a few seconds of their return.
  */
 static void
-ask_lost(struct gossip *g)
+contact_lost(struct gossip *g)
 {
-	const struct memb_member *some[LOST_MAX];
-	size_t n = memb_ask_lost(g->memb, g->rnd, some, LOST_MAX), i;
+	const struct memb_member *some[LOST_REQUESTS_MAX];
+	size_t n = memb_ask_lost(g->memb, g->rnd, some, LOST_REQUESTS_MAX), i;
 
 	for (i = 0; i < n; i++)
-		send_hello(g, some[i]->info.inbox, some[i]->info.box, true);
+		send_announcement(
+		    g, some[i]->info.inbox, some[i]->info.box, true);
 }
 
-/* How many gates serve in our hall is told when it has changed by a quarter. */
+/* Publishes the serving gates of our hall if they changed by over a quarter. */
 static void
-tell_crowd(struct gossip *g)
+update_serving_gates(struct gossip *g)
 {
 	struct memb_info *self = memb_self(g->memb);
 	uint64_t crowd = memb_count_serving(g->memb);
@@ -341,49 +363,50 @@
 }
 
 /*
- * The leaves of a hall take turns, so that its hubs get no more questions than
- * they can answer beside their work.
+ * Returns the interval between rounds.  Leaves stretch it so that all leaves of
+ * a hall together send its hubs at most HUB_REQUESTS_PER_S each.
  */
 static int64_t
-round_gap(struct gossip *g)
+round_interval(struct gossip *g)
 {
-	size_t n = count_near_hubs(g) + is_own_hub(g);
+	size_t n = count_other_hubs(g) + self_is_hub(g);
 	uint64_t crowd = gossip_crowd(g);
-	uint64_t may = (uint64_t)MAX(n, 1u) * HUB_ASKED_MAX;
+	uint64_t rate_max = (uint64_t)MAX(n, 1u) * HUB_REQUESTS_PER_S;
 
-	if (is_own_hub(g) || crowd <= may)
-		return g->set.hello_ns;
-	return (int64_t)((double)g->set.hello_ns * (double)crowd / (double)may);
+	if (self_is_hub(g) || crowd <= rate_max)
+		return g->settings.hello_ns;
+	return (int64_t)((double)g->settings.hello_ns * (double)crowd /
+	    (double)rate_max);
 }
 
 static void
-round_due(struct gossip *g, int64_t now)
+run_round(struct gossip *g, int64_t now)
 {
-	bool hub, near;
+	bool is_hub, sent_to_hub;
 
-	g->round_at = now + rnd_jitter(g->rnd, g->set.hello_ns);
-	/* No turn is waited for while a hub of our hall is silent. */
+	g->round_at = now + rnd_jitter(g->rnd, g->settings.hello_ns);
+	/* The turn does not matter while a hub of our hall is silent. */
 	if (now < g->turn_at && memb_waits_near(g->memb) == 0) {
 		g->round_at = g->turn_at;
 		return;
 	}
-	hub = is_own_hub(g);
-	near = ask(g, MEMB_NEAR_HUB);
-	if (hub)
-		ask(g, MEMB_NEAR_LEAF);
-	if (hub || !near)
-		ask(g, MEMB_FAR_HUB);
+	is_hub = self_is_hub(g);
+	sent_to_hub = request_random(g, MEMB_NEAR_HUB);
+	if (is_hub)
+		request_random(g, MEMB_NEAR_LEAF);
+	if (is_hub || !sent_to_hub)
+		request_random(g, MEMB_FAR_HUB);
 	else
-		g->answer_at = now + ANSWERS_NS;
-	if (hub)
-		ask_lost(g);
-	ask_seed(g);
-	if (hub)
-		tell_crowd(g);
-	if (g->list_at == 0 && !g->fetching && is_lonely(g))
+		g->fallback_at = now + ANSWER_WAIT_NS;
+	if (is_hub)
+		contact_lost(g);
+	contact_seed(g);
+	if (is_hub)
+		update_serving_gates(g);
+	if (g->list_at == 0 && !g->listing && lacks_listed_hub(g))
 		g->list_at = now + rnd_jitter(g->rnd, g->list_gap);
 	g->rounds++;
-	g->turn_at = now + rnd_jitter(g->rnd, round_gap(g));
+	g->turn_at = now + rnd_jitter(g->rnd, round_interval(g));
 	g->round_at = MIN(g->round_at, g->turn_at);
 }
 
@@ -392,20 +415,21 @@
 {
 	int64_t since = memb_waits_near(g->memb);
 
-	return since != 0 && clk_ns(g->clk) - since >= ANSWERS_NS;
+	return since != 0 && clk_ns(g->clk) - since >= ANSWER_WAIT_NS;
 }
 
 bool
 gossip_is_unattended(const struct gossip *g)
 {
-	return g->waits_since != 0 &&
-	    clk_ns(g->clk) - g->waits_since >= UNATTENDED_NS;
+	return g->awaiting_hub_since != 0 &&
+	    clk_ns(g->clk) - g->awaiting_hub_since >= UNATTENDED_NS;
 }
 
 bool
 gossip_hubs_are_blind(const struct gossip *g)
 {
-	return g->blind_at != 0 && g->blind_at >= g->waits_since;
+	return g->platform_down_reported != 0 &&
+	    g->platform_down_reported >= g->awaiting_hub_since;
 }
 
 void
@@ -415,61 +439,61 @@
 }
 
 /*
- * Hubs that stand still hand nothing on, and count as dead after three seconds
- * only: until then a leaf whose hub does not answer asks those of other halls,
- * a few at a time until one answers, as they may stand still as well.
- * Failure prevented: with both hubs of a hall frozen a rule reached its leaves
- * 2.7 s after its acknowledgement; with it all of 72 leaves hear of it within
- * two seconds (300 boxes, in virtual time).
+ * Sends requests to hubs of other halls, a few at a time until one answers, if
+ * a hub of our hall does not answer.  Frozen hubs relay nothing, and are
+ * declared dead only after three seconds: without this, changes of the
+ * configuration reached the leaves of a hall with frozen hubs 2.7 s after they
+ * were acknowledged, instead of within two seconds.
  */
 static void
-answer_due(struct gossip *g, int64_t now)
+run_fallback(struct gossip *g, int64_t now)
 {
 	const struct memb_member *m;
 	unsigned i;
 
-	g->answer_at = 0;
+	g->fallback_at = 0;
 	if (!gossip_is_left_alone(g))
 		return;
-	for (i = 0; i < OTHERS_ASKED; i++) {
+	for (i = 0; i < FALLBACK_REQUESTS; i++) {
 		m = memb_ask_other(g->memb, g->rnd, MEMB_FAR_HUB);
 		if (m == NULL)
 			return;
-		ask_one(g, m);
-		g->answer_at = now + ANSWERS_NS;
+		send_request(g, m);
+		g->fallback_at = now + ANSWER_WAIT_NS;
 	}
 }
 
-/* A box of another hall has answered. */
+/* Ends the fallback to other halls if a box of one of them has answered. */
 static void
-note_answer(struct gossip *g, struct str box)
+end_fallback(struct gossip *g, struct str box)
 {
 	const struct memb_member *m = memb_find(g->memb, box);
 
 	if (m != NULL && !str_eq(m->info.hall, own_hall(g)))
-		g->answer_at = 0;
+		g->fallback_at = 0;
 }
 
-/* The first questions, to those that the platform lists. */
+/* Discovery: the first requests, to boxes that the platform lists. */
 
-struct greeting {
+struct discovery {
 	struct gossip *gossip;
 	GPtrArray *boxes; /* const struct memb_member * */
-	bool near; /* some of them are in our hall */
+	bool has_own_hall; /* some of them are in our hall */
 };
 
 static void
-gather(void *ctx, const struct memb_member *m)
+add_candidate(void *ctx, const struct memb_member *m)
 {
-	struct greeting *gr = ctx;
-	struct gossip *g = gr->gossip;
+	struct discovery *disc = ctx;
+	struct gossip *g = disc->gossip;
 
 	if (!m->listed || !m->strong || m->heard != 0 || m->info.leaving ||
 	    m->info.inbox.n == 0 ||
-	    g_hash_table_contains(g->greeted, m->info.box.p))
+	    g_hash_table_contains(g->contacted, m->info.box.p))
 		return;
-	gr->near = gr->near || str_eq(m->info.hall, own_hall(g));
-	g_ptr_array_add(gr->boxes, (void *)m);
+	disc->has_own_hall =
+	    disc->has_own_hall || str_eq(m->info.hall, own_hall(g));
+	g_ptr_array_add(disc->boxes, (void *)m);
 }
 
 static int
@@ -480,7 +504,7 @@
 	return (*a)->weight > (*b)->weight ? -1 : (*a)->weight < (*b)->weight;
 }
 
-/* Boxes that were asked in one hall. */
+/* Number of boxes contacted in one hall. */
 struct quota {
 	struct str hall;
 	unsigned n;
@@ -500,127 +524,135 @@
 }
 
 /*
- * May one more box of a hall be asked now?  Those that will be leaves ask
- * others only where their hall has none that is listed.
+ * Counts a box and returns whether it may be contacted now.  Leaves contact
+ * boxes of other halls only if the list has none of their own hall.
  */
 static bool
-takes(const struct greeting *gr, GArray *quotas, const struct memb_member *m)
+use_quota(
+    const struct discovery *disc, GArray *quotas, const struct memb_member *m)
 {
-	struct gossip *g = gr->gossip;
-	bool near = str_eq(m->info.hall, own_hall(g));
-	unsigned most = near ? GREET_NEAR_MAX : GREET_FAR_MAX;
+	struct gossip *g = disc->gossip;
+	bool in_own_hall = str_eq(m->info.hall, own_hall(g));
+	unsigned max =
+	    in_own_hall ? CONTACT_OWN_HALL_MAX : CONTACT_OTHER_HALL_MAX;
 	unsigned *n = quota_of(quotas, m->info.hall);
 
-	if (*n >= most || (!near && gr->near && !is_own_hub(g)))
+	if (*n >= max ||
+	    (!in_own_hall && disc->has_own_hall && !self_is_hub(g)))
 		return false;
 	++*n;
 	return true;
 }
 
 static void
-greet(struct gossip *g)
+contact_listed(struct gossip *g)
 {
-	struct greeting gr = {g, g_ptr_array_new(), false};
+	struct discovery disc = {g, g_ptr_array_new(), false};
 	GArray *quotas = g_array_new(FALSE, FALSE, sizeof(struct quota));
 	int64_t now = clk_ns(g->clk);
 	const struct memb_member *m;
 	guint i;
 
-	is_own_hub(g); /* finds out who is strong */
-	memb_each(g->memb, gather, &gr);
-	g_ptr_array_sort(gr.boxes, by_weight);
-	g->greeted_at = 0;
-	for (i = 0; i < gr.boxes->len; i++) {
-		m = g_ptr_array_index(gr.boxes, i);
-		if (!takes(&gr, quotas, m))
+	self_is_hub(g); /* updates `strong` of all members */
+	memb_each(g->memb, add_candidate, &disc);
+	g_ptr_array_sort(disc.boxes, by_weight);
+	g->contacted_at = 0;
+	for (i = 0; i < disc.boxes->len; i++) {
+		m = g_ptr_array_index(disc.boxes, i);
+		if (!use_quota(&disc, quotas, m))
 			continue;
 		g_hash_table_add(
-		    g->greeted, g_strndup(m->info.box.p, m->info.box.n));
-		send_hello(g, m->info.inbox, m->info.box, true);
-		g->greeted_at = now;
+		    g->contacted, g_strndup(m->info.box.p, m->info.box.n));
+		send_announcement(g, m->info.inbox, m->info.box, true);
+		g->contacted_at = now;
 	}
 	g_array_free(quotas, TRUE);
-	g_ptr_array_free(gr.boxes, TRUE);
+	g_ptr_array_free(disc.boxes, TRUE);
 }
 
 unsigned
 gossip_asked(const struct gossip *g)
 {
-	return g_hash_table_size(g->greeted);
+	return g_hash_table_size(g->contacted);
 }
 
 static void
-count_heard(void *ctx, const struct memb_member *m)
+count_known(void *ctx, const struct memb_member *m)
 {
 	*(unsigned *)ctx += m->heard != 0;
 }
 
-/* Have half of those that were asked told of themselves, if any? */
+/*
+ * Ends the discovery once the list was received and at least half as many boxes
+ * are known as were contacted.
+ */
 static void
-look_settled(struct gossip *g)
+check_settled(struct gossip *g)
 {
-	unsigned heard = 0, asked = gossip_asked(g);
+	unsigned known = 0, asked = gossip_asked(g);
 
-	if (g->settled || !g->listed)
+	if (g->settled || !g->list_received)
 		return;
-	memb_each(g->memb, count_heard, &heard);
-	g->settled = heard * 2 >= asked;
+	memb_each(g->memb, count_known, &known);
+	g->settled = known * 2 >= asked;
 }
 
-/* Where no hub of our hall has answered, others that are listed are asked. */
+/* Contacts further listed boxes if no hub of our hall has answered. */
 static void
-answers_due(struct gossip *g)
+contact_more(struct gossip *g)
 {
-	g->greeted_at = 0;
-	if (count_near_hubs(g) == 0)
-		greet(g);
+	g->contacted_at = 0;
+	if (count_other_hubs(g) == 0)
+		contact_listed(g);
 }
 
 static void
-name_near(void *ctx, const struct memb_member *m)
+note_own_hall_listed(void *ctx, const struct memb_member *m)
 {
 	struct gossip *g = ctx;
 
-	g->known = g->known || (m->listed && str_eq(m->info.hall, own_hall(g)));
+	g->hall_listed =
+	    g->hall_listed || (m->listed && str_eq(m->info.hall, own_hall(g)));
 }
 
 /*
- * Those that watch list anew now and then; the rest only while they lack
- * company.
+ * Schedules the next listing of the platform's boxes.  Hubs list periodically,
+ * watchers most often; leaves list only while they know no reliable hub.
  */
 static void
-plan_list(struct gossip *g)
+schedule_list(struct gossip *g)
 {
 	int64_t in;
 
 	g->list_at = 0;
-	if (is_lonely(g)) {
-		in = MIN(g->list_gap, g->set.list_ns);
+	if (lacks_listed_hub(g)) {
+		in = MIN(g->list_gap, g->settings.list_ns);
 		g->list_gap = MIN(g->list_gap * 2, RELIST_MAX_NS);
 		g->list_at = clk_ns(g->clk) + rnd_jitter(g->rnd, in);
 		return;
 	}
 	g->list_gap = RELIST_NS;
-	if (!is_own_hub(g))
+	if (!self_is_hub(g))
 		return;
-	in = memb_watches(g->memb, memb_self(g->memb)->box, g->set.watchers)
-	    ? g->set.list_ns
-	    : g->set.list_other_ns;
+	in =
+	    memb_watches(g->memb, memb_self(g->memb)->box, g->settings.watchers)
+	    ? g->settings.list_ns
+	    : g->settings.list_other_ns;
 	g->list_at = clk_ns(g->clk) + rnd_jitter(g->rnd, in);
 }
 
 void
 gossip_listed(struct gossip *g)
 {
-	g->fetching = false;
-	g->listed = true;
-	memb_each(g->memb, name_near, g);
+	g->listing = false;
+	g->list_received = true;
+	memb_each(g->memb, note_own_hall_listed, g);
 	if (!g->settled)
-		g->settle_at = clk_ns(g->clk) + ANSWERS_NS;
-	if (!g->settled || count_near_hubs(g) == 0)
-		greet(g);
-	look_settled(g);
-	plan_list(g);
+		g->settle_at = clk_ns(g->clk) + ANSWER_WAIT_NS;
+	if (!g->settled || count_other_hubs(g) == 0)
+		contact_listed(g);
+	check_settled(g);
+	schedule_list(g);
 }
 
 bool
@@ -633,54 +665,56 @@
 gossip_knows_power(const struct gossip *g)
 {
 	double power = (double)memb_self(g->memb)->power / MEMB_POWER_UNIT;
-	double patience = (double)PATIENCE_MAX_NS;
+	double wait = (double)POWER_WAIT_MAX_NS;
 
 	if (power > 0)
-		patience = CLAMP((double)PATIENCE_NS * (1 / power - 1), 0,
-		    (double)PATIENCE_MAX_NS);
-	return g->known || clk_ns(g->clk) >= g->started + (int64_t)patience;
+		wait = CLAMP((double)POWER_WAIT_NS * (1 / power - 1), 0,
+		    (double)POWER_WAIT_MAX_NS);
+	return g->hall_listed || clk_ns(g->clk) >= g->started + (int64_t)wait;
 }
 
 bool
 gossip_is_hub(struct gossip *g)
 {
-	return is_own_hub(g) && gossip_knows_power(g);
+	return self_is_hub(g) && gossip_knows_power(g);
 }
 
-/* Announcements. */
+/* Announcements of a changed state. */
 
-struct audience {
+struct announce_targets {
 	struct gossip *gossip;
 	GPtrArray *boxes; /* const struct memb_member * */
-	bool hub; /* we are one */
+	bool self_is_hub;
 };
 
 static void
-invite(void *ctx, const struct memb_member *m)
+add_target(void *ctx, const struct memb_member *m)
 {
-	struct audience *au = ctx;
-	struct gossip *g = au->gossip;
-	bool near = str_eq(m->info.hall, own_hall(g));
-	bool concerned = au->hub ? near || m->rank >= 0 : near && m->rank >= 0;
+	struct announce_targets *targets = ctx;
+	struct gossip *g = targets->gossip;
+	bool in_own_hall = str_eq(m->info.hall, own_hall(g));
+	bool must_know = targets->self_is_hub ? in_own_hall || m->rank >= 0
+					      : in_own_hall && m->rank >= 0;
 
-	if (memb_alive(m) && concerned && m->told < g->announced)
-		g_ptr_array_add(au->boxes, (void *)m);
+	if (memb_alive(m) && must_know && m->told < g->announced)
+		g_ptr_array_add(targets->boxes, (void *)m);
 }
 
 static void
-announce_due(struct gossip *g, int64_t now, guint most)
+send_announcements(struct gossip *g, int64_t now, guint max)
 {
-	struct audience au = {g, g_ptr_array_new(), is_own_hub(g)};
+	struct announce_targets targets = {
+	    g, g_ptr_array_new(), self_is_hub(g)};
 	const struct memb_member *m;
 	guint i;
 
-	memb_each(g->memb, invite, &au);
-	for (i = 0; i < MIN(au.boxes->len, most); i++) {
-		m = g_ptr_array_index(au.boxes, i);
-		send_hello(g, m->info.inbox, m->info.box, false);
+	memb_each(g->memb, add_target, &targets);
+	for (i = 0; i < MIN(targets.boxes->len, max); i++) {
+		m = g_ptr_array_index(targets.boxes, i);
+		send_announcement(g, m->info.inbox, m->info.box, false);
 	}
-	g->announce_at = au.boxes->len > most ? now + ANNOUNCE_GAP_NS : 0;
-	g_ptr_array_free(au.boxes, TRUE);
+	g->announce_at = targets.boxes->len > max ? now + ANNOUNCE_GAP_NS : 0;
+	g_ptr_array_free(targets.boxes, TRUE);
 }
 
 void
@@ -691,59 +725,64 @@
 	g->announced = memb_self(g->memb)->beat;
 	g->announce_at = now;
 	if (at_once)
-		announce_due(g, now, G_MAXUINT);
+		send_announcements(g, now, G_MAXUINT);
 }
 
-/* Boxes that are new to us have not heard what was announced before. */
+/* Sends the announced state to newly known boxes, too. */
 static void
-announce_to_new(struct gossip *g)
+announce_to_new_boxes(struct gossip *g)
 {
 	if (g->announced > 0 && g->announce_at == 0)
 		g->announce_at = clk_ns(g->clk) + ANNOUNCE_GAP_NS;
 }
 
-/* What comes in. */
+/* Receiving. */
 
 /*
- * A hub that the platform answers knows what there is.  Where no hub is left
- * that it answers, the word of one tells us at once.
+ * Evaluates a message of a hub.  A hub that the platform answers ends the wait
+ * for one.  If the hub reports that the platform does not answer, and no other
+ * hub is known that it answers, the wait starts at once.
  */
 static void
-note_word(struct gossip *g, const struct memb_info *box)
+note_hub_state(struct gossip *g, const struct memb_info *box)
 {
 	if (!memb_is_hub(g->memb, box->box))
 		return;
 	if (!box->blind) {
-		g->waits_since = 0;
+		g->awaiting_hub_since = 0;
 		return;
 	}
-	g->blind_at = clk_ns(g->clk);
-	if (g->waits_since == 0 && !memb_has_seeing_hub(g->memb))
-		g->waits_since = g->blind_at;
+	g->platform_down_reported = clk_ns(g->clk);
+	if (g->awaiting_hub_since == 0 && !memb_has_seeing_hub(g->memb))
+		g->awaiting_hub_since = g->platform_down_reported;
 }
 
 static bool
-take_infos(struct gossip *g, const struct msg_list *list)
+merge_updates(struct gossip *g, const struct msg_list *list)
 {
 	const struct memb_info *infos = list->items;
 	int64_t now = clk_ns(g->clk);
-	bool news = false;
+	bool changed = false;
 	size_t i;
 
 	for (i = 0; i < list->n; i++)
-		news = memb_heard(g->memb, &infos[i], now) || news;
-	return news;
+		changed = memb_heard(g->memb, &infos[i], now) || changed;
+	return changed;
 }
 
-/* Does a box know otherwise than we do what it should know? */
+/*
+ * Returns whether the digests of a box differ from ours.  Those of the hall
+ * count between two hubs of one hall only.
+ */
 static bool
-differs(
-    struct gossip *g, const struct memb_info *box, uint64_t hubs, uint64_t near)
+digests_differ(struct gossip *g, const struct memb_info *box,
+    uint64_t hubs_digest, uint64_t hall_digest)
 {
-	if (hubs != memb_digest_hubs(g->memb))
+	if (hubs_digest != memb_digest_hubs(g->memb))
 		return true;
-	return is_own_hub(g) && str_eq(box->hall, own_hall(g)) &&
-	    memb_is_hub(g->memb, box->box) && near != memb_digest_hall(g->memb);
+	return self_is_hub(g) && str_eq(box->hall, own_hall(g)) &&
+	    memb_is_hub(g->memb, box->box) &&
+	    hall_digest != memb_digest_hall(g->memb);
 }
 
 void
@@ -751,26 +790,26 @@
 {
 	int64_t now = clk_ns(g->clk);
 	const struct memb_member *m;
-	bool news;
+	bool changed;
 
 	memb_answered(g->memb, h->self.box, now);
-	note_answer(g, h->self.box);
-	news = memb_heard(g->memb, &h->self, now);
-	news = take_infos(g, &h->others) || news;
-	note_word(g, &h->self);
+	end_fallback(g, h->self.box);
+	changed = memb_heard(g->memb, &h->self, now);
+	changed = merge_updates(g, &h->others) || changed;
+	note_hub_state(g, &h->self);
 	m = memb_find(g->memb, h->self.box);
 	if (h->asks || (m != NULL && m->told == 0))
-		send_hello(g, from, h->self.box, false);
-	if (differs(g, &h->self, h->hubs, h->near))
+		send_announcement(g, from, h->self.box, false);
+	if (digests_differ(g, &h->self, h->hubs, h->near))
 		send_members(g, from, h->self.box);
-	if (news)
-		announce_to_new(g);
-	look_settled(g);
+	if (changed)
+		announce_to_new_boxes(g);
+	check_settled(g);
 }
 
 /*
- * The sender is known, and nothing has changed there or here: another beat is
- * answer enough.  Else hellos tell what has.
+ * A heartbeat suffices as answer if the sender is known and nothing has changed
+ * on either side.  Otherwise full announcements are exchanged.
  */
 void
 gossip_take_beat(struct gossip *g, struct str from, const struct msg_beat *b)
@@ -778,40 +817,41 @@
 	const struct memb_member *m = memb_find(g->memb, b->box);
 
 	memb_answered(g->memb, b->box, clk_ns(g->clk));
-	note_answer(g, b->box);
+	end_fallback(g, b->box);
 	if (m != NULL && memb_alive(m))
-		note_word(g, &m->info);
+		note_hub_state(g, &m->info);
 	if (m == NULL || !memb_alive(m) || m->info.boot != b->boot ||
-	    m->info.beat != b->beat || differs(g, &m->info, b->hubs, b->near))
-		send_hello(g, from, b->box, true);
-	else if (b->asks && beat_will_do(g, m))
-		send_beat(g, from, b->box, false);
+	    m->info.beat != b->beat ||
+	    digests_differ(g, &m->info, b->hubs, b->near))
+		send_announcement(g, from, b->box, true);
+	else if (b->asks && heartbeat_suffices(g, m))
+		send_heartbeat(g, from, b->box, false);
 	else if (b->asks)
-		send_hello(g, from, b->box, false);
+		send_announcement(g, from, b->box, false);
 }
 
 void
 gossip_take_members(struct gossip *g, const struct msg_members *list)
 {
-	if (take_infos(g, &list->members))
-		announce_to_new(g);
-	look_settled(g);
+	if (merge_updates(g, &list->members))
+		announce_to_new_boxes(g);
+	check_settled(g);
 }
 
 static int64_t
-sooner(int64_t a, int64_t b)
+earlier(int64_t a, int64_t b)
 {
 	return b == 0 ? a : MIN(a, b);
 }
 
-/* Company may have come since the list was planned. */
+/* The list may no longer be needed, as a hub became known meanwhile. */
 static void
-list_due(struct gossip *g)
+start_list(struct gossip *g)
 {
 	g->list_at = 0;
-	if (!is_lonely(g) && !is_own_hub(g))
+	if (!lacks_listed_hub(g) && !self_is_hub(g))
 		return;
-	g->fetching = true;
+	g->listing = true;
 	g->ops.list(g->ops.ctx);
 }
 
@@ -821,8 +861,8 @@
 	const struct memb_member *m = memb_find(g->memb, box);
 
 	if (m != NULL && memb_alive(m) && m->asked == 0)
-		send_hello(g, m->info.inbox, m->info.box, true);
-	g->round_at = MIN(g->round_at, clk_ns(g->clk) + g->set.hello_ns);
+		send_announcement(g, m->info.inbox, m->info.box, true);
+	g->round_at = MIN(g->round_at, clk_ns(g->clk) + g->settings.hello_ns);
 }
 
 int64_t
@@ -831,21 +871,21 @@
 	int64_t now = clk_ns(g->clk), next;
 
 	if (now >= g->round_at)
-		round_due(g, now);
-	if (g->answer_at != 0 && now >= g->answer_at)
-		answer_due(g, now);
-	if (g->greeted_at != 0 && now >= g->greeted_at + ANSWERS_NS)
-		answers_due(g);
+		run_round(g, now);
+	if (g->fallback_at != 0 && now >= g->fallback_at)
+		run_fallback(g, now);
+	if (g->contacted_at != 0 && now >= g->contacted_at + ANSWER_WAIT_NS)
+		contact_more(g);
 	g->settled = g->settled || now >= g->settle_at;
 	if (g->list_at != 0 && now >= g->list_at)
-		list_due(g);
+		start_list(g);
 	if (g->announce_at != 0 && now >= g->announce_at)
-		announce_due(g, now, ANNOUNCE_BATCH);
-	next = sooner(sooner(g->round_at, g->list_at), g->announce_at);
-	next = sooner(next, g->answer_at);
-	if (g->greeted_at != 0)
-		next = MIN(next, g->greeted_at + ANSWERS_NS);
-	if (g->waits_since != 0 && !gossip_is_unattended(g))
-		next = MIN(next, g->waits_since + UNATTENDED_NS);
+		send_announcements(g, now, ANNOUNCE_BATCH);
+	next = earlier(earlier(g->round_at, g->list_at), g->announce_at);
+	next = earlier(next, g->fallback_at);
+	if (g->contacted_at != 0)
+		next = MIN(next, g->contacted_at + ANSWER_WAIT_NS);
+	if (g->awaiting_hub_since != 0 && !gossip_is_unattended(g))
+		next = MIN(next, g->awaiting_hub_since + UNATTENDED_NS);
 	return g->settled ? next : MIN(next, g->settle_at);
 }
--- a/gossip.h
+++ b/gossip.h
@@ -18,59 +18,69 @@
 #include "msg.h"
 
 /*
- * How boxes come to know each other, and keep that up to date: who is asked
- * and told what, and when.  Pure: messages, lists and time come in by calls,
- * and what is to be sent goes out by callbacks.
+ * The gossip protocol by which boxes discover each other and keep their
+ * membership up to date: decides what is sent to which box and when.  No I/O is
+ * done here: messages, lists and time come in by calls, and messages to send go
+ * out by callbacks.
  *
- * A box that starts reads the platform's list, which only hubs are on, and
- * asks the hubs of its hall; seeds are asked where that leads to nobody.  From
- * then on a leaf asks one hub of its hall at a time, and a hub asks hubs and,
- * seldom, a leaf.  Each hello tells digests of what its sender knows, and a
- * receiver that knows otherwise sends its list.  Between boxes that know each
- * other's present word a beat of some 90 bytes stands for a hello of 250 and
- * more, so that a leaf can ask each second.
+ * A box that starts reads the platform's list, which contains only hubs, and
+ * sends requests to the hubs of its hall, or to the configured seeds if it
+ * finds none.  Afterwards a leaf sends one request a round to a hub of its
+ * hall, and a hub sends requests to hubs and to one leaf.
+ *
+ * The requests are announcements.  An announcement contains the state of its
+ * sender, updates about other boxes, and digests of what the sender knows; a
+ * receiver with different digests sends its list of members.  Boxes that know
+ * each other's present state exchange heartbeats of about 90 bytes in place of
+ * announcements of 250 or more, so that a leaf can send a request each second.
  */
 
 struct gossip_ops {
-	/* Send a hello, or what stands for one where nothing has changed. */
+	/*
+	 * Send a message to the inbox `to`: the whole state of this box, a
+	 * heartbeat if nothing has changed, or a list of members.
+	 */
 	void (*hello)(void *, struct str to, const struct msg_hello *);
 	void (*beat)(void *, struct str to, const struct msg_beat *);
-	/* Send a list of members. */
 	void (*members)(void *, struct str to, const struct msg_members *);
-	/* Which configuration we have. */
+	/* Returns a summary of the configuration that this box holds. */
 	struct msg_holds (*holds)(void *);
 	/*
-	 * Have the platform list its boxes, tell memb of these, and call
-	 * gossip_listed(); whoever does it tries again where that fails.
+	 * Starts listing the boxes of the platform.  The callee enters them
+	 * into the membership and then calls gossip_listed(); it retries by
+	 * itself on failure.
 	 */
 	void (*list)(void *);
 	void *ctx;
 };
 
-/* What may change while a box runs. */
+/* Settings, which may change at run time. */
 struct gossip_set {
-	int64_t hello_ns; /* between two rounds of questions */
-	int64_t list_ns; /* between two lists, for those that watch */
-	int64_t list_other_ns; /* and for the other hubs */
-	int watchers; /* boxes that watch the platform, of the fleet */
-	const json_t *seeds; /* addresses of inboxes */
+	int64_t hello_ns; /* interval between two rounds of requests */
+	int64_t list_ns; /* interval at which watchers list the boxes */
+	int64_t list_other_ns; /* the same for hubs that are not watchers */
+	int watchers; /* boxes of the fleet that watch the platform */
+	const json_t *seeds; /* addresses of inboxes; borrowed */
 };
 
 struct gossip;
 
-/* `memb` stays the owner's, and outlives it. */
+/* The pointers are borrowed and must outlive the result; `ops` is copied. */
 struct gossip *gossip_new(const struct gossip_ops *, struct memb *,
     const struct clk *, const struct rnd *);
 void gossip_free(struct gossip *);
 void gossip_configure(struct gossip *, const struct gossip_set *);
 
-/* Do what is due; returns when something will be, in monotonic ns. */
+/*
+ * Does everything that is due, and returns the time of the next event in
+ * monotonic ns, at which it is to be called again at the latest.
+ */
 int64_t gossip_run(struct gossip *);
 
-/* The platform's list is in memb. */
+/* Continues after the platform's list was entered into the membership. */
 void gossip_listed(struct gossip *);
 
-/* Messages of another box. */
+/* Process a message from another box, whose inbox is `from`. */
 void
 gossip_take_hello(struct gossip *, struct str from, const struct msg_hello *);
 void
@@ -78,46 +88,54 @@
 void gossip_take_members(struct gossip *, const struct msg_members *);
 
 /*
- * Our own word has changed in a way that the others have to hear at once: all
- * whom it concerns are told.  Before an end nothing is put off.
+ * Sends the changed state of this box to all boxes that must know of it.  The
+ * messages go out in batches, or all in this call if `at_once` is set, as is
+ * needed before the process exits.
  */
 void gossip_announce(struct gossip *, bool at_once);
 
-/* Our gate got no answer of a box's: ask it now whether it lives. */
+/* The gate of a box did not answer ours: checks at once if the box is alive. */
 void gossip_doubt(struct gossip *, struct str box);
 
-/* Are the boxes near known, or was there time for them to answer? */
+/*
+ * Returns whether the discovery is complete: at least half of the boxes that
+ * were contacted first are known, or the time for their answers is over.
+ */
 bool gossip_settled(const struct gossip *);
 
 /*
- * Do we know how strong our box is among its hall's: does the platform list
- * others of them, or has there been time for stronger ones to tell of
- * themselves?
+ * Returns whether this box can know if it is strong in its hall: the platform
+ * lists other boxes of the hall, or stronger ones had enough time to announce
+ * themselves.
  */
 bool gossip_knows_power(const struct gossip *);
 
-/* Is our box a hub, as far as that is known? */
+/* Returns whether this box is a hub; false while that cannot be known. */
 bool gossip_is_hub(struct gossip *);
 
-/* Does a box of our hall leave a question of ours without an answer? */
+/* Returns whether a box of our hall has not answered a request in time. */
 bool gossip_is_left_alone(const struct gossip *);
 
 /*
- * Has no hub that hears from the platform said anything for a while, though
- * some box was asked?  Then nobody tells us of changes.
+ * Returns whether no hub with a working connection to the platform has sent
+ * anything for a while, although some box was sent a request.  This box then
+ * learns of no changes.
  */
 bool gossip_is_unattended(const struct gossip *);
 
-/* Have hubs said, though, that the platform does not answer them? */
+/*
+ * Returns whether hubs have reported since then that the platform does not
+ * answer them.
+ */
 bool gossip_hubs_are_blind(const struct gossip *);
 
-/* Gates that serve in our hall, as its hubs say. */
+/* Returns the number of serving gates of our hall reported by its hubs. */
 uint64_t gossip_crowd(struct gossip *);
 
-/* We know what our hubs may not: the next round is now. */
+/* Starts the next round now, as this box may know what its hubs do not. */
 void gossip_hurry(struct gossip *);
 
-/* Boxes that were asked at the start. */
+/* Returns the number of boxes contacted during discovery. */
 unsigned gossip_asked(const struct gossip *);
 
 #endif
