--- a/conf.c
+++ b/conf.c
@@ -14,7 +14,7 @@
 #include "conf.h"
 #include "err.h"
 
-enum { BUCKETS_OF_PART = CONF_BUCKETS / CONF_PARTS };
+enum { BUCKETS_PER_PART = CONF_BUCKETS / CONF_PARTS };
 
 struct listener {
 	conf_changed_fn *changed;
@@ -26,7 +26,7 @@
 	uint64_t buckets[CONF_BUCKETS];
 	uint64_t digests[CONF_PARTS];
 	uint64_t floors[CONF_PARTS];
-	size_t live;
+	size_t live_count;
 	struct listener listeners[CONF_LISTENERS];
 	unsigned nlisteners;
 };
@@ -36,14 +36,15 @@
 static struct conf_entry *entry_new(struct conf *, struct str, GError **);
 static void rehash(struct conf *, struct conf_entry *);
 static enum conf_result
-offer_bad(struct conf *, struct conf_entry *, uint64_t, json_t *, GError *);
-static void enforce(struct conf *, struct conf_entry *, uint64_t, bool,
+reject_spec(struct conf *, struct conf_entry *, uint64_t, json_t *, GError *);
+static void put_in_force(struct conf *, struct conf_entry *, uint64_t, bool,
     json_t *, struct obj *, struct str);
-static bool wins(const struct conf_entry *, uint64_t, bool, const json_t *);
-static gboolean is_buried(gpointer, gpointer, gpointer);
+static bool
+supersedes(const struct conf_entry *, uint64_t, bool, const json_t *);
+static gboolean is_redundant(gpointer, gpointer, gpointer);
 
 static void
-clear_bad(struct conf_entry *e)
+clear_rejected(struct conf_entry *e)
 {
 	json_decref(e->bad_spec);
 	g_free(e->bad_why);
@@ -57,7 +58,7 @@
 {
 	struct conf_entry *e = p;
 
-	clear_bad(e);
+	clear_rejected(e);
 	json_decref(e->spec);
 	obj_free(e->obj);
 	str_free(&e->source);
@@ -100,27 +101,27 @@
 static enum conf_part
 part_of_key(struct str key)
 {
-	struct str head = STR_LIT("backend/");
+	struct str prefix = STR_LIT("backend/");
 
-	return key.n > head.n && memcmp(key.p, head.p, head.n) == 0
+	return key.n > prefix.n && memcmp(key.p, prefix.p, prefix.n) == 0
 	    ? CONF_BACKENDS
 	    : CONF_RULES;
 }
 
-/* Each part has as many buckets as the other. */
+/* The first half of the buckets is for rules, the second for backends. */
 unsigned
 conf_bucket(struct str key)
 {
-	unsigned of_part =
-	    (unsigned)(XXH3_64bits(key.p, key.n) % BUCKETS_OF_PART);
+	unsigned in_part =
+	    (unsigned)(XXH3_64bits(key.p, key.n) % BUCKETS_PER_PART);
 
-	return (unsigned)part_of_key(key) * BUCKETS_OF_PART + of_part;
+	return (unsigned)part_of_key(key) * BUCKETS_PER_PART + in_part;
 }
 
 enum conf_part
 conf_part_of_bucket(unsigned bucket)
 {
-	return (enum conf_part)(bucket / BUCKETS_OF_PART);
+	return (enum conf_part)(bucket / BUCKETS_PER_PART);
 }
 
 static uint64_t
@@ -133,7 +134,7 @@
 				  : XXH3_64bits(&d, sizeof(d));
 }
 
-/* The order of an object's members does not count. */
+/* The hash does not depend on the order of the members. */
 static uint64_t
 hash_object(const json_t *v)
 {
@@ -149,18 +150,18 @@
 static uint64_t
 hash_array(const json_t *v)
 {
-	uint64_t h = 2, one;
+	uint64_t h = 2, item_hash;
 	json_t *item;
 	size_t i;
 
 	json_array_foreach (v, i, item) {
-		one = hash_spec(item);
-		h = XXH3_64bits_withSeed(&one, sizeof(one), h);
+		item_hash = hash_spec(item);
+		h = XXH3_64bits_withSeed(&item_hash, sizeof(item_hash), h);
 	}
 	return h;
 }
 
-/* Without writing it down as text, which takes as long as reading it. */
+/* Hashes the tree itself; serializing it would take as long as parsing. */
 static uint64_t
 hash_spec(const json_t *v)
 {
@@ -181,8 +182,8 @@
 }
 
 /*
- * An entry's share of the digest.  Deletions have none: one box may have
- * forgotten a deletion that another still keeps.
+ * Returns the contribution of an entry to the digests.  Deletions have none,
+ * as one box may have dropped a deletion that another one still keeps.
  */
 static uint64_t
 hash_entry(const struct conf_entry *e)
@@ -219,31 +220,31 @@
 	const char *slash = memchr(key.p, '/', key.n);
 	struct conf_entry *e;
 	enum obj_kind kind;
-	size_t head;
+	size_t kind_len;
 
-	head = slash == NULL ? 0 : (size_t)(slash - key.p);
-	if (!obj_kind_by_name(str_n(key.p, head), &kind) ||
-	    !field_is_name(str_n(key.p + head + 1, key.n - head - 1))) {
-		err_set(err, ERR_OBJECT, "\"%.*s\" is no object's key",
+	kind_len = slash == NULL ? 0 : (size_t)(slash - key.p);
+	if (!obj_kind_by_name(str_n(key.p, kind_len), &kind) ||
+	    !field_is_name(str_n(key.p + kind_len + 1, key.n - kind_len - 1))) {
+		err_set(err, ERR_OBJECT, "invalid object key \"%.*s\"",
 		    STR_ARG(key));
 		return NULL;
 	}
 	e = g_new0(struct conf_entry, 1);
 	e->key = str_dup(key);
 	e->kind = kind;
-	e->name = str_n(e->key.p + head + 1, key.n - head - 1);
+	e->name = str_n(e->key.p + kind_len + 1, key.n - kind_len - 1);
 	g_hash_table_insert(c->entries, (char *)e->key.p, e);
 	return e;
 }
 
 /*
- * Does an offer win over what is in force?  Versions are the platform's own
- * and do not repeat; should two contents bear one version all the same (a
- * store put back from a copy), the choice falls the same way everywhere: a
- * deletion first, then the greater hash.
+ * Returns whether an offer supersedes the version in force.  The platform does
+ * not assign a version twice.  If two contents have the same version anyway,
+ * as after a restore of the platform's data from a backup, all boxes make the
+ * same choice: a deletion wins, then the greater hash.
  */
 static bool
-wins(const struct conf_entry *e, uint64_t version, bool deleted,
+supersedes(const struct conf_entry *e, uint64_t version, bool deleted,
     const json_t *spec)
 {
 	if (version != e->version)
@@ -254,10 +255,10 @@
 }
 
 static void
-enforce(struct conf *c, struct conf_entry *e, uint64_t version, bool deleted,
-    json_t *spec, struct obj *obj, struct str source)
+put_in_force(struct conf *c, struct conf_entry *e, uint64_t version,
+    bool deleted, json_t *spec, struct obj *obj, struct str source)
 {
-	bool was = e->version > 0 && !e->deleted;
+	bool was_live = e->version > 0 && !e->deleted;
 	unsigned i;
 
 	json_decref(e->spec);
@@ -269,40 +270,40 @@
 	e->deleted = deleted;
 	e->source = str_dup(source);
 	if (e->bad_version <= version)
-		clear_bad(e);
-	c->live += (size_t)!deleted - (size_t)was;
+		clear_rejected(e);
+	c->live_count += (size_t)!deleted - (size_t)was_live;
 	rehash(c, e);
 	for (i = 0; i < c->nlisteners; i++)
 		c->listeners[i].changed(c->listeners[i].ctx, e);
 }
 
 static enum conf_result
-offer_bad(struct conf *c, struct conf_entry *e, uint64_t version, json_t *spec,
-    GError *why)
+reject_spec(struct conf *c, struct conf_entry *e, uint64_t version,
+    json_t *spec, GError *reason)
 {
 	bool newer = version > e->version && version > e->bad_version;
 
 	if (newer) {
-		clear_bad(e);
+		clear_rejected(e);
 		e->bad_version = version;
 		e->bad_spec = json_incref(spec);
-		e->bad_why = g_strdup(why->message);
+		e->bad_why = g_strdup(reason->message);
 		rehash(c, e);
 	}
-	g_error_free(why);
+	g_error_free(reason);
 	return newer ? CONF_REJECTED : CONF_OLDER;
 }
 
 /*
- * An entry of a backend server that cannot be read says nothing of it any more:
- * it ends like one that went, as requests would go to what was there before.
+ * Handles an invalid spec of a backend server like a deletion.  With the former
+ * spec in force, requests would go to a server that may be gone.
  */
 static enum conf_result
-offer_end(struct conf *c, struct conf_entry *e, uint64_t version,
-    struct str source, GError *why, GError **err)
+reject_backend(struct conf *c, struct conf_entry *e, uint64_t version,
+    struct str source, GError *reason, GError **err)
 {
-	enforce(c, e, version, true, NULL, NULL, source);
-	g_propagate_error(err, why);
+	put_in_force(c, e, version, true, NULL, NULL, source);
+	g_propagate_error(err, reason);
 	return CONF_REJECTED;
 }
 
@@ -312,7 +313,7 @@
 {
 	struct conf_entry *e;
 	struct obj *obj = NULL;
-	GError *why = NULL;
+	GError *reason = NULL;
 	char *text = g_strndup(key.p, key.n);
 
 	e = g_hash_table_lookup(c->entries, text);
@@ -325,26 +326,30 @@
 		return CONF_KNOWN;
 	if (e != NULL && version == e->bad_version)
 		return CONF_KNOWN;
-	if (e != NULL && !wins(e, version, deleted, spec))
+	if (e != NULL && !supersedes(e, version, deleted, spec))
 		return CONF_OLDER;
 	if (e == NULL)
 		e = entry_new(c, key, err);
 	if (e == NULL)
 		return CONF_REJECTED;
 	if (!deleted) {
-		obj = obj_read(e->kind, e->name, spec, NULL, &why);
+		obj = obj_read(e->kind, e->name, spec, NULL, &reason);
 		if (obj == NULL && e->kind == OBJ_BACKEND)
-			return offer_end(c, e, version, source, why, err);
+			return reject_backend(
+			    c, e, version, source, reason, err);
 		if (obj == NULL)
-			return offer_bad(c, e, version, spec, why);
+			return reject_spec(c, e, version, spec, reason);
 	}
-	enforce(c, e, version, deleted, spec, obj, source);
+	put_in_force(c, e, version, deleted, spec, obj, source);
 	return CONF_NEWER;
 }
 
-/* A deletion at or below the floor need not be kept: the floor tells it. */
+/*
+ * Returns whether an entry can be dropped: a deletion at or below the floor
+ * follows from the floor.
+ */
 static gboolean
-is_buried(gpointer key, gpointer value, gpointer ctx)
+is_redundant(gpointer key, gpointer value, gpointer ctx)
 {
 	const struct conf_entry *e = value;
 	const struct conf *c = ctx;
@@ -360,7 +365,7 @@
 	if (revision <= c->floors[part])
 		return;
 	c->floors[part] = revision;
-	g_hash_table_foreach_remove(c->entries, is_buried, c);
+	g_hash_table_foreach_remove(c->entries, is_redundant, c);
 }
 
 void
@@ -390,11 +395,11 @@
 		    g_hash_table_contains(keys, key))
 			continue;
 		if (e->bad_version > 0 && e->bad_version <= revision) {
-			clear_bad(e);
+			clear_rejected(e);
 			rehash(c, e);
 		}
 		if (!e->deleted && e->version > 0 && e->version <= revision)
-			enforce(c, e, revision, true, NULL, NULL,
+			put_in_force(c, e, revision, true, NULL, NULL,
 			    STR_LIT("platform"));
 	}
 }
@@ -453,5 +458,5 @@
 size_t
 conf_count(const struct conf *c)
 {
-	return c->live;
+	return c->live_count;
 }
--- a/conf.h
+++ b/conf.h
@@ -19,106 +19,120 @@
 #include "obj.h"
 
 /*
- * The merge of configuration.  Each object has a version that the platform
- * gave it; for each object the highest version wins, in whatever order,
- * however often and however late offers arrive.  The state is a function of
- * the set of offers alone:
+ * The configuration: a replicated set of versioned objects.  The platform
+ * assigns the versions; for each object the highest version wins, in whatever
+ * order, however often and however late versions are offered.  The state
+ * depends only on the set of offers:
  *
- *  - in force is the highest version that is valid or a deletion;
- *  - a higher version that is not valid is kept beside it as rejected;
- *  - `floor` is a revision up to which a complete list of a part has been
- *    seen: an object of it not known here with a version at or below it has
- *    been deleted.
+ *  - The version in force is the highest one that is valid or a deletion.
+ *  - A higher version that is not valid is kept beside it as rejected.
+ *  - The floor is a revision up to which a complete list of a part is known:
+ *    an object of that part that is absent here, with a version at or below
+ *    the floor, has been deleted.
  *
- * No I/O is done here; changes go out through a callback.
+ * No I/O is done here; changes are reported by callbacks.
  */
 
 enum { CONF_BUCKETS = 64, CONF_LISTENERS = 2 };
 
 /*
- * The two parts of a configuration: a box that only passes requests on to
- * homes holds the rules, and no backend servers.  Each part has half of the
- * buckets, a digest and a floor of its own.
+ * The two parts of a configuration.  A box that only forwards requests to the
+ * owners of services holds the rules but no backend servers.  Each part has
+ * half of the buckets, and its own digest and floor.
  */
 enum conf_part { CONF_RULES, CONF_BACKENDS, CONF_PARTS };
 
 struct conf_entry {
 	struct str key; /* "kind/name" */
 	enum obj_kind kind;
-	struct str name;
+	struct str name; /* points into `key` */
 	uint64_t version; /* in force; 0: none yet */
 	bool deleted;
-	json_t *spec; /* of the version in force */
-	struct obj *obj; /* the same, checked */
-	uint64_t bad_version; /* rejected; 0: none */
+	json_t *spec; /* of the version in force; NULL if deleted */
+	struct obj *obj; /* parsed `spec`; NULL if deleted */
+	uint64_t bad_version; /* rejected version; 0: none */
 	json_t *bad_spec;
-	char *bad_why;
-	struct str source; /* who offered the version in force */
-	uint64_t hash; /* this entry's share of the digest */
+	char *bad_why; /* error message */
+	struct str source; /* origin of the version in force */
+	uint64_t hash; /* contribution to the digests; 0: none */
 };
 
 /* Called when another version of an object comes into force. */
 typedef void conf_changed_fn(void *, const struct conf_entry *);
 
-/* What became of an offer. */
-enum conf_result { CONF_NEWER, CONF_KNOWN, CONF_OLDER, CONF_REJECTED };
+/* Result of conf_offer(). */
+enum conf_result {
+	CONF_NEWER, /* the version came into force */
+	CONF_KNOWN, /* the version was in force or rejected already */
+	CONF_OLDER, /* a newer version or the floor supersedes it */
+	CONF_REJECTED /* the key or the spec is not valid */
+};
 
 struct conf;
 
 /* The callback, if not NULL, is the first listener. */
 struct conf *conf_new(conf_changed_fn *, void *);
 
-/* Tell changes to one more listener, CONF_LISTENERS at most. */
+/* Adds a callback for changes; there can be CONF_LISTENERS at most. */
 void conf_listen(struct conf *, conf_changed_fn *, void *);
 void conf_free(struct conf *);
 
 /*
- * Offer one version of one object.  `spec` is borrowed and may be NULL for
- * a deletion.  ERR_OBJECT is set only where the key itself is not valid;
- * a spec that is not valid is kept as rejected, with the reason.
+ * Offers one version of one object.  `spec` is borrowed and may be NULL for a
+ * deletion.  A spec that is not valid is kept as rejected with the reason,
+ * except for a backend server, whose entry is deleted.  CONF_REJECTED comes
+ * with ERR_OBJECT if the key is not valid, and with the error of the spec if it
+ * is that of a backend server; else no error is set.
  */
 enum conf_result conf_offer(struct conf *, struct str key, uint64_t version,
     bool deleted, json_t *spec, struct str source, GError **);
 
 /*
- * A complete list at `revision` has been offered; `keys` holds the keys in
- * it.  Whatever is not in it at or below that revision has been deleted.
+ * Completes the offers of a list of all objects at `revision`; `keys` is the
+ * set of their keys (char *).  Objects that are not in it and have a version at
+ * or below the revision are deleted, and the floors are raised to it.  A
+ * revision below the floor is ignored.
  */
 void conf_complete(struct conf *, uint64_t revision, GHashTable *keys);
 
 /*
- * The same for some kinds only, a bit 1 << kind for each.  The floors stay:
- * their owner raises them once lists of all kinds of a part are at or above
- * them.
+ * The same for the kinds in `kinds` only, a set of bits 1 << kind.  It leaves
+ * the floors as they are: the caller raises them when lists of all kinds of a
+ * part have reached a revision.
  */
 void conf_complete_kinds(
     struct conf *, unsigned kinds, uint64_t revision, GHashTable *keys);
 
 /*
- * What is here is complete up to `revision`: by a list, or because a peer
- * with an equal digest says so of its own.  A watch may skip, and is no ground.
+ * Declares a part complete up to `revision`.  This is known from a list, or
+ * from a peer with an equal digest that has this floor.  It is not known from a
+ * watch, which may skip revisions.
  */
 void conf_raise_floor(struct conf *, enum conf_part, uint64_t revision);
 uint64_t conf_floor_of(const struct conf *, enum conf_part);
-/* The lower one of both. */
+/* Returns the lower of the two floors. */
 uint64_t conf_floor(const struct conf *);
 
 enum conf_part conf_part_of(enum obj_kind);
 
-/* Digest of all that is in force or rejected; equal sets, equal digests. */
+/*
+ * Digests of all versions in force or rejected, except deletions.  Equal sets
+ * have equal digests.
+ */
 uint64_t conf_digest(const struct conf *);
 uint64_t conf_digest_of(const struct conf *, enum conf_part);
 uint64_t conf_bucket_digest(const struct conf *, unsigned bucket);
 unsigned conf_bucket(struct str key);
 enum conf_part conf_part_of_bucket(unsigned bucket);
 
+/* Returns NULL if there is no entry; the entry may be a deletion. */
 const struct conf_entry *conf_get(const struct conf *, struct str key);
 
-/* Visit all entries; deletions too. */
+/* Calls the function for all entries, including deletions. */
 typedef void conf_visit_fn(void *, const struct conf_entry *);
 void conf_each(const struct conf *, conf_visit_fn *, void *);
 
-/* Objects in force. */
+/* Returns the number of objects in force, without deletions. */
 size_t conf_count(const struct conf *);
 
 #endif
