--- a/route.c
+++ b/route.c
@@ -18,23 +18,23 @@
 	GPtrArray *services; /* struct route_service * */
 	GPtrArray *rules; /* struct route_rule *, in order of matching */
 	GPtrArray *backends; /* struct obj *, sorted by name */
-	GPtrArray *evacuations; /* struct obj *, named after halls */
-	GPtrArray *rollouts; /* struct obj *, named after services */
-	GPtrArray *objects; /* struct obj *: our references */
+	GPtrArray *evacuations; /* struct obj *, by names of halls */
+	GPtrArray *rollouts; /* struct obj *, by names of services */
+	GPtrArray *objects; /* struct obj *, references held by the table */
 	struct customers *customers;
 	const struct obj_listener *listener;
-	uint64_t version; /* of all but backend servers */
+	uint64_t version; /* highest, without backend servers */
 };
 
-static void collect(void *, const struct conf_entry *);
+static void collect_entry(void *, const struct conf_entry *);
 static void collect_obj(struct route_table *, struct obj *);
 static void bind_parts(const struct route_table *, struct route_rule *);
-static void fill(struct route_table *, struct route_service *);
+static void fill_service(struct route_table *, struct route_service *);
 static struct route_hall *
-hall_of(const struct route_table *, struct route_service *, struct str);
+get_hall(const struct route_table *, struct route_service *, struct str);
 static int by_specificity(const void *, const void *);
 static int by_name(const void *, const void *);
-static bool rule_takes(const struct obj_rule *, const struct route_query *);
+static bool rule_matches(const struct obj_rule *, const struct route_query *);
 
 static int
 str_cmp(struct str a, struct str b)
@@ -66,7 +66,7 @@
 }
 
 static void
-collect(void *ctx, const struct conf_entry *e)
+collect_entry(void *ctx, const struct conf_entry *e)
 {
 	struct route_table *t = ctx;
 
@@ -123,7 +123,7 @@
 	}
 }
 
-/* Find the services that a rule names. */
+/* Resolves the names of the services of a rule. */
 static void
 bind_parts(const struct route_table *t, struct route_rule *r)
 {
@@ -159,7 +159,7 @@
 }
 
 static struct route_hall *
-hall_of(const struct route_table *t, struct route_service *s, struct str hall)
+get_hall(const struct route_table *t, struct route_service *s, struct str hall)
 {
 	struct route_hall *h;
 	unsigned i;
@@ -175,7 +175,7 @@
 }
 
 static const struct obj_rollout *
-rollout_of(const struct route_table *t, struct str service)
+find_rollout(const struct route_table *t, struct str service)
 {
 	const struct obj *o;
 	guint i;
@@ -188,9 +188,9 @@
 	return NULL;
 }
 
-/* Is a server of the version that is brought in? */
+/* Returns whether a backend server has the version of the rollout. */
 static bool
-is_new(const struct route_service *s, const struct obj_backend *b)
+has_new_version(const struct route_service *s, const struct obj_backend *b)
 {
 	const char *version =
 	    json_string_value(json_object_get(b->labels, "version"));
@@ -200,20 +200,20 @@
 }
 
 static void
-fill(struct route_table *t, struct route_service *s)
+fill_service(struct route_table *t, struct route_service *s)
 {
 	const struct obj *o;
 	const struct obj_backend *b;
 	struct route_hall *h;
 	guint i;
 
-	s->rollout = rollout_of(t, s->name);
+	s->rollout = find_rollout(t, s->name);
 	for (i = 0; i < t->backends->len; i++) {
 		o = g_ptr_array_index(t->backends, i);
 		b = &o->u.backend;
 		if (!sel_match(s->obj->select, b->labels))
 			continue;
-		h = hall_of(t, s, b->hall);
+		h = get_hall(t, s, b->hall);
 		h->backends =
 		    g_renew(struct disp_backend, h->backends, h->n + 1);
 		h->backends[h->n++] = (struct disp_backend){.name = o->name,
@@ -223,8 +223,8 @@
 		    .evacuated = h->evacuated,
 		    .warm_ns = b->warm_ms * NS_MS,
 		    .born_ms = b->born_ms,
-		    .is_new = is_new(s, b)};
-		s->has_new = s->has_new || is_new(s, b);
+		    .is_new = has_new_version(s, b)};
+		s->has_new = s->has_new || has_new_version(s, b);
 		if (b->drain || h->evacuated)
 			continue;
 		h->slots += (int)b->slots;
@@ -270,11 +270,11 @@
 	t->rollouts = g_ptr_array_new();
 	t->customers = customers_new();
 	t->objects = g_ptr_array_new_with_free_func((GDestroyNotify)obj_free);
-	conf_each(conf, collect, t);
+	conf_each(conf, collect_entry, t);
 	g_ptr_array_sort(t->backends, by_name);
 	g_ptr_array_sort(t->rules, by_specificity);
 	for (i = 0; i < t->services->len; i++)
-		fill(t, g_ptr_array_index(t->services, i));
+		fill_service(t, g_ptr_array_index(t->services, i));
 	for (i = 0; i < t->rules->len; i++)
 		bind_parts(t, g_ptr_array_index(t->rules, i));
 	return t;
@@ -301,9 +301,9 @@
 	return a.n == b.n && strncasecmp(a.p, b.p, a.n) == 0;
 }
 
-/* A prefix ends at a slash, so that "/a" does not take "/ab". */
+/* The prefix must end at a path boundary: "/a" does not match "/ab". */
 static bool
-path_takes(struct str prefix, struct str path)
+path_matches(struct str prefix, struct str path)
 {
 	if (!str_starts(path, prefix))
 		return false;
@@ -312,11 +312,11 @@
 }
 
 static bool
-header_takes(struct str wanted, const struct route_query *q)
+header_matches(struct str pattern, const struct route_query *q)
 {
-	const char *colon = memchr(wanted.p, ':', wanted.n);
-	struct str name = str_n(wanted.p, (size_t)(colon - wanted.p));
-	struct str value = str_n(colon + 1, wanted.n - name.n - 1);
+	const char *colon = memchr(pattern.p, ':', pattern.n);
+	struct str name = str_n(pattern.p, (size_t)(colon - pattern.p));
+	struct str value = str_n(colon + 1, pattern.n - name.n - 1);
 
 	while (value.n > 0 && value.p[0] == ' ')
 		value = str_n(value.p + 1, value.n - 1);
@@ -324,15 +324,15 @@
 }
 
 static bool
-rule_takes(const struct obj_rule *r, const struct route_query *q)
+rule_matches(const struct obj_rule *r, const struct route_query *q)
 {
 	if (r->host.n > 0 && !eq_nocase(r->host, q->host))
 		return false;
 	if (r->method.n > 0 && !str_eq(r->method, q->method))
 		return false;
-	if (!path_takes(r->path, q->path))
+	if (!path_matches(r->path, q->path))
 		return false;
-	return r->header.n == 0 || header_takes(r->header, q);
+	return r->header.n == 0 || header_matches(r->header, q);
 }
 
 const struct route_rule *
@@ -343,7 +343,7 @@
 
 	for (i = 0; i < t->rules->len; i++) {
 		r = g_ptr_array_index(t->rules, i);
-		if (rule_takes(r->obj, q))
+		if (rule_matches(r->obj, q))
 			return r;
 	}
 	return NULL;
@@ -352,13 +352,13 @@
 const struct route_service *
 route_choose(const struct route_rule *r, const struct rnd *rnd)
 {
-	uint64_t at = rnd_below(rnd, r->weight);
+	uint64_t offset = rnd_below(rnd, r->weight);
 	unsigned i;
 
 	for (i = 0; i + 1 < r->nparts; i++) {
-		if (at < r->parts[i].weight)
+		if (offset < r->parts[i].weight)
 			break;
-		at -= r->parts[i].weight;
+		offset -= r->parts[i].weight;
 	}
 	return r->parts[i].service;
 }
--- a/route.h
+++ b/route.h
@@ -22,9 +22,9 @@
 #include "str.h"
 
 /*
- * The routing table: which rule takes a request, which service it leads to
- * and which backend servers that service's selector picks out, by hall.
- * Built from the configuration in force; pure.
+ * The routing table: maps requests to rules, rules to services and services to
+ * the backend servers that their selectors match, grouped by hall.  It is built
+ * from the configuration in force.  No I/O is done here.
  */
 
 /* The backend servers of a service in one hall. */
@@ -32,8 +32,8 @@
 	struct str hall;
 	struct disp_backend *backends;
 	unsigned n;
-	int slots; /* of those that may get something new */
-	bool evacuated; /* none of them may */
+	int slots; /* of those that accept new requests */
+	bool evacuated; /* none of them accepts new requests */
 };
 
 struct route_service {
@@ -41,14 +41,14 @@
 	const struct obj_service *obj;
 	struct route_hall *halls;
 	unsigned nhalls;
-	int slots; /* of all halls */
+	int slots; /* sum over all halls */
 	const struct obj_rollout *rollout; /* NULL: none */
-	bool has_new; /* servers of the version that it brings in */
+	bool has_new; /* there are servers of the rollout's version */
 };
 
-/* One of the services that a rule's requests are divided among. */
+/* One of the services that the requests of a rule are distributed to. */
 struct route_part {
-	const struct route_service *service; /* NULL: it is not there */
+	const struct route_service *service; /* NULL: does not exist */
 	uint64_t weight;
 };
 
@@ -57,63 +57,77 @@
 	const struct obj_rule *obj;
 	struct route_part *parts;
 	unsigned nparts; /* at least one */
-	uint64_t weight; /* of all parts */
+	uint64_t weight; /* sum over all parts */
 };
 
-/* A request as rules see it. */
+/* The properties of a request that rules match. */
 struct route_query {
 	struct str host;
 	struct str method;
 	struct str path;
-	/* The value of a header, empty if it is not there. */
+	/* Returns the value of a header, empty if the request lacks it. */
 	struct str (*header)(void *, struct str name);
 	void *ctx;
 };
 
 struct route_table;
 
-/* The table keeps the objects it was built from. */
+/*
+ * The table holds references to the objects that it was built from.  Pointers
+ * returned by the functions below are valid until route_free().
+ */
 struct route_table *route_build(const struct conf *);
 void route_free(struct route_table *);
 
 /*
- * The first rule that takes the request: a rule with a host goes before one
- * without, then the longer path, then a header, then a method, then the
- * name.
+ * Returns the most specific rule that matches the request, or NULL: a rule with
+ * a host comes before one without, then the longer path, then a rule with a
+ * header, then one with a method.  Among equals the order of names decides.
  */
 const struct route_rule *
 route_match(const struct route_table *, const struct route_query *);
 
-/* A service for a request, by the parts' weights; NULL: it is not there. */
+/*
+ * Returns a service for a request, at random by the weights of the rule, or
+ * NULL if the chosen service does not exist.
+ */
 const struct route_service *
 route_choose(const struct route_rule *, const struct rnd *);
 
+/* Returns NULL if there is no such service. */
 const struct route_service *
 route_service(const struct route_table *, struct str name);
 
-/* The highest version of what routes are built from but backend servers. */
+/*
+ * Returns the highest version of the entries that the table was built from,
+ * other than backend servers.
+ */
 uint64_t route_version(const struct route_table *);
 
-/* How many rules there are. */
+/* Returns the number of rules. */
 unsigned route_rules(const struct route_table *);
 
-/* How many halls are evacuated. */
+/* Returns the number of evacuated halls. */
 unsigned route_evacuations(const struct route_table *);
 
-/* Who may call, by their keys. */
+/* Returns the customers, which can be looked up by their keys. */
 const struct customers *route_customers(const struct route_table *);
 
-/* What callers may send; NULL where the configuration does not say. */
+/* Returns the limits for callers, or NULL if none are configured. */
 const struct obj_listener *route_listener(const struct route_table *);
 
+/* Returns NULL if the service has no backend servers in the hall. */
 const struct route_hall *
 route_hall(const struct route_service *, struct str hall);
 
-/* Visit all services. */
+/* Calls the function for all services. */
 typedef void route_visit_fn(void *, const struct route_service *);
 void route_each(const struct route_table *, route_visit_fn *, void *);
 
-/* May the request be sent again if it is not known whether it ran? */
+/*
+ * Returns whether a request may be sent again if it is not known whether it was
+ * executed.  This is false for requests with an idempotency key (`has_key`).
+ */
 bool route_repeatable(const struct obj_rule *, struct str method, bool has_key);
 
 #endif
