--- a/roll.c
+++ b/roll.c
@@ -13,27 +13,30 @@
 #include "clk.h"
 #include "roll.h"
 
-/* Parts of an order's duration at which its steps are taken. */
+/* When the wider step begins, as a fraction of the rollout's duration. */
 static const double WIDER_AT = 0.5;
-/* The wider step lasts for so much. */
-static const double WIDER_LASTS = 0.06;
-/* Without a proof by then the old version stays: it is known to work. */
+/* How long the wider step lasts, as such a fraction. */
+static const double WIDER_DURATION = 0.06;
+/*
+ * When a rollout without enough answers is rolled back, as such a fraction.
+ * The old version stays, as it is known to work.
+ */
 static const double TOO_LATE_AT = 0.85;
 
-/* Share of the requests in the wider step, if the first one is smaller. */
+/* Minimum share of the requests in the wider step. */
 static const double WIDER_SHARE = 0.3;
-/* Requests that the new version may be owed at once. */
-static const double CREDIT_MAX = 3;
+/* Maximum burst of requests to the new version. */
+static const double BURST_MAX = 3;
 
-/* Answers of the new version, from all homes, that prove it. */
-enum { PROOF_MIN = 30 };
+/* Answers of the new version to all owners needed for the next step. */
+enum { ANSWERS_MIN = 30 };
 
-/* Old servers have been left by all for so long before they may end. */
-#define SETTLED_NS (300 * NS_MS)
-/* What a home told holds for so long. */
-#define WORD_FRESH_NS (1200 * NS_MS)
-/* One that told of requests at the old version is waited for as long. */
-#define WORD_KEPT_NS (3 * NS_S)
+/* How long the old version is kept after the last step before completion. */
+#define OLD_IDLE_NS (300 * NS_MS)
+/* How long a report counts as proof that its owner left the old version. */
+#define REPORT_FRESH_NS (1200 * NS_MS)
+/* How long a report of requests at the old version delays completion. */
+#define REPORT_DELAYS_NS (3 * NS_S)
 
 static const char *const state_names[] = {
     "waiting", "small", "wider", "all", "completed", "rolled_back"};
@@ -43,74 +46,74 @@
 const struct chart_names roll_chart_names = {
     "rollout", state_names, ROLL_STATE_MAX, event_names, ROLL_EVENT_MAX};
 
-/* A box that is home for a hall, and its last word. */
-struct other {
+/* Another owner of the service, and its last report. */
+struct owner {
 	struct str box, hall;
-	struct roll_word word;
-	int64_t told;
+	struct roll_word report;
+	int64_t received; /* when it was received, monotonic ns */
 };
 
 struct roll {
 	const struct chart *chart;
 	enum roll_state state;
-	int64_t since; /* the state's begin */
-	struct str version;
+	int64_t state_since; /* when the state began, monotonic ns */
+	struct str version; /* the new one */
 	int64_t duration; /* ns */
-	int64_t ordered; /* when, as far as any home knows */
-	double share; /* of the first step */
-	double credit; /* requests that the new version may get */
+	int64_t started; /* when any owner first saw it, monotonic ns */
+	double share; /* of the new version in the first step */
+	double credit; /* requests that the new version may get now */
 	struct verdict verdict;
 	const char *why;
-	bool settled; /* the platform has its end */
-	GArray *others; /* struct other */
+	bool outcome_stored; /* the platform has stored the outcome */
+	GArray *owners; /* struct owner */
 };
 
 struct roll *
-roll_new(const struct obj_rollout *order, const struct chart *chart,
+roll_new(const struct obj_rollout *rollout, const struct chart *chart,
     double share, int64_t now)
 {
 	struct roll *r = g_new0(struct roll, 1);
 
 	r->chart = chart;
 	r->state = (enum roll_state)chart_start(chart);
-	r->since = r->ordered = now;
-	r->version = str_dup(order->version);
-	r->duration = order->duration_ms * NS_MS;
+	r->state_since = r->started = now;
+	r->version = str_dup(rollout->version);
+	r->duration = rollout->duration_ms * NS_MS;
 	r->share = share;
 	verdict_open(&r->verdict);
-	r->others = g_array_new(FALSE, TRUE, sizeof(struct other));
+	r->owners = g_array_new(FALSE, TRUE, sizeof(struct owner));
 	return r;
 }
 
 void
 roll_free(struct roll *r)
 {
-	struct other *o;
+	struct owner *o;
 	guint i;
 
 	if (r == NULL)
 		return;
-	for (i = 0; i < r->others->len; i++) {
-		o = &g_array_index(r->others, struct other, i);
+	for (i = 0; i < r->owners->len; i++) {
+		o = &g_array_index(r->owners, struct owner, i);
 		str_free(&o->box);
 		str_free(&o->hall);
 	}
-	g_array_free(r->others, TRUE);
+	g_array_free(r->owners, TRUE);
 	verdict_close(&r->verdict);
 	str_free(&r->version);
 	g_free(r);
 }
 
-/* One that was decided and is open again was ordered anew. */
+/* If the stored outcome has been removed, the rollout was started again. */
 bool
-roll_is(const struct roll *r, const struct obj_rollout *order)
+roll_is(const struct roll *r, const struct obj_rollout *rollout)
 {
 	bool decided =
-	    order->state == ROLLED_COMPLETED || order->state == ROLLED_BACK;
+	    rollout->state == ROLLED_COMPLETED || rollout->state == ROLLED_BACK;
 
-	return str_eq(r->version, order->version) &&
-	    r->duration == order->duration_ms * NS_MS &&
-	    (!r->settled || decided);
+	return str_eq(r->version, rollout->version) &&
+	    r->duration == rollout->duration_ms * NS_MS &&
+	    (!r->outcome_stored || decided);
 }
 
 static void
@@ -120,21 +123,21 @@
 
 	r->state = (enum roll_state)chart_step(r->chart, (int)old, (int)ev);
 	if (r->state != old)
-		r->since = now;
+		r->state_since = now;
 }
 
 void
 roll_settle(struct roll *r, enum obj_rolled state)
 {
-	r->settled =
-	    r->settled || state == ROLLED_COMPLETED || state == ROLLED_BACK;
+	r->outcome_stored = r->outcome_stored || state == ROLLED_COMPLETED ||
+	    state == ROLLED_BACK;
 	if (state == ROLLED_COMPLETED)
-		step(r, ROLL_EV_COMPLETED, r->since);
+		step(r, ROLL_EV_COMPLETED, r->state_since);
 	if (state != ROLLED_BACK)
 		return;
-	step(r, ROLL_EV_BAD, r->since);
+	step(r, ROLL_EV_BAD, r->state_since);
 	if (r->why == NULL)
-		r->why = "the platform says so";
+		r->why = "rolled back on the platform";
 }
 
 bool
@@ -178,7 +181,7 @@
 	return r->why;
 }
 
-/* The new version's part of all requests, its own among them. */
+/* Returns the share of the new version in all requests. */
 static double
 share_of(const struct roll *r)
 {
@@ -190,16 +193,16 @@
 void
 roll_sent(struct roll *r, bool to_new)
 {
-	r->credit = MIN(r->credit + share_of(r), CREDIT_MAX);
+	r->credit = MIN(r->credit + share_of(r), BURST_MAX);
 	if (to_new)
 		r->credit = MAX(r->credit - 1, 0);
 }
 
 static void
-convict(struct roll *r, const char *why)
+roll_back(struct roll *r, const char *why)
 {
 	r->why = why;
-	step(r, ROLL_EV_BAD, r->since);
+	step(r, ROLL_EV_BAD, r->state_since);
 }
 
 void
@@ -216,120 +219,121 @@
 	}
 	why = verdict_new(&r->verdict, kind, answer);
 	if (why != NULL)
-		convict(r, why);
+		roll_back(r, why);
 }
 
-/* Answers of the new version at all homes. */
+/* Counts the answers of the new version to all owners. */
 static uint64_t
 answers_of(const struct roll *r)
 {
 	uint64_t n = r->verdict.answers;
 	guint i;
 
-	for (i = 0; i < r->others->len; i++)
-		n += g_array_index(r->others, struct other, i).word.answers;
+	for (i = 0; i < r->owners->len; i++)
+		n += g_array_index(r->owners, struct owner, i).report.answers;
 	return n;
 }
 
-/* Is the time of the state over? */
+/* Returns whether the time for the present step is over. */
 static bool
-is_due(const struct roll *r, int64_t now)
+is_step_over(const struct roll *r, int64_t now)
 {
-	double age = (double)(now - r->ordered);
+	double age = (double)(now - r->started);
 
 	if (r->state == ROLL_WIDER)
-		return (double)(now - r->since) >=
-		    WIDER_LASTS * (double)r->duration;
+		return (double)(now - r->state_since) >=
+		    WIDER_DURATION * (double)r->duration;
 	return age >= WIDER_AT * (double)r->duration;
 }
 
 void
 roll_tick(struct roll *r, bool has_new, int64_t now)
 {
-	bool proven = answers_of(r) >= PROOF_MIN;
+	bool proven = answers_of(r) >= ANSWERS_MIN;
 
 	if (has_new)
 		step(r, ROLL_EV_SERVERS, now);
-	if (proven && r->state != ROLL_WAITING && is_due(r, now))
+	if (proven && r->state != ROLL_WAITING && is_step_over(r, now))
 		step(r, ROLL_EV_PROVEN, now);
 	if (!proven && roll_is_open(r) &&
-	    (double)(now - r->ordered) >= TOO_LATE_AT * (double)r->duration)
-		convict(r, "too few answers by now to tell");
+	    (double)(now - r->started) >= TOO_LATE_AT * (double)r->duration)
+		roll_back(r, "too few answers to decide in time");
 }
 
 struct roll_word
 roll_word_of(const struct roll *r, unsigned old_out, int64_t now)
 {
-	return (struct roll_word){.age = now - r->ordered,
+	return (struct roll_word){.age = now - r->started,
 	    .state = r->state,
 	    .answers = r->verdict.answers,
 	    .bad = r->verdict.bad,
 	    .old_out = old_out};
 }
 
-static struct other *
-find_other(struct roll *r, struct str box, struct str hall)
+static struct owner *
+get_owner(struct roll *r, struct str box, struct str hall)
 {
-	struct other *o, add = {0};
+	struct owner *o, add = {0};
 	guint i;
 
-	for (i = 0; i < r->others->len; i++) {
-		o = &g_array_index(r->others, struct other, i);
+	for (i = 0; i < r->owners->len; i++) {
+		o = &g_array_index(r->owners, struct owner, i);
 		if (str_eq(o->box, box) && str_eq(o->hall, hall))
 			return o;
 	}
 	add.box = str_dup(box);
 	add.hall = str_dup(hall);
-	g_array_append_val(r->others, add);
-	return &g_array_index(r->others, struct other, r->others->len - 1);
+	g_array_append_val(r->owners, add);
+	return &g_array_index(r->owners, struct owner, r->owners->len - 1);
 }
 
 void
 roll_told(struct roll *r, struct str box, struct str hall,
-    const struct roll_word *word, int64_t now)
+    const struct roll_word *report, int64_t now)
 {
-	struct other *o = find_other(r, box, hall);
+	struct owner *o = get_owner(r, box, hall);
 
-	o->word = *word;
-	o->told = now;
-	r->ordered = MIN(r->ordered, now - word->age);
-	if (word->state == ROLL_BACK && roll_is_open(r))
-		convict(r, "another home found it bad");
+	o->report = *report;
+	o->received = now;
+	r->started = MIN(r->started, now - report->age);
+	if (report->state == ROLL_BACK && roll_is_open(r))
+		roll_back(r, "rolled back by another owner");
 }
 
-/* Does a home of the hall say that it has left the old version? */
+/* Returns whether a hall's owner reported lately to have left the old version.
+ */
 static bool
 has_left(const struct roll *r, struct str hall, int64_t now)
 {
-	const struct other *o;
+	const struct owner *o;
 	guint i;
 
-	for (i = 0; i < r->others->len; i++) {
-		o = &g_array_index(r->others, struct other, i);
-		if (str_eq(o->hall, hall) && now - o->told <= WORD_FRESH_NS &&
-		    o->word.state == ROLL_ALL && o->word.old_out == 0)
+	for (i = 0; i < r->owners->len; i++) {
+		o = &g_array_index(r->owners, struct owner, i);
+		if (str_eq(o->hall, hall) &&
+		    now - o->received <= REPORT_FRESH_NS &&
+		    o->report.state == ROLL_ALL && o->report.old_out == 0)
 			return true;
 	}
 	return false;
 }
 
-/* Did a home say lately that it has not? */
+/* Returns whether any owner has recently reported the opposite. */
 static bool
-is_used_by_any(const struct roll *r, int64_t now)
+is_used_by_other(const struct roll *r, int64_t now)
 {
-	const struct other *o;
+	const struct owner *o;
 	guint i;
 
-	for (i = 0; i < r->others->len; i++) {
-		o = &g_array_index(r->others, struct other, i);
-		if (now - o->told <= WORD_KEPT_NS &&
-		    (o->word.state < ROLL_ALL || o->word.old_out > 0))
+	for (i = 0; i < r->owners->len; i++) {
+		o = &g_array_index(r->owners, struct owner, i);
+		if (now - o->received <= REPORT_DELAYS_NS &&
+		    (o->report.state < ROLL_ALL || o->report.old_out > 0))
 			return true;
 	}
 	return false;
 }
 
-/* `halls` are those of the other homes. */
 enum obj_rolled
 roll_wants(const struct roll *r, const struct str *halls, unsigned n,
     unsigned old_out, int64_t now)
@@ -341,7 +345,7 @@
 	if (r->state == ROLL_COMPLETED)
 		return ROLLED_COMPLETED;
 	if (r->state != ROLL_ALL || old_out > 0 ||
-	    now - r->since < SETTLED_NS || is_used_by_any(r, now))
+	    now - r->state_since < OLD_IDLE_NS || is_used_by_other(r, now))
 		return ROLLED_RUNNING;
 	for (i = 0; i < n; i++)
 		if (!has_left(r, halls[i], now))
--- a/roll.h
+++ b/roll.h
@@ -20,29 +20,31 @@
 #include "verdict.h"
 
 /*
- * A roll-out of a service's new version, as one home of the service sees it:
- * which share of the requests the new version may get, whether it is worse than
- * the old one, and what the platform is to be told.  Pure.
+ * The canary rollout of a new version of a service, as one owner of the service
+ * performs it: which share of the requests goes to the new version, whether
+ * that version is worse than the old one, and which state the platform is to be
+ * given.  No I/O is done here.
  *
- * All homes of a service decide alike: by the age of the order, which the
- * oldest among them tells the others, and by the verdict of any of them.  So no
- * home has to be asked, and one that dies or starts takes nothing with it.
+ * There is one owner of the service in each hall.  All owners reach the same
+ * decisions without asking each other: they exchange reports, take the age of
+ * the rollout from the owner that knows it for longest, and roll back if any of
+ * them does.  So nothing is lost when an owner fails or another one takes over.
  */
 
-/* States and events, as charts/rollout.toml has them. */
+/* States and events of charts/rollout.toml. */
 enum roll_state {
 	ROLL_WAITING, /* no server of the new version is usable yet */
-	ROLL_SMALL,
-	ROLL_WIDER,
-	ROLL_ALL, /* the old version gets nothing new */
+	ROLL_SMALL, /* the new version gets a small share of the requests */
+	ROLL_WIDER, /* it gets a larger share */
+	ROLL_ALL, /* it gets all new requests */
 	ROLL_COMPLETED,
-	ROLL_BACK, /* the new version gets nothing more */
+	ROLL_BACK, /* the old version gets all new requests */
 	ROLL_STATE_MAX
 };
 
 enum roll_event {
-	ROLL_EV_SERVERS,
-	ROLL_EV_PROVEN,
+	ROLL_EV_SERVERS, /* there are usable servers of the new version */
+	ROLL_EV_PROVEN, /* enough answers, and the time of the step is over */
 	ROLL_EV_BAD,
 	ROLL_EV_COMPLETED,
 	ROLL_EVENT_MAX
@@ -50,58 +52,65 @@
 
 extern const struct chart_names roll_chart_names;
 
-/* What a home tells the service's other homes. */
+/* What an owner reports to the other owners of the service. */
 struct roll_word {
-	int64_t age; /* of the order, ns */
+	int64_t age; /* since the rollout was first seen, ns */
 	enum roll_state state;
-	uint64_t answers, bad; /* of the new version */
-	unsigned old_out; /* requests at servers of the old one */
+	uint64_t answers, bad; /* answers of the new version, and failures */
+	unsigned old_out; /* requests in flight at the old version */
 };
 
 struct roll;
 
-/* An order, its chart, and the share of the first step. */
+/* `share` is that of the new version in the first step, from 0 to 1. */
 struct roll *roll_new(const struct obj_rollout *, const struct chart *,
     double share, int64_t now);
 void roll_free(struct roll *);
 
-/* Is it still the same order? */
+/*
+ * Returns whether an object of the configuration still describes this rollout;
+ * if not, a new one has been started.
+ */
 bool roll_is(const struct roll *, const struct obj_rollout *);
 
-/* The platform has this state of it. */
+/* Takes over the state that the platform has stored. */
 void roll_settle(struct roll *, enum obj_rolled);
 
-/* May a server of the new version, or of the old one, get a request now? */
+/* Returns whether a server of the new or old version may get a request now. */
 bool roll_may_send(const struct roll *, bool to_new);
 
-/* Is it counted on for what will come? */
+/* Returns whether the slots of a version count as capacity for new requests. */
 bool roll_counts_on(const struct roll *, bool is_new);
 
-/* Is it not decided yet which version stays? */
+/* Returns whether it is undecided which version stays. */
 bool roll_is_open(const struct roll *);
 
 enum roll_state roll_state(const struct roll *);
 
-/* Why the new version is rolled back; NULL: it is not. */
+/* Returns the reason of a rollback, a static string, or NULL without one. */
 const char *roll_why(const struct roll *);
 
-/* A request is sent to a server. */
+/* Records that a request was sent to a server of the new or old version. */
 void roll_sent(struct roll *, bool to_new);
 
-/* And has ended there. */
+/* Records its outcome; `kind` groups requests that are compared. */
 void roll_ended(struct roll *, bool at_new, unsigned kind, enum verdict_answer);
 
-/* Time passes; are there usable servers of the new version here? */
+/* Advances the state; `has_new`: servers of the new version are usable here. */
 void roll_tick(struct roll *, bool has_new, int64_t now);
 
-/* What to tell, and what another box told of its home in a hall. */
+/* Returns the report for the other owners of the service. */
 struct roll_word roll_word_of(const struct roll *, unsigned old_out, int64_t);
+
+/* Merges a report of the box that owns the service for a hall. */
 void roll_told(struct roll *, struct str box, struct str hall,
     const struct roll_word *, int64_t now);
 
 /*
- * What the platform is to be told, if its state is not that already: completed
- * only once no home of the halls has a request at the old version.
+ * Returns the state that the platform should have stored.  This is completed
+ * only when no owner has requests in flight at the old version.  `halls` are
+ * those of the other owners, and `old_out` counts this owner's requests in
+ * flight at the old version.
  */
 enum obj_rolled roll_wants(const struct roll *, const struct str *halls,
     unsigned n, unsigned old_out, int64_t now);
