--- a/region.c
+++ b/region.c
@@ -45,80 +45,83 @@
 	return str_eq(region_of(halls, a), region_of(halls, b));
 }
 
-/* Which halls of a service are meant. */
-struct want {
+/* Criteria for the halls of a service. */
+struct hall_filter {
 	const json_t *halls;
 	struct str own;
-	struct str list;
-	bool near;
+	struct str list; /* allowed regions */
+	bool same_region; /* only in the region of `own` */
 };
 
 static bool
-is_wanted(const struct want *w, const struct route_hall *h)
+filter_matches(const struct hall_filter *filter, const struct route_hall *h)
 {
 	return h->slots > 0 &&
-	    region_allows(w->list, region_of(w->halls, h->hall)) &&
-	    (!w->near || region_is_near(w->halls, w->own, h->hall));
+	    region_allows(filter->list, region_of(filter->halls, h->hall)) &&
+	    (!filter->same_region ||
+		region_is_near(filter->halls, filter->own, h->hall));
 }
 
-/* One of them, by slots at random; empty if there is none. */
+/* Returns a random matching hall, weighted by slots; empty if none matches. */
 static struct str
-draw(const struct want *w, const struct route_service *svc,
+pick_by_slots(const struct hall_filter *filter, const struct route_service *svc,
     const struct rnd *rnd)
 {
-	uint64_t slots = 0, at;
+	uint64_t slots = 0, offset;
 	unsigned i;
 
 	for (i = 0; i < svc->nhalls; i++)
-		if (is_wanted(w, &svc->halls[i]))
+		if (filter_matches(filter, &svc->halls[i]))
 			slots += (uint64_t)svc->halls[i].slots;
 	if (slots == 0)
 		return str_c(NULL);
-	at = rnd_below(rnd, slots);
+	offset = rnd_below(rnd, slots);
 	for (i = 0; i < svc->nhalls; i++) {
-		if (!is_wanted(w, &svc->halls[i]))
+		if (!filter_matches(filter, &svc->halls[i]))
 			continue;
-		if (at < (uint64_t)svc->halls[i].slots)
+		if (offset < (uint64_t)svc->halls[i].slots)
 			break;
-		at -= (uint64_t)svc->halls[i].slots;
+		offset -= (uint64_t)svc->halls[i].slots;
 	}
 	return svc->halls[i].hall;
 }
 
-/* A hall that may serve it, by the table alone; empty if there is none. */
+/* Returns a random allowed hall of the table; empty if there is none. */
 static struct str
-draw_unseen(const struct want *w, const struct rnd *rnd)
+pick_from_table(const struct hall_filter *filter, const struct rnd *rnd)
 {
-	struct str found = str_c(NULL);
+	struct str chosen = str_c(NULL);
 	const char *hall;
 	json_t *region;
 	uint64_t n = 0;
 
-	json_object_foreach ((json_t *)w->halls, hall, region) {
-		if (!region_allows(w->list, str_c(json_string_value(region))))
+	json_object_foreach ((json_t *)filter->halls, hall, region) {
+		if (!region_allows(
+			filter->list, str_c(json_string_value(region))))
 			continue;
 		if (rnd_below(rnd, ++n) == 0)
-			found = str_c(hall);
+			chosen = str_c(hall);
 	}
-	return found;
+	return chosen;
 }
 
 struct str
 region_choose_hall(const json_t *halls, struct str own,
     const struct route_service *svc, struct str list, const struct rnd *rnd)
 {
-	const struct route_hall *here = route_hall(svc, own);
-	struct want want = {halls, own, list, true};
+	const struct route_hall *own_hall = route_hall(svc, own);
+	struct hall_filter filter = {halls, own, list, true};
 	bool allowed = region_allows(list, region_of(halls, own));
 	struct str hall;
 
-	if (allowed && (svc->slots == 0 || (here != NULL && here->slots > 0)))
+	if (allowed &&
+	    (svc->slots == 0 || (own_hall != NULL && own_hall->slots > 0)))
 		return own;
 	if (svc->slots == 0 && svc->nhalls == 0)
-		return draw_unseen(&want, rnd);
-	hall = draw(&want, svc, rnd);
+		return pick_from_table(&filter, rnd);
+	hall = pick_by_slots(&filter, svc, rnd);
 	if (hall.n > 0)
 		return hall;
-	want.near = false;
-	return draw(&want, svc, rnd);
+	filter.same_region = false;
+	return pick_by_slots(&filter, svc, rnd);
 }
--- a/region.h
+++ b/region.h
@@ -19,24 +19,31 @@
 #include "str.h"
 
 /*
- * Regions: halls that are far from those of another one.  A rule may name the
- * regions where its requests may be served.  Pure.
+ * Regions: groups of halls with a long network distance between groups.  A rule
+ * may restrict its requests to some regions.  No I/O is done here.
+ *
+ * `halls` is the setting that maps the names of halls to their regions.
  */
 
-/* Names of regions joined by commas, as a rule has them; empty: any region. */
+/*
+ * Returns whether a list of regions, joined by commas as in a rule, contains a
+ * region.  An empty list allows any region.
+ */
 bool region_allows(struct str list, struct str region);
 
-/* The region of a hall by a table of halls; empty if it is not in it. */
+/* Returns the region of a hall; empty if the table does not contain it. */
 struct str region_of(const json_t *halls, struct str hall);
 
-/* Are two halls in one region, as far as the table tells? */
+/* Returns whether two halls are in the same region according to the table. */
 bool region_is_near(const json_t *halls, struct str a, struct str b);
 
 /*
- * The hall whose slots a request is to use: its box's own, if that may serve it
- * and has slots or if the box holds no backend servers and cannot know; else
- * one that may and has, of the own region first, by slots at random.  Empty if
- * no hall may serve it.
+ * Returns the hall whose backend servers a request is to use.  This is the hall
+ * of this box, `own`, if the list allows it and the service has slots there, or
+ * no slots anywhere.  Otherwise it is a random hall that the list allows,
+ * weighted by slots, preferably in the region of this box.  A box that holds no
+ * backend servers does not know the slots and takes any allowed hall of the
+ * table.  Empty if there is no such hall.
  */
 struct str region_choose_hall(const json_t *halls, struct str own,
     const struct route_service *, struct str list, const struct rnd *);
--- a/roll.c
+++ b/roll.c
@@ -300,8 +300,7 @@
 		roll_back(r, "rolled back by another owner");
 }
 
-/* Returns whether a hall's owner reported lately to have left the old version.
- */
+/* Returns whether a hall's owner recently reported leaving the old version. */
 static bool
 has_left(const struct roll *r, struct str hall, int64_t now)
 {
