--- a/msg.c
+++ b/msg.c
@@ -13,35 +13,35 @@
 
 enum { LIST_MAX = 65536 };
 
-/* The shape of a suspect names each of its trials. */
+/* suspect_fields names each of the trials. */
 G_STATIC_ASSERT(POISON_TRIALS == 2);
 
 enum field_kind { F_U64, F_STR, F_BOOL, F_LIST };
 
-struct shape;
+struct layout;
 
-/* One element of a record, and where it goes in the struct. */
+/* One element of an encoded record, and its offset in the struct. */
 struct msg_field {
 	enum field_kind kind;
 	size_t offset;
-	const struct shape *item; /* F_LIST */
+	const struct layout *item; /* F_LIST */
 };
 
-/* A record: an array of so many elements. */
-struct shape {
+/* The layout of a record, which is encoded as an array of n elements. */
+struct layout {
 	const char *name;
-	size_t size;
+	size_t size; /* of the struct */
 	const struct msg_field *fields;
 	size_t n;
 };
 
-static void pack_record(msgpack_packer *, const struct shape *, const void *);
-static bool unpack_record(
-    struct msg *, const struct shape *, const msgpack_object *, size_t, void *);
+static void pack_record(msgpack_packer *, const struct layout *, const void *);
+static bool unpack_record(struct msg *, const struct layout *,
+    const msgpack_object *, size_t, void *);
 static bool unpack_field(
     struct msg *, const struct msg_field *, const msgpack_object *, void *);
-static bool
-unpack_list(struct msg *, const struct shape *, const msgpack_object *, void *);
+static bool unpack_list(
+    struct msg *, const struct layout *, const msgpack_object *, void *);
 
 #define U64(type, m)                                                           \
 	{                                                                      \
@@ -59,7 +59,7 @@
 	{                                                                      \
 		F_LIST, offsetof(struct type, m), &(s)                         \
 	}
-#define SHAPE(type, f)                                                         \
+#define LAYOUT(type, f)                                                        \
 	{                                                                      \
 #type, sizeof(struct type), f, G_N_ELEMENTS(f)                 \
 	}
@@ -69,29 +69,31 @@
     STR(memb_info, gate_inbox), U64(memb_info, boot), U64(memb_info, beat),
     U64(memb_info, power), U64(memb_info, crowd), BOOL(memb_info, dead),
     BOOL(memb_info, leaving), BOOL(memb_info, ready), BOOL(memb_info, blind)};
-static const struct shape info_shape = SHAPE(memb_info, info_fields);
+static const struct layout info_layout = LAYOUT(memb_info, info_fields);
 
 static const struct msg_field u64_fields[] = {U64(msg_u64, v)};
-static const struct shape u64_shape = SHAPE(msg_u64, u64_fields);
+static const struct layout u64_layout = LAYOUT(msg_u64, u64_fields);
 
 static const struct msg_field version_fields[] = {STR(msg_version, key),
     U64(msg_version, version), U64(msg_version, bad_version),
     U64(msg_version, hash)};
-static const struct shape version_shape = SHAPE(msg_version, version_fields);
+static const struct layout version_layout = LAYOUT(msg_version, version_fields);
 
 static const struct msg_field key_fields[] = {STR(msg_key, key)};
-static const struct shape key_shape = SHAPE(msg_key, key_fields);
+static const struct layout key_layout = LAYOUT(msg_key, key_fields);
 
 static const struct msg_field object_fields[] = {STR(msg_object, key),
     U64(msg_object, version), BOOL(msg_object, deleted), STR(msg_object, spec),
     U64(msg_object, size), U64(msg_object, hash)};
-static const struct shape object_shape = SHAPE(msg_object, object_fields);
+static const struct layout object_layout = LAYOUT(msg_object, object_fields);
 
-static const struct msg_field state_fields[] = {STR(msg_state_of, backend),
-    U64(msg_state_of, state), U64(msg_state_of, at_ms)};
-static const struct shape state_shape = SHAPE(msg_state_of, state_fields);
+static const struct msg_field backend_health_fields[] = {
+    STR(msg_state_of, backend), U64(msg_state_of, state),
+    U64(msg_state_of, at_ms)};
+static const struct layout backend_health_layout =
+    LAYOUT(msg_state_of, backend_health_fields);
 
-static const struct msg_field hello_fields[] = {STR(msg_hello, self.box),
+static const struct msg_field announcement_fields[] = {STR(msg_hello, self.box),
     STR(msg_hello, self.hall), STR(msg_hello, self.inbox),
     STR(msg_hello, self.pass), STR(msg_hello, self.gate_inbox),
     U64(msg_hello, self.boot), U64(msg_hello, self.beat),
@@ -101,84 +103,85 @@
     U64(msg_hello, holds.digest), U64(msg_hello, holds.rules),
     U64(msg_hello, holds.floor), BOOL(msg_hello, holds.partial),
     U64(msg_hello, holds.confirmed), U64(msg_hello, hubs), U64(msg_hello, near),
-    BOOL(msg_hello, asks), LIST(msg_hello, others, info_shape)};
-static const struct msg_field beat_fields[] = {STR(msg_beat, box),
+    BOOL(msg_hello, asks), LIST(msg_hello, others, info_layout)};
+static const struct msg_field heartbeat_fields[] = {STR(msg_beat, box),
     U64(msg_beat, boot), U64(msg_beat, beat), U64(msg_beat, hubs),
     U64(msg_beat, near), U64(msg_beat, holds.digest),
     U64(msg_beat, holds.rules), U64(msg_beat, holds.floor),
     BOOL(msg_beat, holds.partial), U64(msg_beat, holds.confirmed),
     BOOL(msg_beat, asks)};
 static const struct msg_field buckets_fields[] = {
-    BOOL(msg_buckets, partial), LIST(msg_buckets, digests, u64_shape)};
+    BOOL(msg_buckets, partial), LIST(msg_buckets, digests, u64_layout)};
 static const struct msg_field versions_fields[] = {
-    U64(msg_versions, buckets), LIST(msg_versions, versions, version_shape)};
-static const struct msg_field want_fields[] = {LIST(msg_want, keys, key_shape)};
+    U64(msg_versions, buckets), LIST(msg_versions, versions, version_layout)};
+static const struct msg_field object_request_fields[] = {
+    LIST(msg_want, keys, key_layout)};
 static const struct msg_field objects_fields[] = {
-    LIST(msg_objects, objects, object_shape)};
+    LIST(msg_objects, objects, object_layout)};
 static const struct msg_field members_fields[] = {
-    LIST(msg_members, members, info_shape), U64(msg_members, fleet),
+    LIST(msg_members, members, info_layout), U64(msg_members, fleet),
     BOOL(msg_members, hub)};
-static const struct msg_field gate_fields[] = {STR(msg_gate, box),
+static const struct msg_field gate_status_fields[] = {STR(msg_gate, box),
     U64(msg_gate, boot), U64(msg_gate, holds.digest),
     U64(msg_gate, holds.rules), U64(msg_gate, holds.floor),
     BOOL(msg_gate, holds.partial), U64(msg_gate, holds.confirmed),
     U64(msg_gate, objects), BOOL(msg_gate, leaving), BOOL(msg_gate, ready),
     STR(msg_gate, doubted)};
 static const struct msg_field health_fields[] = {
-    LIST(msg_health, states, state_shape)};
-static const struct msg_field summary_fields[] = {STR(msg_summary, service),
+    LIST(msg_health, states, backend_health_layout)};
+static const struct msg_field capacity_fields[] = {STR(msg_summary, service),
     STR(msg_summary, hall), U64(msg_summary, slot_tenths),
     U64(msg_summary, free), U64(msg_summary, waiting)};
 static const struct msg_field suspect_fields[] = {U64(msg_suspect, print_hi),
     U64(msg_suspect, print_lo), U64(msg_suspect, print_caller),
     U64(msg_suspect, trials[0]), U64(msg_suspect, trials[1]),
     U64(msg_suspect, ended_ms), U64(msg_suspect, cleared_ms)};
-static const struct shape suspect_shape = SHAPE(msg_suspect, suspect_fields);
+static const struct layout suspect_layout = LAYOUT(msg_suspect, suspect_fields);
 static const struct msg_field suspects_fields[] = {
-    LIST(msg_suspects, suspects, suspect_shape)};
-static const struct msg_field word_fields[] = {STR(msg_word, backend),
+    LIST(msg_suspects, suspects, suspect_layout)};
+static const struct msg_field report_fields[] = {STR(msg_word, backend),
     U64(msg_word, born_ms), BOOL(msg_word, leaves), U64(msg_word, rate_milli),
     U64(msg_word, heard_ms)};
-static const struct shape word_shape = SHAPE(msg_word, word_fields);
-static const struct msg_field words_fields[] = {
-    LIST(msg_words, words, word_shape)};
-static const struct msg_field roll_fields[] = {STR(msg_roll, service),
+static const struct layout report_layout = LAYOUT(msg_word, report_fields);
+static const struct msg_field reports_fields[] = {
+    LIST(msg_words, words, report_layout)};
+static const struct msg_field rollout_fields[] = {STR(msg_roll, service),
     STR(msg_roll, hall), STR(msg_roll, box), STR(msg_roll, version),
     U64(msg_roll, age_ms), U64(msg_roll, state), U64(msg_roll, answers),
     U64(msg_roll, bad), U64(msg_roll, old_out)};
-static const struct msg_field ask_fields[] = {U64(msg_ask, seq),
+static const struct msg_field rate_query_fields[] = {U64(msg_ask, seq),
     STR(msg_ask, customer), STR(msg_ask, asker), BOOL(msg_ask, again)};
-static const struct msg_field grant_fields[] = {
+static const struct msg_field rate_grant_fields[] = {
     U64(msg_grant, seq), BOOL(msg_grant, granted), U64(msg_grant, wait_us)};
 static const struct msg_field ping_fields[] = {U64(msg_ping, nonce)};
 static const struct msg_field deflated_fields[] = {
     U64(msg_deflated, size), STR(msg_deflated, data)};
 
-static const struct shape shapes[MSG_KIND_MAX] = {
-    [MSG_HELLO] = SHAPE(msg_hello, hello_fields),
-    [MSG_BEAT] = SHAPE(msg_beat, beat_fields),
-    [MSG_BUCKETS] = SHAPE(msg_buckets, buckets_fields),
-    [MSG_VERSIONS] = SHAPE(msg_versions, versions_fields),
-    [MSG_WANT] = SHAPE(msg_want, want_fields),
-    [MSG_OBJECTS] = SHAPE(msg_objects, objects_fields),
-    [MSG_MEMBERS] = SHAPE(msg_members, members_fields),
-    [MSG_GATE] = SHAPE(msg_gate, gate_fields),
-    [MSG_HEALTH] = SHAPE(msg_health, health_fields),
-    [MSG_SUMMARY] = SHAPE(msg_summary, summary_fields),
-    [MSG_PING] = SHAPE(msg_ping, ping_fields),
-    [MSG_PONG] = SHAPE(msg_ping, ping_fields),
-    [MSG_DEFLATED] = SHAPE(msg_deflated, deflated_fields),
-    [MSG_SUSPECTS] = SHAPE(msg_suspects, suspects_fields),
-    [MSG_WORDS] = SHAPE(msg_words, words_fields),
-    [MSG_ROLL] = SHAPE(msg_roll, roll_fields),
-    [MSG_ASK] = SHAPE(msg_ask, ask_fields),
-    [MSG_GRANT] = SHAPE(msg_grant, grant_fields),
+static const struct layout layouts[MSG_KIND_MAX] = {
+    [MSG_HELLO] = LAYOUT(msg_hello, announcement_fields),
+    [MSG_BEAT] = LAYOUT(msg_beat, heartbeat_fields),
+    [MSG_BUCKETS] = LAYOUT(msg_buckets, buckets_fields),
+    [MSG_VERSIONS] = LAYOUT(msg_versions, versions_fields),
+    [MSG_WANT] = LAYOUT(msg_want, object_request_fields),
+    [MSG_OBJECTS] = LAYOUT(msg_objects, objects_fields),
+    [MSG_MEMBERS] = LAYOUT(msg_members, members_fields),
+    [MSG_GATE] = LAYOUT(msg_gate, gate_status_fields),
+    [MSG_HEALTH] = LAYOUT(msg_health, health_fields),
+    [MSG_SUMMARY] = LAYOUT(msg_summary, capacity_fields),
+    [MSG_PING] = LAYOUT(msg_ping, ping_fields),
+    [MSG_PONG] = LAYOUT(msg_ping, ping_fields),
+    [MSG_DEFLATED] = LAYOUT(msg_deflated, deflated_fields),
+    [MSG_SUSPECTS] = LAYOUT(msg_suspects, suspects_fields),
+    [MSG_WORDS] = LAYOUT(msg_words, reports_fields),
+    [MSG_ROLL] = LAYOUT(msg_roll, rollout_fields),
+    [MSG_ASK] = LAYOUT(msg_ask, rate_query_fields),
+    [MSG_GRANT] = LAYOUT(msg_grant, rate_grant_fields),
 };
 
 const char *
 msg_kind_name(enum msg_kind kind)
 {
-	return shapes[kind].name;
+	return layouts[kind].name;
 }
 
 static void
@@ -190,7 +193,7 @@
 
 static void
 pack_list(
-    msgpack_packer *pk, const struct shape *item, const struct msg_list *list)
+    msgpack_packer *pk, const struct layout *item, const struct msg_list *list)
 {
 	size_t i;
 
@@ -203,22 +206,22 @@
 }
 
 static void
-pack_record(msgpack_packer *pk, const struct shape *shape, const void *rec)
+pack_record(msgpack_packer *pk, const struct layout *layout, const void *record)
 {
 	const struct msg_field *f;
-	const void *at;
+	const void *field;
 	size_t i;
 
-	for (i = 0; i < shape->n; i++) {
-		f = &shape->fields[i];
-		at = (const char *)rec + f->offset;
+	for (i = 0; i < layout->n; i++) {
+		f = &layout->fields[i];
+		field = (const char *)record + f->offset;
 		if (f->kind == F_U64)
-			msgpack_pack_uint64(pk, *(const uint64_t *)at);
+			msgpack_pack_uint64(pk, *(const uint64_t *)field);
 		else if (f->kind == F_STR)
-			pack_str(pk, *(const struct str *)at);
+			pack_str(pk, *(const struct str *)field);
 		else if (f->kind == F_LIST)
-			pack_list(pk, f->item, at);
-		else if (*(const bool *)at)
+			pack_list(pk, f->item, field);
+		else if (*(const bool *)field)
 			msgpack_pack_true(pk);
 		else
 			msgpack_pack_false(pk);
@@ -228,22 +231,22 @@
 void
 msg_encode(const struct msg *m, msgpack_sbuffer *out)
 {
-	const struct shape *shape = &shapes[m->kind];
+	const struct layout *layout = &layouts[m->kind];
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, msgpack_sbuffer_write);
-	msgpack_pack_array(&pk, 2 + shape->n);
+	msgpack_pack_array(&pk, 2 + layout->n);
 	msgpack_pack_uint64(&pk, (uint64_t)m->kind);
 	pack_str(&pk, m->from);
-	pack_record(&pk, shape, &m->u);
+	pack_record(&pk, layout, &m->u);
 }
 
 static bool
-unpack_list(
-    struct msg *m, const struct shape *item, const msgpack_object *o, void *at)
+unpack_list(struct msg *m, const struct layout *item, const msgpack_object *o,
+    void *field)
 {
-	struct msg_list *list = at;
-	const msgpack_object *rec;
+	struct msg_list *list = field;
+	const msgpack_object *record;
 	size_t i;
 
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size > LIST_MAX)
@@ -252,10 +255,10 @@
 	list->items = g_malloc0_n(list->n + 1, item->size);
 	g_ptr_array_add(m->arrays, list->items);
 	for (i = 0; i < list->n; i++) {
-		rec = &o->via.array.ptr[i];
-		if (rec->type != MSGPACK_OBJECT_ARRAY ||
-		    !unpack_record(m, item, rec->via.array.ptr,
-			rec->via.array.size,
+		record = &o->via.array.ptr[i];
+		if (record->type != MSGPACK_OBJECT_ARRAY ||
+		    !unpack_record(m, item, record->via.array.ptr,
+			record->via.array.size,
 			(char *)list->items + i * item->size))
 			return false;
 	}
@@ -263,43 +266,43 @@
 }
 
 static bool
-unpack_field(
-    struct msg *m, const struct msg_field *f, const msgpack_object *o, void *at)
+unpack_field(struct msg *m, const struct msg_field *f, const msgpack_object *o,
+    void *field)
 {
 	switch (f->kind) {
 	case F_U64:
 		if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
 			return false;
-		*(uint64_t *)at = o->via.u64;
+		*(uint64_t *)field = o->via.u64;
 		return true;
 	case F_STR:
 		if (o->type != MSGPACK_OBJECT_STR)
 			return false;
-		*(struct str *)at = str_n(o->via.str.ptr, o->via.str.size);
+		*(struct str *)field = str_n(o->via.str.ptr, o->via.str.size);
 		return true;
 	case F_BOOL:
 		if (o->type != MSGPACK_OBJECT_BOOLEAN)
 			return false;
-		*(bool *)at = o->via.boolean;
+		*(bool *)field = o->via.boolean;
 		return true;
 	case F_LIST:
-		return unpack_list(m, f->item, o, at);
+		return unpack_list(m, f->item, o, field);
 	}
 	return false;
 }
 
-/* Elements behind those we know are let pass: a newer peer may add some. */
+/* Ignores further elements after the known ones: a newer peer may add some. */
 static bool
-unpack_record(struct msg *m, const struct shape *shape,
-    const msgpack_object *elems, size_t n, void *rec)
+unpack_record(struct msg *m, const struct layout *layout,
+    const msgpack_object *elements, size_t n, void *record)
 {
 	size_t i;
 
-	if (n < shape->n)
+	if (n < layout->n)
 		return false;
-	for (i = 0; i < shape->n; i++)
-		if (!unpack_field(m, &shape->fields[i], &elems[i],
-			(char *)rec + shape->fields[i].offset))
+	for (i = 0; i < layout->n; i++)
+		if (!unpack_field(m, &layout->fields[i], &elements[i],
+			(char *)record + layout->fields[i].offset))
 			return false;
 	return true;
 }
@@ -307,7 +310,7 @@
 bool
 msg_decode(const char *p, size_t n, struct msg *m, GError **err)
 {
-	const msgpack_object *o, *elems;
+	const msgpack_object *o, *elements;
 	size_t off = 0;
 
 	memset(m, 0, sizeof(*m));
@@ -318,15 +321,15 @@
 	o = &m->raw.data;
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size < 2)
 		goto bad;
-	elems = o->via.array.ptr;
-	if (elems[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-	    elems[0].via.u64 >= MSG_KIND_MAX ||
-	    elems[1].type != MSGPACK_OBJECT_STR)
+	elements = o->via.array.ptr;
+	if (elements[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+	    elements[0].via.u64 >= MSG_KIND_MAX ||
+	    elements[1].type != MSGPACK_OBJECT_STR)
 		goto bad;
-	m->kind = (enum msg_kind)elems[0].via.u64;
-	m->from = str_n(elems[1].via.str.ptr, elems[1].via.str.size);
-	if (unpack_record(
-		m, &shapes[m->kind], elems + 2, o->via.array.size - 2, &m->u))
+	m->kind = (enum msg_kind)elements[0].via.u64;
+	m->from = str_n(elements[1].via.str.ptr, elements[1].via.str.size);
+	if (unpack_record(m, &layouts[m->kind], elements + 2,
+		o->via.array.size - 2, &m->u))
 		return true;
 bad:
 	msg_done(m);
--- a/msg.h
+++ b/msg.h
@@ -21,45 +21,46 @@
 #include "str.h"
 
 /*
- * Messages between our own processes, as msgpack arrays.  The first element
- * is the kind, the second the sender's inbox; the rest follows the shape
- * that msg.c gives for the kind.
+ * Messages between the agents and gates of the fleet, as msgpack arrays.  The
+ * first element is the kind and the second the inbox of the sender; the others
+ * are the fields of the kind, in the order that msg.c defines.
  */
 enum msg_kind {
-	MSG_HELLO, /* who I am, what I have, whom I know */
-	MSG_BEAT, /* the same where nothing has changed, in few bytes */
-	MSG_BUCKETS, /* digests of all buckets */
+	/* Agents, and an agent to its gate: state of the sender. */
+	MSG_HELLO,
+	MSG_BEAT, /* agents: short form of it if nothing has changed */
+	MSG_BUCKETS, /* digests of all buckets of the configuration */
 	MSG_VERSIONS, /* versions of all objects in some buckets */
-	MSG_WANT, /* please send these objects */
+	MSG_WANT, /* requests objects */
 	MSG_OBJECTS, /* objects */
-	MSG_MEMBERS, /* boxes that are alive; to a gate: the hubs */
-	MSG_GATE, /* gate to its agent: what the gate has */
-	MSG_HEALTH, /* what probes found */
-	MSG_SUMMARY, /* home to home: room for a service in a hall */
-	MSG_PING, /* gate to gate: are you there? */
-	MSG_PONG,
-	MSG_DEFLATED, /* another message, in fewer bytes */
-	MSG_SUSPECTS, /* gate to gate: requests that end backend servers */
-	MSG_WORDS, /* gate to gate: what backend servers said of themselves */
-	MSG_ROLL, /* home to home: how far a roll-out is there */
-	MSG_ASK, /* gate to gate: may a customer make a request? */
-	MSG_GRANT, /* the answer */
+	MSG_MEMBERS, /* live boxes; from an agent to its gate: the hubs */
+	MSG_GATE, /* gate to its agent: state of the gate */
+	MSG_HEALTH, /* results of probes, to agents and gates */
+	MSG_SUMMARY, /* owner to owner of a service: capacity of its hall */
+	MSG_PING, /* gate to gate: liveness check */
+	MSG_PONG, /* its answer */
+	MSG_DEFLATED, /* another message, compressed */
+	MSG_SUSPECTS, /* gates and agents: requests that crash servers */
+	MSG_WORDS, /* gate to gate: states reported by backend servers */
+	MSG_ROLL, /* owner to owner of a service: state of a rollout */
+	MSG_ASK, /* gate to gate: is a request within a customer's rate? */
+	MSG_GRANT, /* its answer */
 	MSG_KIND_MAX
 };
 
-/* A list of records of one shape. */
+/* A list of records of one type. */
 struct msg_list {
-	void *items;
+	void *items; /* array of the type that is noted at each list */
 	size_t n;
 };
 
-/* Which configuration a process has. */
+/* Summary of the configuration that a process holds. */
 struct msg_holds {
-	uint64_t digest; /* of all that it holds */
-	uint64_t rules; /* of its rules */
+	uint64_t digest; /* conf_digest() */
+	uint64_t rules; /* conf_digest_of() its rules */
 	uint64_t floor; /* of all that it holds */
-	bool partial; /* it holds no backend servers */
-	/* ms since the platform said that its rules hold, plus 1; 0: never */
+	bool partial; /* it holds rules only, no backend servers */
+	/* 1 + ms since the platform confirmed its rules; 0: never */
 	uint64_t confirmed;
 };
 
@@ -67,17 +68,17 @@
 	struct memb_info self;
 	struct msg_holds holds;
 	uint64_t hubs; /* memb_digest_hubs() of the sender */
-	uint64_t near; /* memb_digest_hall() */
-	bool asks; /* an answer is wanted */
+	uint64_t near; /* memb_digest_hall() of the sender */
+	bool asks; /* the receiver is to answer */
 	struct msg_list others; /* struct memb_info */
 };
 
 struct msg_beat {
 	struct str box;
-	uint64_t boot, beat; /* of its last hello */
-	uint64_t hubs, near; /* as in a hello */
+	uint64_t boot, beat; /* of the sender's state */
+	uint64_t hubs, near; /* as in struct msg_hello */
 	struct msg_holds holds;
-	bool asks; /* an answer is wanted */
+	bool asks; /* the receiver is to answer */
 };
 
 struct msg_u64 {
@@ -85,19 +86,19 @@
 };
 
 struct msg_buckets {
-	bool partial; /* those of backend servers are not to be compared */
-	struct msg_list digests; /* struct msg_u64 */
+	bool partial; /* the buckets of backend servers do not count */
+	struct msg_list digests; /* struct msg_u64, CONF_BUCKETS of them */
 };
 
 struct msg_version {
 	struct str key;
-	uint64_t version;
-	uint64_t bad_version;
-	uint64_t hash; /* of the contents; 0 for a deletion */
+	uint64_t version; /* in force */
+	uint64_t bad_version; /* rejected; 0: none */
+	uint64_t hash; /* `hash` of struct conf_entry; 0 for a deletion */
 };
 
 struct msg_versions {
-	uint64_t buckets; /* a bit for each bucket listed */
+	uint64_t buckets; /* one bit for each bucket that is listed */
 	struct msg_list versions; /* struct msg_version */
 };
 
@@ -113,9 +114,9 @@
 	struct str key;
 	uint64_t version;
 	bool deleted;
-	struct str spec; /* JSON text, deflated if `size` is not 0 */
-	uint64_t size; /* of the text, where it is deflated */
-	uint64_t hash; /* of the contents, as conf_entry has it */
+	struct str spec; /* JSON text, compressed if `size` is not 0 */
+	uint64_t size; /* bytes of the text if it is compressed */
+	uint64_t hash; /* `hash` of struct conf_entry */
 };
 
 struct msg_objects {
@@ -124,21 +125,21 @@
 
 struct msg_members {
 	struct msg_list members; /* struct memb_info */
-	uint64_t fleet; /* to a gate: gates that serve, of all halls */
+	uint64_t fleet; /* to a gate: serving gates of the fleet */
 	bool hub; /* to a gate: its box is a hub */
 };
 
 struct msg_gate {
 	struct str box;
-	uint64_t boot;
+	uint64_t boot; /* start of the gate, ms since 1970 */
 	struct msg_holds holds;
-	uint64_t objects;
+	uint64_t objects; /* number of objects that it holds */
 	bool leaving;
-	bool ready;
+	bool ready; /* it serves */
 	struct str doubted; /* a box whose gate does not answer, or empty */
 };
 
-/* What probes found of one backend server. */
+/* The state of a backend server as found by probes. */
 enum msg_state { STATE_UNKNOWN, STATE_UP, STATE_DOWN, STATE_DRAINING };
 
 struct msg_state_of {
@@ -154,17 +155,17 @@
 struct msg_summary {
 	struct str service;
 	struct str hall;
-	uint64_t slot_tenths; /* of slots that may be used, taken or free */
-	uint64_t free;
-	uint64_t waiting;
+	uint64_t slot_tenths; /* usable slots, in use or free, times ten */
+	uint64_t free; /* free slots */
+	uint64_t waiting; /* requests in the queue */
 };
 
 /* struct poison_word, with ages in place of times. */
 struct msg_suspect {
-	uint64_t print_hi, print_lo, print_caller;
+	uint64_t print_hi, print_lo, print_caller; /* fingerprint */
 	uint64_t trials[POISON_TRIALS];
-	uint64_t ended_ms; /* ago; 0: never */
-	uint64_t cleared_ms; /* ago; 0: never */
+	uint64_t ended_ms; /* age of the last crash; 0: none */
+	uint64_t cleared_ms; /* age of the last answer; 0: none */
 };
 
 struct msg_suspects {
@@ -174,39 +175,42 @@
 /* struct word, with an age in place of a time. */
 struct msg_word {
 	struct str backend;
-	uint64_t born_ms;
-	bool leaves;
-	uint64_t rate_milli; /* requests in a thousand seconds */
-	uint64_t heard_ms; /* ago */
+	uint64_t born_ms; /* its start, ms since 1970; 0: unknown */
+	bool leaves; /* it accepts no new requests */
+	uint64_t rate_milli; /* requests in 1000 s; 0: no limit */
+	uint64_t heard_ms; /* age of the report of the rate */
 };
 
 struct msg_words {
 	struct msg_list words; /* struct msg_word */
 };
 
-/* struct roll_word, of one home of a service. */
+/* struct roll_word, with its age in ms, of the owner of a service in a hall. */
 struct msg_roll {
 	struct str service;
 	struct str hall;
 	struct str box;
-	struct str version; /* that the order brings in */
-	uint64_t age_ms; /* of the order */
+	struct str version; /* the new one */
+	uint64_t age_ms;
 	uint64_t state; /* enum roll_state */
-	uint64_t answers, bad; /* of the new version */
-	uint64_t old_out; /* requests at servers of the old one */
+	uint64_t answers, bad;
+	uint64_t old_out;
 };
 
+/* Asks the owner of a customer's rate limit for one request. */
 struct msg_ask {
-	uint64_t seq;
+	uint64_t seq; /* repeated in the answer */
 	struct str customer;
-	struct str asker; /* its inbox, if the sender hands it on; else empty */
-	bool again; /* its usual home did not answer */
+	struct str asker; /* inbox for the answer if forwarded, else empty */
+	bool again; /* the first owner did not answer */
 };
 
 struct msg_grant {
 	uint64_t seq;
 	bool granted;
-	uint64_t wait_us; /* until it may begin, or there will be room */
+	/* If granted, delay of the request, else time until capacity is free.
+	 */
+	uint64_t wait_us;
 };
 
 struct msg_ping {
@@ -214,14 +218,14 @@
 };
 
 struct msg_deflated {
-	uint64_t size; /* of the message in it */
+	uint64_t size; /* bytes of the message before compression */
 	struct str data;
 };
 
-/* One message; which member of the union holds is told by the kind. */
+/* One message; the kind selects the member of the union. */
 struct msg {
 	enum msg_kind kind;
-	struct str from; /* sender's inbox address */
+	struct str from; /* address of the sender's inbox */
 	union {
 		struct msg_hello hello;
 		struct msg_beat beat;
@@ -241,21 +245,22 @@
 		struct msg_grant grant;
 		struct msg_deflated deflated;
 	} u;
-	msgpack_unpacked raw; /* what the strings point into */
-	GPtrArray *arrays; /* what the lists point into */
+	msgpack_unpacked raw; /* owns the decoded objects */
+	GPtrArray *arrays; /* owns the items of the lists */
 };
 
-/* Append the bytes of a message to a buffer. */
+/* Appends the encoded message to a buffer. */
 void msg_encode(const struct msg *, msgpack_sbuffer *);
 
 /*
- * Read a message; strings point into `p`, which must outlive it.  False and
- * ERR_MESSAGE on anything that does not have the shape.  Call msg_done()
- * after use, on success only.
+ * Decodes a message of n bytes.  The strings of the message point into `p`,
+ * which must outlive it.  Returns false and sets ERR_MESSAGE if the message is
+ * malformed.  After success, call msg_done() to free what it allocated.
  */
 bool msg_decode(const char *p, size_t n, struct msg *, GError **);
 void msg_done(struct msg *);
 
+/* Returns the struct tag of the kind's fields. */
 const char *msg_kind_name(enum msg_kind);
 
 #endif
--- a/obj.c
+++ b/obj.c
@@ -35,10 +35,10 @@
 static struct obj *read_bundle(
     struct str, const json_t *, const struct doc *, const char *, GError **);
 
-static const char *const words_repeatable[] = {"by-method", "yes", "no", NULL};
-static const char *const words_class[] = {"interactive", "bulk", NULL};
-static const char *const words_outage[] = {"refuse", "allow", NULL};
-static const char *const words_rolled[] = {
+static const char *const repeatable_names[] = {"by-method", "yes", "no", NULL};
+static const char *const class_names[] = {"interactive", "bulk", NULL};
+static const char *const outage_names[] = {"refuse", "allow", NULL};
+static const char *const rollout_state_names[] = {
     "open", "running", "completed", "rolled-back", NULL};
 
 #define B(member) offsetof(struct obj, u.backend.member)
@@ -170,11 +170,11 @@
     {.name = "repeatable",
 	.type = FIELD_WORD,
 	.offset = R(repeatable),
-	.words = words_repeatable},
+	.words = repeatable_names},
     {.name = "class",
 	.type = FIELD_WORD,
 	.offset = R(cls),
-	.words = words_class},
+	.words = class_names},
     {.name = "rate",
 	.type = FIELD_INT,
 	.offset = R(rate),
@@ -192,7 +192,7 @@
     {.name = "on_outage",
 	.type = FIELD_WORD,
 	.offset = R(on_outage),
-	.words = words_outage},
+	.words = outage_names},
     {.name = "deadline_ms",
 	.type = FIELD_INT,
 	.offset = R(deadline_ms),
@@ -234,7 +234,7 @@
     {.name = "state",
 	.type = FIELD_WORD,
 	.offset = O(state),
-	.words = words_rolled},
+	.words = rollout_state_names},
 };
 
 static const struct field customer_fields[] = {
@@ -301,13 +301,13 @@
 const char *
 obj_rolled_name(enum obj_rolled state)
 {
-	return words_rolled[state];
+	return rollout_state_names[state];
 }
 
 const char *
 obj_class_name(enum obj_class cls)
 {
-	return words_class[cls];
+	return class_names[cls];
 }
 
 static bool
@@ -339,7 +339,7 @@
 }
 
 static bool
-are_names(struct str list)
+is_name_list(struct str list)
 {
 	char *text = g_strndup(list.p, list.n);
 	char **names = g_strsplit(text, ",", -1);
@@ -358,7 +358,7 @@
 {
 	struct obj_rule *r = &o->u.rule;
 
-	if (r->regions.n > 0 && !are_names(r->regions))
+	if (r->regions.n > 0 && !is_name_list(r->regions))
 		return err_set(err, ERR_OBJECT,
 		    "rule %s: regions: must be names joined by commas",
 		    o->name.p);
@@ -393,7 +393,7 @@
 	return true;
 }
 
-/* Read the objects of one kind in a bundle: a table of names to specs. */
+/* Parses the objects of one kind in a bundle: a table of names to specs. */
 static bool
 read_members(struct obj *bundle, enum obj_kind kind, const json_t *specs,
     const struct doc *doc, GError **err)
--- a/obj.h
+++ b/obj.h
@@ -21,22 +21,19 @@
 #include "str.h"
 
 /*
- * The objects that operators write, each versioned by itself: a backend
- * server, a service and a rule, bounds for callers, and a bundle, which is a
- * set of the latter three and of customers under one version: it comes into
- * force whole or not at all.  An evacuation has the name of a hall: while it is
- * there, the hall's backend servers get nothing new.  A roll-out has the name
- * of a service, and brings in a version of it.  Specs are JSON on the platform
- * and TOML in operators' files; both are checked here, by the same tables.
+ * The objects of the configuration, which operators write.  Each has its own
+ * version.  Specs are JSON on the platform and TOML in the files of operators;
+ * both are parsed here with the same tables.
  */
 enum obj_kind {
-	OBJ_BACKEND,
-	OBJ_SERVICE,
-	OBJ_RULE,
-	OBJ_LISTENER,
+	OBJ_BACKEND, /* a backend server */
+	OBJ_SERVICE, /* a set of backend servers and how they are used */
+	OBJ_RULE, /* which requests go to which service */
+	OBJ_LISTENER, /* limits for callers */
+	/* Services, rules, listener, customers; applied as a whole. */
 	OBJ_BUNDLE,
-	OBJ_EVACUATION,
-	OBJ_ROLLOUT,
+	OBJ_EVACUATION, /* of the hall with its name */
+	OBJ_ROLLOUT, /* of a new version of the service with its name */
 	OBJ_CUSTOMER,
 	OBJ_KIND_MAX
 };
@@ -44,32 +41,37 @@
 /* The class of a request. */
 enum obj_class { CLASS_INTERACTIVE, CLASS_BULK, CLASS_MAX };
 
-/* What a keyed request does while the platform cannot take its claim. */
+/*
+ * Whether a request with an idempotency key is refused or allowed while the
+ * platform is not available to store its claim.
+ */
 enum obj_outage { OUTAGE_REFUSE, OUTAGE_ALLOW };
 
 struct obj_backend {
 	struct str address;
 	struct str hall;
-	int64_t slots;
-	int64_t connections;
-	bool drain;
-	int64_t warm_ms; /* it is slow for so long after its start */
-	int64_t born_ms; /* its start, ms since 1970; 0: unsaid */
+	int64_t slots; /* requests that it executes at a time */
+	int64_t connections; /* maximum number of connections to it */
+	bool drain; /* it gets no new requests */
+	int64_t warm_ms; /* slow start: how long it is slow after its start */
+	int64_t born_ms; /* its start, ms since 1970; 0: unknown */
 	json_t *labels; /* with "hall" and "name" added */
 };
 
 struct obj_service {
-	struct str select_text;
-	struct sel *select;
-	int64_t deadline_ms; /* for requests that bring none */
-	int64_t queue; /* requests that a home may hold */
-	int64_t bulk_percent; /* share of the slots that bulk may take */
-	int64_t rate; /* requests a second, fleet-wide; 0: no limit */
+	struct str select_text; /* selector of its backend servers */
+	struct sel *select; /* the parsed selector */
+	int64_t deadline_ms; /* for requests without a deadline */
+	int64_t queue; /* maximum queue length of an owner */
+	int64_t
+	    bulk_percent; /* share of the slots available to bulk requests */
+	int64_t rate; /* requests a second of the fleet; 0: no limit */
 	int64_t probe_ms; /* interval between probes of one backend */
 	struct str probe_path;
-	int64_t retry_percent; /* retries, as a share of requests */
-	double cold_rate; /* requests a second that a cold one bears; 0: any */
-	int64_t cold_ms; /* so long after its start one is cold, at most */
+	int64_t retry_percent; /* retry budget as a share of the requests */
+	/* Requests a second that a cold backend server gets; 0: no limit. */
+	double cold_rate;
+	int64_t cold_ms; /* maximum time a server is cold after its start */
 };
 
 struct obj_rule {
@@ -77,69 +79,69 @@
 	struct str path; /* a prefix */
 	struct str method; /* exact, or empty for any */
 	struct str header; /* "name: value", or empty for any */
-	struct str service; /* empty where a split is given */
-	struct str regions; /* joined by commas; empty: any may serve it */
+	struct str service; /* empty if `split` is given */
+	struct str regions; /* joined by commas; empty: all regions */
 	json_t *split; /* names of services to their weights */
-	int64_t target_ms; /* an answer is worth most within it; 0: unsaid */
-	int64_t attempts; /* backend servers one request may see; 0: unsaid */
-	int64_t rank; /* the lower, the more urgent */
-	int repeatable; /* 0: by method, 1: yes, 2: no */
+	int64_t target_ms; /* target latency; 0: none */
+	int64_t attempts; /* maximum backend servers tried; 0: no limit */
+	int64_t rank; /* priority: a lower rank is more urgent */
+	int repeatable; /* REPEATABLE_* */
 	int cls; /* enum obj_class */
-	int64_t rate; /* requests a second, fleet-wide; 0: no limit */
+	int64_t rate; /* requests a second of the fleet; 0: no limit */
 	int64_t caller_rate; /* the same for each caller */
-	struct str caller_header; /* names the caller; empty: by address */
+	struct str caller_header; /* identifies callers; empty: by address */
 	int on_outage; /* enum obj_outage */
-	int64_t deadline_ms; /* 0: the service's */
-	bool open; /* it asks for no customer's key */
+	int64_t deadline_ms; /* 0: that of the service */
+	bool open; /* no customer's key is required */
 };
 
-/* What callers may send, and how long they may take or be idle. */
+/* Limits for callers. */
 struct obj_listener {
-	int64_t body_max; /* bytes of a request's body */
-	int64_t idle_ms; /* a kept connection without a request */
+	int64_t body_max; /* maximum size of a request's body, bytes */
+	int64_t idle_ms; /* timeout of idle connections and slow requests */
 };
 
-/* The hall that it is named after gets nothing new. */
+/* The backend servers of the hall with its name get no new requests. */
 struct obj_evacuation {
 	struct str why; /* for operators; may be empty */
 };
 
-/* How far a roll-out is, as the platform has it. */
+/* The state of a rollout as stored on the platform. */
 enum obj_rolled {
-	ROLLED_OPEN, /* nothing is written yet */
+	ROLLED_OPEN, /* no state is stored yet */
 	ROLLED_RUNNING,
-	ROLLED_COMPLETED, /* servers of other versions may end at once */
-	ROLLED_BACK, /* servers of the new version will end */
+	ROLLED_COMPLETED, /* servers of other versions may be stopped */
+	ROLLED_BACK, /* servers of the new version will be stopped */
 	ROLLED_MAX
 };
 
-/* Bring in a version of a service: servers with that label `version`. */
+/* The rollout of a version of a service: servers with that label `version`. */
 struct obj_rollout {
 	struct str version;
-	int64_t duration_ms; /* it is to be decided within it */
+	int64_t duration_ms; /* time limit for the decision */
 	int state; /* enum obj_rolled */
 };
 
-/* One for whom requests are made, known by its keys. */
+/* A customer, whose requests are recognized by its keys. */
 struct obj_customer {
 	struct str keys; /* digests of its keys, joined by commas */
-	int64_t rank; /* the lower, the more urgent */
-	double rate; /* requests a second, fleet-wide; 0: no limit */
-	double burst; /* requests beyond, at once */
+	int64_t rank; /* priority: a lower rank is more urgent */
+	double rate; /* requests a second of the fleet; 0: no limit */
+	double burst; /* requests that may exceed the rate at once */
 };
 
-/* Services, rules and a listener that come into force together. */
+/* Objects that come into force together or not at all. */
 struct obj_bundle {
 	GPtrArray *objects; /* struct obj * */
 };
 
-/* Values of a rule's `repeatable`. */
+/* Values of `repeatable` of a rule; the method decides by default. */
 enum { REPEATABLE_BY_METHOD, REPEATABLE_YES, REPEATABLE_NO };
 
-/* One checked object. */
+/* A parsed object. */
 struct obj {
 	enum obj_kind kind;
-	int refs;
+	int refs; /* reference count */
 	struct str name;
 	union {
 		struct obj_backend backend;
@@ -155,22 +157,27 @@
 
 /* Names of kinds, as operators write them: "backend" and so on. */
 const char *obj_kind_name(enum obj_kind);
+
+/* Returns false if no kind has the name. */
 bool obj_kind_by_name(struct str, enum obj_kind *);
 
-/* Name of a roll-out's state: "running" and so on. */
+/* Returns the name of a rollout's state: "running" and so on. */
 const char *obj_rolled_name(enum obj_rolled);
 
-/* Name of a class: "interactive", "bulk". */
+/* Returns the name of a class: "interactive" or "bulk". */
 const char *obj_class_name(enum obj_class);
 
 /*
- * Check a spec and make an object of it.  `doc` gives line numbers and may
- * be NULL.  NULL and ERR_OBJECT or ERR_SELECTOR on failure.
+ * Parses and checks a spec.  `doc` provides the line numbers for errors and may
+ * be NULL.  Returns a new reference, or NULL and ERR_OBJECT or ERR_SELECTOR.
  */
 struct obj *obj_read(enum obj_kind, struct str name, const json_t *spec,
     const struct doc *, GError **);
 
-/* Objects are shared by counting references; the last one frees. */
+/*
+ * Objects are reference-counted: obj_ref() adds a reference and returns its
+ * argument, obj_free() drops one.  The argument of the latter may be NULL.
+ */
 struct obj *obj_ref(struct obj *);
 void obj_free(struct obj *);
 
