--- a/obj.h
+++ b/obj.h
@@ -30,10 +30,9 @@
 	OBJ_SERVICE, /* a set of backend servers and how they are used */
 	OBJ_RULE, /* which requests go to which service */
 	OBJ_LISTENER, /* limits for callers */
-	/* Services, rules, listener, customers; applied as a whole. */
-	OBJ_BUNDLE,
-	OBJ_EVACUATION, /* of the hall with its name */
-	OBJ_ROLLOUT, /* of a new version of the service with its name */
+	OBJ_BUNDLE, /* other objects that come into force together */
+	OBJ_EVACUATION, /* evacuation of the hall with its name */
+	OBJ_ROLLOUT, /* rollout of a version of the service with its name */
 	OBJ_CUSTOMER,
 	OBJ_KIND_MAX
 };
@@ -63,8 +62,7 @@
 	struct sel *select; /* the parsed selector */
 	int64_t deadline_ms; /* for requests without a deadline */
 	int64_t queue; /* maximum queue length of an owner */
-	int64_t
-	    bulk_percent; /* share of the slots available to bulk requests */
+	int64_t bulk_percent; /* share of the slots for bulk requests */
 	int64_t rate; /* requests a second of the fleet; 0: no limit */
 	int64_t probe_ms; /* interval between probes of one backend */
 	struct str probe_path;
@@ -130,7 +128,7 @@
 	double burst; /* requests that may exceed the rate at once */
 };
 
-/* Objects that come into force together or not at all. */
+/* Services, rules, a listener and customers that come into force together. */
 struct obj_bundle {
 	GPtrArray *objects; /* struct obj * */
 };
