--- a/conf.h
+++ b/conf.h
@@ -33,7 +33,7 @@
  * No I/O is done here; changes are reported by callbacks.
  */
 
-enum { CONF_BUCKETS = 64, CONF_LISTENERS = 2 };
+enum { CONF_BUCKETS = 64, CONF_LISTENERS_MAX = 2 };
 
 /*
  * The two parts of a configuration.  A box that only forwards requests to the
@@ -50,9 +50,9 @@
 	bool deleted;
 	json_t *spec; /* of the version in force; NULL if deleted */
 	struct obj *obj; /* parsed `spec`; NULL if deleted */
-	uint64_t bad_version; /* rejected version; 0: none */
-	json_t *bad_spec;
-	char *bad_why; /* error message */
+	uint64_t rejected_version; /* rejected version; 0: none */
+	json_t *rejected_spec;
+	char *rejected_reason; /* error message */
 	struct str source; /* origin of the version in force */
 	uint64_t hash; /* contribution to the digests; 0: none */
 };
@@ -62,9 +62,9 @@
 
 /* Result of conf_offer(). */
 enum conf_result {
-	CONF_NEWER, /* the version came into force */
-	CONF_KNOWN, /* the version was in force or rejected already */
-	CONF_OLDER, /* a newer version or the floor supersedes it */
+	CONF_APPLIED, /* the version came into force */
+	CONF_DUPLICATE, /* the version was in force or rejected already */
+	CONF_STALE, /* a newer version or the floor supersedes it */
 	CONF_REJECTED /* the key or the spec is not valid */
 };
 
@@ -73,8 +73,8 @@
 /* The callback, if not NULL, is the first listener. */
 struct conf *conf_new(conf_changed_fn *, void *);
 
-/* Adds a callback for changes; there can be CONF_LISTENERS at most. */
-void conf_listen(struct conf *, conf_changed_fn *, void *);
+/* Adds a callback for changes; there can be CONF_LISTENERS_MAX at most. */
+void conf_add_listener(struct conf *, conf_changed_fn *, void *);
 void conf_free(struct conf *);
 
 /*
@@ -93,14 +93,14 @@
  * or below the revision are deleted, and the floors are raised to it.  A
  * revision below the floor is ignored.
  */
-void conf_complete(struct conf *, uint64_t revision, GHashTable *keys);
+void conf_apply_list(struct conf *, uint64_t revision, GHashTable *keys);
 
 /*
  * The same for the kinds in `kinds` only, a set of bits 1 << kind.  It leaves
  * the floors as they are: the caller raises them when lists of all kinds of a
  * part have reached a revision.
  */
-void conf_complete_kinds(
+void conf_apply_list_of_kinds(
     struct conf *, unsigned kinds, uint64_t revision, GHashTable *keys);
 
 /*
--- a/gossip.c
+++ b/gossip.c
@@ -56,7 +56,7 @@
 
 struct gossip {
 	struct gossip_ops ops;
-	struct gossip_set settings;
+	struct gossip_settings settings;
 	struct memb *memb;
 	const struct clk *clk;
 	const struct rnd *rnd;
@@ -119,7 +119,7 @@
 }
 
 void
-gossip_configure(struct gossip *g, const struct gossip_set *settings)
+gossip_configure(struct gossip *g, const struct gossip_settings *settings)
 {
 	g->settings = *settings;
 }
@@ -140,7 +140,7 @@
 static size_t
 count_other_hubs(struct gossip *g)
 {
-	const struct memb_info *hubs[MEMB_HUBS];
+	const struct memb_info *hubs[MEMB_HUBS_MAX];
 
 	return memb_hubs(g->memb, own_hall(g), hubs) - self_is_hub(g);
 }
@@ -175,24 +175,24 @@
 {
 	const struct memb_member *some[UPDATES_MAX];
 	struct memb_info infos[UPDATES_MAX];
-	struct msg_hello h = {
-	    .self = *memb_self(g->memb), .asks = expects_reply};
+	struct msg_announcement h = {
+	    .self = *memb_self(g->memb), .expects_reply = expects_reply};
 	size_t i, n;
 
-	n = memb_news(g->memb, g->rnd, box, some, UPDATES_MAX);
+	n = memb_collect_updates(g->memb, g->rnd, box, some, UPDATES_MAX);
 	for (i = 0; i < n; i++)
 		infos[i] = some[i]->info;
-	h.hubs = memb_digest_hubs(g->memb);
-	h.near = memb_digest_hall(g->memb);
-	h.holds = g->ops.holds(g->ops.ctx);
-	h.others.items = infos;
-	h.others.n = n;
+	h.hubs_digest = memb_digest_hubs(g->memb);
+	h.hall_digest = memb_digest_hall(g->memb);
+	h.conf_summary = g->ops.conf_summary(g->ops.ctx);
+	h.updates.items = infos;
+	h.updates.n = n;
 	if (expects_reply) {
-		memb_asked(g->memb, box, clk_ns(g->clk));
+		memb_request_sent(g->memb, box, clk_ns(g->clk));
 		start_hub_wait(g, box);
 	}
-	memb_told(g->memb, box);
-	g->ops.hello(g->ops.ctx, to, &h);
+	memb_self_sent(g->memb, box);
+	g->ops.announcement(g->ops.ctx, to, &h);
 }
 
 static void
@@ -200,21 +200,21 @@
     struct gossip *g, struct str to, struct str box, bool expects_reply)
 {
 	const struct memb_info *self = memb_self(g->memb);
-	struct msg_beat b = {
+	struct msg_heartbeat b = {
 	    .box = self->box,
-	    .boot = self->boot,
-	    .beat = self->beat,
-	    .hubs = memb_digest_hubs(g->memb),
-	    .near = memb_digest_hall(g->memb),
-	    .holds = g->ops.holds(g->ops.ctx),
-	    .asks = expects_reply,
+	    .started_ms = self->started_ms,
+	    .incarnation = self->incarnation,
+	    .hubs_digest = memb_digest_hubs(g->memb),
+	    .hall_digest = memb_digest_hall(g->memb),
+	    .conf_summary = g->ops.conf_summary(g->ops.ctx),
+	    .expects_reply = expects_reply,
 	};
 
 	if (expects_reply) {
-		memb_asked(g->memb, box, clk_ns(g->clk));
+		memb_request_sent(g->memb, box, clk_ns(g->clk));
 		start_hub_wait(g, box);
 	}
-	g->ops.beat(g->ops.ctx, to, &b);
+	g->ops.send_heartbeat(g->ops.ctx, to, &b);
 }
 
 /*
@@ -224,8 +224,9 @@
 static bool
 heartbeat_suffices(struct gossip *g, const struct memb_member *m)
 {
-	return memb_alive(m) && m->told == memb_self(g->memb)->beat &&
-	    !memb_has_news(g->memb, m);
+	return memb_is_alive(m) &&
+	    m->sent_incarnation == memb_self(g->memb)->incarnation &&
+	    !memb_has_updates(g->memb, m);
 }
 
 static void
@@ -238,9 +239,9 @@
 }
 
 static bool
-request_random(struct gossip *g, enum memb_who who)
+request_random(struct gossip *g, enum memb_target who)
 {
-	const struct memb_member *m = memb_ask_next(g->memb, g->rnd, who);
+	const struct memb_member *m = memb_pick_target(g->memb, g->rnd, who);
 
 	if (m != NULL)
 		send_request(g, m);
@@ -259,8 +260,8 @@
 {
 	struct relevant_members *c = ctx;
 
-	if (m != c->to && memb_is_worth_listing(c->gossip->memb, m) &&
-	    memb_concerns(c->gossip->memb, c->to, m))
+	if (m != c->to && memb_should_list(c->gossip->memb, m) &&
+	    memb_must_know(c->gossip->memb, c->to, m))
 		g_array_append_val(c->infos, m->info);
 }
 
@@ -275,7 +276,7 @@
 	list.members.items = (struct memb_info *)c.infos->data;
 	list.members.n = c.infos->len;
 	if (list.members.n > 0)
-		g->ops.members(g->ops.ctx, to, &list);
+		g->ops.send_members(g->ops.ctx, to, &list);
 	g_array_free(c.infos, TRUE);
 }
 
@@ -296,7 +297,8 @@
 		g->seed_round_gap = 1;
 		g->seed_round = g->rounds;
 		return rnd_below(g->rnd,
-			   SEED_REQUEST_ONE_IN * memb_fleet(g->memb)) == 0;
+			   SEED_REQUEST_ONE_IN *
+			       memb_count_fleet_serving(g->memb)) == 0;
 	}
 	if (g->rounds < g->seed_round)
 		return false;
@@ -328,7 +330,7 @@
 contact_lost(struct gossip *g)
 {
 	const struct memb_member *some[LOST_REQUESTS_MAX];
-	size_t n = memb_ask_lost(g->memb, g->rnd, some, LOST_REQUESTS_MAX), i;
+	size_t n = memb_pick_lost(g->memb, g->rnd, some, LOST_REQUESTS_MAX), i;
 
 	for (i = 0; i < n; i++)
 		send_announcement(
@@ -341,24 +343,25 @@
 {
 	struct memb_info *self = memb_self(g->memb);
 	uint64_t crowd = memb_count_serving(g->memb);
-	uint64_t change =
-	    crowd > self->crowd ? crowd - self->crowd : self->crowd - crowd;
+	uint64_t change = crowd > self->serving_gates
+	    ? crowd - self->serving_gates
+	    : self->serving_gates - crowd;
 
-	if (change * 4 <= self->crowd)
+	if (change * 4 <= self->serving_gates)
 		return;
-	self->crowd = crowd;
-	memb_changed(g->memb);
+	self->serving_gates = crowd;
+	memb_self_changed(g->memb);
 }
 
 uint64_t
-gossip_crowd(struct gossip *g)
+gossip_serving_gates(struct gossip *g)
 {
-	const struct memb_info *hubs[MEMB_HUBS];
+	const struct memb_info *hubs[MEMB_HUBS_MAX];
 	size_t n = memb_hubs(g->memb, own_hall(g), hubs), i;
 	uint64_t crowd = 0;
 
 	for (i = 0; i < n; i++)
-		crowd = MAX(crowd, hubs[i]->crowd);
+		crowd = MAX(crowd, hubs[i]->serving_gates);
 	return crowd;
 }
 
@@ -370,13 +373,13 @@
 round_interval(struct gossip *g)
 {
 	size_t n = count_other_hubs(g) + self_is_hub(g);
-	uint64_t crowd = gossip_crowd(g);
+	uint64_t crowd = gossip_serving_gates(g);
 	uint64_t rate_max = (uint64_t)MAX(n, 1u) * HUB_REQUESTS_PER_S;
 
 	if (self_is_hub(g) || crowd <= rate_max)
-		return g->settings.hello_ns;
-	return (int64_t)((double)g->settings.hello_ns * (double)crowd /
-	    (double)rate_max);
+		return g->settings.announce_interval_ns;
+	return (int64_t)((double)g->settings.announce_interval_ns *
+	    (double)crowd / (double)rate_max);
 }
 
 static void
@@ -384,18 +387,19 @@
 {
 	bool is_hub, sent_to_hub;
 
-	g->round_at = now + rnd_jitter(g->rnd, g->settings.hello_ns);
+	g->round_at =
+	    now + rnd_jitter(g->rnd, g->settings.announce_interval_ns);
 	/* The turn does not matter while a hub of our hall is silent. */
-	if (now < g->turn_at && memb_waits_near(g->memb) == 0) {
+	if (now < g->turn_at && memb_oldest_unanswered(g->memb) == 0) {
 		g->round_at = g->turn_at;
 		return;
 	}
 	is_hub = self_is_hub(g);
-	sent_to_hub = request_random(g, MEMB_NEAR_HUB);
+	sent_to_hub = request_random(g, MEMB_OWN_HALL_HUB);
 	if (is_hub)
-		request_random(g, MEMB_NEAR_LEAF);
+		request_random(g, MEMB_OWN_HALL_LEAF);
 	if (is_hub || !sent_to_hub)
-		request_random(g, MEMB_FAR_HUB);
+		request_random(g, MEMB_OTHER_HALL_HUB);
 	else
 		g->fallback_at = now + ANSWER_WAIT_NS;
 	if (is_hub)
@@ -411,9 +415,9 @@
 }
 
 bool
-gossip_is_left_alone(const struct gossip *g)
+gossip_has_unresponsive_peer(const struct gossip *g)
 {
-	int64_t since = memb_waits_near(g->memb);
+	int64_t since = memb_oldest_unanswered(g->memb);
 
 	return since != 0 && clk_ns(g->clk) - since >= ANSWER_WAIT_NS;
 }
@@ -426,14 +430,14 @@
 }
 
 bool
-gossip_hubs_are_blind(const struct gossip *g)
+gossip_hubs_lost_platform(const struct gossip *g)
 {
 	return g->platform_down_reported != 0 &&
 	    g->platform_down_reported >= g->awaiting_hub_since;
 }
 
 void
-gossip_hurry(struct gossip *g)
+gossip_start_round_now(struct gossip *g)
 {
 	g->round_at = g->turn_at = clk_ns(g->clk);
 }
@@ -452,10 +456,10 @@
 	unsigned i;
 
 	g->fallback_at = 0;
-	if (!gossip_is_left_alone(g))
+	if (!gossip_has_unresponsive_peer(g))
 		return;
 	for (i = 0; i < FALLBACK_REQUESTS; i++) {
-		m = memb_ask_other(g->memb, g->rnd, MEMB_FAR_HUB);
+		m = memb_pick_responsive(g->memb, g->rnd, MEMB_OTHER_HALL_HUB);
 		if (m == NULL)
 			return;
 		send_request(g, m);
@@ -487,8 +491,8 @@
 	struct discovery *disc = ctx;
 	struct gossip *g = disc->gossip;
 
-	if (!m->listed || !m->strong || m->heard != 0 || m->info.leaving ||
-	    m->info.inbox.n == 0 ||
+	if (!m->listed || !m->strong || m->last_update != 0 ||
+	    m->info.leaving || m->info.inbox.n == 0 ||
 	    g_hash_table_contains(g->contacted, m->info.box.p))
 		return;
 	disc->has_own_hall =
@@ -571,7 +575,7 @@
 }
 
 unsigned
-gossip_asked(const struct gossip *g)
+gossip_initial_requests(const struct gossip *g)
 {
 	return g_hash_table_size(g->contacted);
 }
@@ -579,7 +583,7 @@
 static void
 count_known(void *ctx, const struct memb_member *m)
 {
-	*(unsigned *)ctx += m->heard != 0;
+	*(unsigned *)ctx += m->last_update != 0;
 }
 
 /*
@@ -589,7 +593,7 @@
 static void
 check_settled(struct gossip *g)
 {
-	unsigned known = 0, asked = gossip_asked(g);
+	unsigned known = 0, asked = gossip_initial_requests(g);
 
 	if (g->settled || !g->list_received)
 		return;
@@ -626,7 +630,7 @@
 
 	g->list_at = 0;
 	if (lacks_listed_hub(g)) {
-		in = MIN(g->list_gap, g->settings.list_ns);
+		in = MIN(g->list_gap, g->settings.list_interval_ns);
 		g->list_gap = MIN(g->list_gap * 2, RELIST_MAX_NS);
 		g->list_at = clk_ns(g->clk) + rnd_jitter(g->rnd, in);
 		return;
@@ -634,15 +638,15 @@
 	g->list_gap = RELIST_NS;
 	if (!self_is_hub(g))
 		return;
-	in =
-	    memb_watches(g->memb, memb_self(g->memb)->box, g->settings.watchers)
-	    ? g->settings.list_ns
-	    : g->settings.list_other_ns;
+	in = memb_is_watcher(
+		 g->memb, memb_self(g->memb)->box, g->settings.watchers)
+	    ? g->settings.list_interval_ns
+	    : g->settings.hub_list_interval_ns;
 	g->list_at = clk_ns(g->clk) + rnd_jitter(g->rnd, in);
 }
 
 void
-gossip_listed(struct gossip *g)
+gossip_list_received(struct gossip *g)
 {
 	g->listing = false;
 	g->list_received = true;
@@ -656,15 +660,15 @@
 }
 
 bool
-gossip_settled(const struct gossip *g)
+gossip_is_settled(const struct gossip *g)
 {
 	return g->settled;
 }
 
 bool
-gossip_knows_power(const struct gossip *g)
+gossip_knows_relative_power(const struct gossip *g)
 {
-	double power = (double)memb_self(g->memb)->power / MEMB_POWER_UNIT;
+	double power = (double)memb_self(g->memb)->power / MEMB_POWER_ONE_CPU;
 	double wait = (double)POWER_WAIT_MAX_NS;
 
 	if (power > 0)
@@ -676,7 +680,7 @@
 bool
 gossip_is_hub(struct gossip *g)
 {
-	return self_is_hub(g) && gossip_knows_power(g);
+	return self_is_hub(g) && gossip_knows_relative_power(g);
 }
 
 /* Announcements of a changed state. */
@@ -693,10 +697,10 @@
 	struct announce_targets *targets = ctx;
 	struct gossip *g = targets->gossip;
 	bool in_own_hall = str_eq(m->info.hall, own_hall(g));
-	bool must_know = targets->self_is_hub ? in_own_hall || m->rank >= 0
-					      : in_own_hall && m->rank >= 0;
+	bool must_know = targets->self_is_hub ? in_own_hall || m->hub_rank >= 0
+					      : in_own_hall && m->hub_rank >= 0;
 
-	if (memb_alive(m) && must_know && m->told < g->announced)
+	if (memb_is_alive(m) && must_know && m->sent_incarnation < g->announced)
 		g_ptr_array_add(targets->boxes, (void *)m);
 }
 
@@ -722,7 +726,7 @@
 {
 	int64_t now = clk_ns(g->clk);
 
-	g->announced = memb_self(g->memb)->beat;
+	g->announced = memb_self(g->memb)->incarnation;
 	g->announce_at = now;
 	if (at_once)
 		send_announcements(g, now, G_MAXUINT);
@@ -748,12 +752,12 @@
 {
 	if (!memb_is_hub(g->memb, box->box))
 		return;
-	if (!box->blind) {
+	if (!box->platform_unreachable) {
 		g->awaiting_hub_since = 0;
 		return;
 	}
 	g->platform_down_reported = clk_ns(g->clk);
-	if (g->awaiting_hub_since == 0 && !memb_has_seeing_hub(g->memb))
+	if (g->awaiting_hub_since == 0 && !memb_has_hub_with_platform(g->memb))
 		g->awaiting_hub_since = g->platform_down_reported;
 }
 
@@ -766,7 +770,7 @@
 	size_t i;
 
 	for (i = 0; i < list->n; i++)
-		changed = memb_heard(g->memb, &infos[i], now) || changed;
+		changed = memb_update(g->memb, &infos[i], now) || changed;
 	return changed;
 }
 
@@ -786,21 +790,22 @@
 }
 
 void
-gossip_take_hello(struct gossip *g, struct str from, const struct msg_hello *h)
+gossip_on_announcement(
+    struct gossip *g, struct str from, const struct msg_announcement *h)
 {
 	int64_t now = clk_ns(g->clk);
 	const struct memb_member *m;
 	bool changed;
 
-	memb_answered(g->memb, h->self.box, now);
+	memb_message_received(g->memb, h->self.box, now);
 	end_fallback(g, h->self.box);
-	changed = memb_heard(g->memb, &h->self, now);
-	changed = merge_updates(g, &h->others) || changed;
+	changed = memb_update(g->memb, &h->self, now);
+	changed = merge_updates(g, &h->updates) || changed;
 	note_hub_state(g, &h->self);
 	m = memb_find(g->memb, h->self.box);
-	if (h->asks || (m != NULL && m->told == 0))
+	if (h->expects_reply || (m != NULL && m->sent_incarnation == 0))
 		send_announcement(g, from, h->self.box, false);
-	if (digests_differ(g, &h->self, h->hubs, h->near))
+	if (digests_differ(g, &h->self, h->hubs_digest, h->hall_digest))
 		send_members(g, from, h->self.box);
 	if (changed)
 		announce_to_new_boxes(g);
@@ -812,26 +817,28 @@
  * on either side.  Otherwise full announcements are exchanged.
  */
 void
-gossip_take_beat(struct gossip *g, struct str from, const struct msg_beat *b)
+gossip_on_heartbeat(
+    struct gossip *g, struct str from, const struct msg_heartbeat *b)
 {
 	const struct memb_member *m = memb_find(g->memb, b->box);
 
-	memb_answered(g->memb, b->box, clk_ns(g->clk));
+	memb_message_received(g->memb, b->box, clk_ns(g->clk));
 	end_fallback(g, b->box);
-	if (m != NULL && memb_alive(m))
+	if (m != NULL && memb_is_alive(m))
 		note_hub_state(g, &m->info);
-	if (m == NULL || !memb_alive(m) || m->info.boot != b->boot ||
-	    m->info.beat != b->beat ||
-	    digests_differ(g, &m->info, b->hubs, b->near))
+	if (m == NULL || !memb_is_alive(m) ||
+	    m->info.started_ms != b->started_ms ||
+	    m->info.incarnation != b->incarnation ||
+	    digests_differ(g, &m->info, b->hubs_digest, b->hall_digest))
 		send_announcement(g, from, b->box, true);
-	else if (b->asks && heartbeat_suffices(g, m))
+	else if (b->expects_reply && heartbeat_suffices(g, m))
 		send_heartbeat(g, from, b->box, false);
-	else if (b->asks)
+	else if (b->expects_reply)
 		send_announcement(g, from, b->box, false);
 }
 
 void
-gossip_take_members(struct gossip *g, const struct msg_members *list)
+gossip_on_members(struct gossip *g, const struct msg_members *list)
 {
 	if (merge_updates(g, &list->members))
 		announce_to_new_boxes(g);
@@ -852,17 +859,18 @@
 	if (!lacks_listed_hub(g) && !self_is_hub(g))
 		return;
 	g->listing = true;
-	g->ops.list(g->ops.ctx);
+	g->ops.list_boxes(g->ops.ctx);
 }
 
 void
-gossip_doubt(struct gossip *g, struct str box)
+gossip_check_suspect(struct gossip *g, struct str box)
 {
 	const struct memb_member *m = memb_find(g->memb, box);
 
-	if (m != NULL && memb_alive(m) && m->asked == 0)
+	if (m != NULL && memb_is_alive(m) && m->unanswered_since == 0)
 		send_announcement(g, m->info.inbox, m->info.box, true);
-	g->round_at = MIN(g->round_at, clk_ns(g->clk) + g->settings.hello_ns);
+	g->round_at =
+	    MIN(g->round_at, clk_ns(g->clk) + g->settings.announce_interval_ns);
 }
 
 int64_t
--- a/gossip.h
+++ b/gossip.h
@@ -40,25 +40,30 @@
 	 * Send a message to the inbox `to`: the whole state of this box, a
 	 * heartbeat if nothing has changed, or a list of members.
 	 */
-	void (*hello)(void *, struct str to, const struct msg_hello *);
-	void (*beat)(void *, struct str to, const struct msg_beat *);
-	void (*members)(void *, struct str to, const struct msg_members *);
+	void (*announcement)(
+	    void *, struct str to, const struct msg_announcement *);
+	void (*send_heartbeat)(
+	    void *, struct str to, const struct msg_heartbeat *);
+	void (*send_members)(void *, struct str to, const struct msg_members *);
 	/* Returns a summary of the configuration that this box holds. */
-	struct msg_holds (*holds)(void *);
+	struct msg_conf_summary (*conf_summary)(void *);
 	/*
 	 * Starts listing the boxes of the platform.  The callee enters them
-	 * into the membership and then calls gossip_listed(); it retries by
-	 * itself on failure.
+	 * into the membership and then calls gossip_list_received(); it retries
+	 * by itself on failure.
 	 */
-	void (*list)(void *);
+	void (*list_boxes)(void *);
 	void *ctx;
 };
 
 /* Settings, which may change at run time. */
-struct gossip_set {
-	int64_t hello_ns; /* interval between two rounds of requests */
-	int64_t list_ns; /* interval at which watchers list the boxes */
-	int64_t list_other_ns; /* the same for hubs that are not watchers */
+struct gossip_settings {
+	int64_t
+	    announce_interval_ns; /* interval between two rounds of requests */
+	int64_t
+	    list_interval_ns; /* interval at which watchers list the boxes */
+	int64_t
+	    hub_list_interval_ns; /* the same for hubs that are not watchers */
 	int watchers; /* boxes of the fleet that watch the platform */
 	const json_t *seeds; /* addresses of inboxes; borrowed */
 };
@@ -69,7 +74,7 @@
 struct gossip *gossip_new(const struct gossip_ops *, struct memb *,
     const struct clk *, const struct rnd *);
 void gossip_free(struct gossip *);
-void gossip_configure(struct gossip *, const struct gossip_set *);
+void gossip_configure(struct gossip *, const struct gossip_settings *);
 
 /*
  * Does everything that is due, and returns the time of the next event in
@@ -78,14 +83,14 @@
 int64_t gossip_run(struct gossip *);
 
 /* Continues after the platform's list was entered into the membership. */
-void gossip_listed(struct gossip *);
+void gossip_list_received(struct gossip *);
 
 /* Process a message from another box, whose inbox is `from`. */
-void
-gossip_take_hello(struct gossip *, struct str from, const struct msg_hello *);
-void
-gossip_take_beat(struct gossip *, struct str from, const struct msg_beat *);
-void gossip_take_members(struct gossip *, const struct msg_members *);
+void gossip_on_announcement(
+    struct gossip *, struct str from, const struct msg_announcement *);
+void gossip_on_heartbeat(
+    struct gossip *, struct str from, const struct msg_heartbeat *);
+void gossip_on_members(struct gossip *, const struct msg_members *);
 
 /*
  * Sends the changed state of this box to all boxes that must know of it.  The
@@ -95,26 +100,26 @@
 void gossip_announce(struct gossip *, bool at_once);
 
 /* The gate of a box did not answer ours: checks at once if the box is alive. */
-void gossip_doubt(struct gossip *, struct str box);
+void gossip_check_suspect(struct gossip *, struct str box);
 
 /*
  * Returns whether the discovery is complete: at least half of the boxes that
  * were contacted first are known, or the time for their answers is over.
  */
-bool gossip_settled(const struct gossip *);
+bool gossip_is_settled(const struct gossip *);
 
 /*
  * Returns whether this box can know if it is strong in its hall: the platform
  * lists other boxes of the hall, or stronger ones had enough time to announce
  * themselves.
  */
-bool gossip_knows_power(const struct gossip *);
+bool gossip_knows_relative_power(const struct gossip *);
 
 /* Returns whether this box is a hub; false while that cannot be known. */
 bool gossip_is_hub(struct gossip *);
 
 /* Returns whether a box of our hall has not answered a request in time. */
-bool gossip_is_left_alone(const struct gossip *);
+bool gossip_has_unresponsive_peer(const struct gossip *);
 
 /*
  * Returns whether no hub with a working connection to the platform has sent
@@ -127,15 +132,15 @@
  * Returns whether hubs have reported since then that the platform does not
  * answer them.
  */
-bool gossip_hubs_are_blind(const struct gossip *);
+bool gossip_hubs_lost_platform(const struct gossip *);
 
 /* Returns the number of serving gates of our hall reported by its hubs. */
-uint64_t gossip_crowd(struct gossip *);
+uint64_t gossip_serving_gates(struct gossip *);
 
 /* Starts the next round now, as this box may know what its hubs do not. */
-void gossip_hurry(struct gossip *);
+void gossip_start_round_now(struct gossip *);
 
 /* Returns the number of boxes contacted during discovery. */
-unsigned gossip_asked(const struct gossip *);
+unsigned gossip_initial_requests(const struct gossip *);
 
 #endif
--- a/memb.h
+++ b/memb.h
@@ -35,12 +35,12 @@
  */
 
 /* A box that leaves a request unanswered for longer is declared dead. */
-#define MEMB_ANSWER_NS (3 * NS_S)
+#define MEMB_ANSWER_TIMEOUT_NS (3 * NS_S)
 /* How long a dead or departed box is kept that the platform does not list. */
-#define MEMB_FORGET_NS (120 * NS_S)
+#define MEMB_DEAD_RETENTION_NS (120 * NS_S)
 
 enum {
-	MEMB_POWER_UNIT = 1000, /* `power` of one whole processor */
+	MEMB_POWER_ONE_CPU = 1000, /* `power` of one whole processor */
 	/* A strong box has at least 1/2 of the greatest power of its hall. */
 	MEMB_STRONG_RATIO = 2,
 	/*
@@ -48,9 +48,9 @@
 	 * left to share the services of the hall, and in a small hall all
 	 * boxes are hubs.
 	 */
-	MEMB_HUBS = 6,
+	MEMB_HUBS_MAX = 6,
 	/* Wanted number of watchers that the platform answers. */
-	MEMB_SEEING_MIN = 2
+	MEMB_WATCHERS_WITH_PLATFORM_MIN = 2
 };
 
 /* The state of a box, as it sends it to other boxes. */
@@ -58,36 +58,40 @@
 	struct str box;
 	struct str hall;
 	struct str inbox; /* ZeroMQ address of its agent */
-	struct str pass; /* where its gate accepts forwarded requests */
+	struct str
+	    forward_address; /* where its gate accepts forwarded requests */
 	struct str gate_inbox; /* ZeroMQ address of its gate */
-	uint64_t boot; /* start of its agent, ms since 1970 */
-	uint64_t beat; /* incremented with each change of this state */
-	uint64_t power; /* its processor share, in 1/MEMB_POWER_UNIT */
-	uint64_t crowd; /* gates serving in its hall, as far as it knows */
+	uint64_t started_ms; /* start of its agent, ms since 1970 */
+	uint64_t incarnation; /* incremented with each change of this state */
+	uint64_t power; /* its processor share, in 1/MEMB_POWER_ONE_CPU */
+	uint64_t
+	    serving_gates; /* gates serving in its hall, as far as it knows */
 	bool dead; /* reported by a box that got no answer from it */
 	bool leaving;
 	bool ready; /* its gate serves */
-	bool blind; /* the platform does not answer it */
+	bool platform_unreachable; /* the platform does not answer it */
 };
 
 struct memb_member {
 	struct memb_info info;
-	int64_t heard; /* monotonic ns of the last update; 0: none */
-	int64_t asked; /* monotonic ns of the unanswered request; 0: none */
-	unsigned untold; /* how often `info` is still to be relayed */
+	int64_t last_update; /* monotonic ns of the last update; 0: none */
+	int64_t unanswered_since; /* monotonic ns of the unanswered request; 0:
+				     none */
+	unsigned sends_left; /* how often `info` is still to be relayed */
 	bool listed; /* on the platform's list */
-	uint64_t told; /* incarnation of our own state last sent to it */
+	uint64_t
+	    sent_incarnation; /* incarnation of our own state last sent to it */
 	/* The members below are maintained by memb.c. */
 	uint64_t weight; /* orders the strong boxes of a hall */
 	bool strong; /* see MEMB_STRONG_RATIO */
 	bool was_hub; /* is a hub, or was one when it died or left */
-	bool by_us; /* dead, and this box detected it */
-	bool in_doubt; /* and this box received no messages meanwhile */
-	int rank; /* position among the hubs of its hall; -1: not a hub */
+	bool found_dead_here; /* dead, and this box detected it */
+	bool death_uncertain; /* and this box received no messages meanwhile */
+	int hub_rank; /* position among the hubs of its hall; -1: not a hub */
 };
 
 /* Which boxes a request may go to. */
-enum memb_who { MEMB_NEAR_HUB, MEMB_NEAR_LEAF, MEMB_FAR_HUB };
+enum memb_target { MEMB_OWN_HALL_HUB, MEMB_OWN_HALL_LEAF, MEMB_OTHER_HALL_HUB };
 
 struct memb;
 
@@ -97,35 +101,35 @@
 
 /*
  * The state of this box.  The caller may modify it, and then calls
- * memb_changed(), which increments its incarnation number so that other boxes
- * accept the new state.
+ * memb_self_changed(), which increments its incarnation number so that other
+ * boxes accept the new state.
  */
 struct memb_info *memb_self(struct memb *);
-void memb_changed(struct memb *);
+void memb_self_changed(struct memb *);
 
 /*
  * Merges the state of a box that was received from it or from another box.
  * Returns whether it was newer than the known state.
  */
-bool memb_heard(struct memb *, const struct memb_info *, int64_t now);
+bool memb_update(struct memb *, const struct memb_info *, int64_t now);
 
 /* Records that a request was sent to a box. */
-void memb_asked(struct memb *, struct str box, int64_t now);
+void memb_request_sent(struct memb *, struct str box, int64_t now);
 
 /*
  * Records that a message, answer or not, was received from a box.  The box is
  * alive again if it was this box that had declared it dead.
  */
-void memb_answered(struct memb *, struct str box, int64_t now);
+void memb_message_received(struct memb *, struct str box, int64_t now);
 
 /*
  * Returns when the oldest unanswered request to a box of our hall was sent, in
  * monotonic ns, or 0 if there is none.
  */
-int64_t memb_waits_near(const struct memb *);
+int64_t memb_oldest_unanswered(const struct memb *);
 
 /* Records that our own state was sent to a box. */
-void memb_told(struct memb *, struct str box);
+void memb_self_sent(struct memb *, struct str box);
 
 /*
  * Returns a random box of a class to send a request to, or NULL if there is
@@ -133,31 +137,31 @@
  * returned.
  */
 const struct memb_member *
-memb_ask_next(struct memb *, const struct rnd *, enum memb_who);
+memb_pick_target(struct memb *, const struct rnd *, enum memb_target);
 
 /* The same among the live boxes without an unanswered request. */
 const struct memb_member *
-memb_ask_other(struct memb *, const struct rnd *, enum memb_who);
+memb_pick_responsive(struct memb *, const struct rnd *, enum memb_target);
 
 /*
  * Stores one strong box that is dead or only listed for each hall that has
  * any, n at most, and returns their number.  They may have returned, or this
  * box may have been cut off from them.
  */
-size_t memb_ask_lost(
+size_t memb_pick_lost(
     struct memb *, const struct rnd *, const struct memb_member **, size_t n);
 
 /*
  * Replace the platform's list: memb_list_begin() marks all boxes as unlisted,
- * memb_listed() marks one as listed and adds it if it is not known.
+ * memb_list_add() marks one as listed and adds it if it is not known.
  */
 void memb_list_begin(struct memb *);
-void memb_listed(struct memb *, const struct memb_info *);
+void memb_list_add(struct memb *, const struct memb_info *);
 
 /*
- * Declares boxes dead that have not answered in MEMB_ANSWER_NS, and removes
- * unlisted ones that have been dead or gone for MEMB_FORGET_NS.  Returns
- * whether any box was declared dead.
+ * Declares boxes dead that have not answered in MEMB_ANSWER_TIMEOUT_NS, and
+ * removes unlisted ones that have been dead or gone for MEMB_DEAD_RETENTION_NS.
+ * Returns whether any box was declared dead.
  *
  * If no message at all has been received since the request, this box itself
  * may be cut off: such deaths are not reported to others, and are revoked with
@@ -171,9 +175,9 @@
  * Forgets all unanswered requests.  For use after this process was paused, when
  * missing answers say nothing about other boxes.
  */
-void memb_paused(struct memb *);
+void memb_cancel_requests(struct memb *);
 
-bool memb_alive(const struct memb_member *);
+bool memb_is_alive(const struct memb_member *);
 
 /* Calls the function for all members except this box. */
 typedef void memb_visit_fn(void *, const struct memb_member *);
@@ -200,7 +204,7 @@
  * Returns the number of serving gates of the fleet, by this box's knowledge
  * and that of the hubs.  Always counts the gate of this box.
  */
-uint64_t memb_fleet(struct memb *);
+uint64_t memb_count_fleet_serving(struct memb *);
 
 /* Returns whether a box, which may be this one, is a hub of its hall. */
 bool memb_is_hub(struct memb *, struct str box);
@@ -212,24 +216,24 @@
 size_t memb_count_hubs(struct memb *);
 
 /* Returns whether the platform answers any hub, by the state that they sent. */
-bool memb_has_seeing_hub(struct memb *);
+bool memb_has_hub_with_platform(struct memb *);
 
 /* Stores the hubs of a hall, ordered by rank, and returns their number. */
-size_t
-memb_hubs(struct memb *, struct str hall, const struct memb_info *[MEMB_HUBS]);
+size_t memb_hubs(
+    struct memb *, struct str hall, const struct memb_info *[MEMB_HUBS_MAX]);
 
 /*
  * Returns whether the box `to` must know of a member: all boxes must know the
  * hubs, and the hubs of a hall must know its leaves.
  */
-bool memb_concerns(
+bool memb_must_know(
     struct memb *, const struct memb_member *to, const struct memb_member *);
 
 /*
  * Returns whether a member belongs on a list sent to other boxes: it is alive,
  * or it was a hub and others have to learn that it died or left.
  */
-bool memb_is_worth_listing(const struct memb *, const struct memb_member *);
+bool memb_should_list(const struct memb *, const struct memb_member *);
 
 /* Returns NULL if the box is not known, or is this box. */
 const struct memb_member *memb_find(const struct memb *, struct str box);
@@ -240,20 +244,22 @@
  * empty.  This needs no agreement, so that more than k boxes may get true
  * while they know different hubs.
  */
-bool memb_is_first(struct memb *, struct str key, struct str hall, int k);
+bool memb_is_in_top_hubs(struct memb *, struct str key, struct str hall, int k);
 
 /*
  * Returns whether a box is one of the k that watch the platform for the fleet.
  * Hubs are chosen by rank: the first hubs of all halls, then the second ones,
- * and so on.  If the platform answers fewer than MEMB_SEEING_MIN of them, the
- * next hubs that it answers watch as well.
+ * and so on.  If the platform answers fewer than
+ * MEMB_WATCHERS_WITH_PLATFORM_MIN of them, the next hubs that it answers watch
+ * as well.
  */
-bool memb_watches(struct memb *, struct str box, int k);
+bool memb_is_watcher(struct memb *, struct str box, int k);
 
 /* Returns whether updates remain to be relayed to a box; it may be NULL. */
-bool memb_has_news(struct memb *, const struct memb_member *to);
+bool memb_has_updates(struct memb *, const struct memb_member *to);
 
-/* Returns the weight of a box for a key, by which memb_is_first() orders. */
+/* Returns the weight of a box for a key, by which memb_is_in_top_hubs() orders.
+ */
 uint64_t memb_weight(struct str key, struct str box);
 
 /*
@@ -262,7 +268,7 @@
  * that, then updates that remain to be relayed, and if there are none of either
  * a random member.  Only members that the box must know are stored.
  */
-size_t memb_news(struct memb *, const struct rnd *, struct str to,
+size_t memb_collect_updates(struct memb *, const struct rnd *, struct str to,
     const struct memb_member **, size_t n);
 
 /* Copies the strings too; memb_info_clear() frees them. */
--- a/msg.h
+++ b/msg.h
@@ -27,24 +27,25 @@
  */
 enum msg_kind {
 	/* Agents, and an agent to its gate: state of the sender. */
-	MSG_HELLO,
-	MSG_BEAT, /* agents: short form of it if nothing has changed */
+	MSG_ANNOUNCEMENT,
+	MSG_HEARTBEAT, /* agents: short form of it if nothing has changed */
 	MSG_BUCKETS, /* digests of all buckets of the configuration */
 	MSG_VERSIONS, /* versions of all objects in some buckets */
-	MSG_WANT, /* requests objects */
+	MSG_OBJECT_REQUEST, /* requests objects */
 	MSG_OBJECTS, /* objects */
 	MSG_MEMBERS, /* live boxes; from an agent to its gate: the hubs */
-	MSG_GATE, /* gate to its agent: state of the gate */
+	MSG_GATE_STATUS, /* gate to its agent: state of the gate */
 	MSG_HEALTH, /* results of probes, to agents and gates */
-	MSG_SUMMARY, /* owner to owner of a service: capacity of its hall */
+	MSG_CAPACITY, /* owner to owner of a service: capacity of its hall */
 	MSG_PING, /* gate to gate: liveness check */
 	MSG_PONG, /* its answer */
 	MSG_DEFLATED, /* another message, compressed */
 	MSG_SUSPECTS, /* gates and agents: requests that crash servers */
-	MSG_WORDS, /* gate to gate: states reported by backend servers */
-	MSG_ROLL, /* owner to owner of a service: state of a rollout */
-	MSG_ASK, /* gate to gate: is a request within a customer's rate? */
-	MSG_GRANT, /* its answer */
+	MSG_REPORTS, /* gate to gate: states reported by backend servers */
+	MSG_ROLLOUT, /* owner to owner of a service: state of a rollout */
+	MSG_RATE_QUERY, /* gate to gate: is a request within a customer's rate?
+			 */
+	MSG_RATE_GRANT, /* its answer */
 	MSG_KIND_MAX
 };
 
@@ -55,30 +56,30 @@
 };
 
 /* Summary of the configuration that a process holds. */
-struct msg_holds {
+struct msg_conf_summary {
 	uint64_t digest; /* conf_digest() */
-	uint64_t rules; /* conf_digest_of() its rules */
+	uint64_t rules_digest; /* conf_digest_of() its rules */
 	uint64_t floor; /* of all that it holds */
-	bool partial; /* it holds rules only, no backend servers */
+	bool rules_only; /* it holds rules only, no backend servers */
 	/* 1 + ms since the platform confirmed its rules; 0: never */
-	uint64_t confirmed;
+	uint64_t confirmed_age;
 };
 
-struct msg_hello {
+struct msg_announcement {
 	struct memb_info self;
-	struct msg_holds holds;
-	uint64_t hubs; /* memb_digest_hubs() of the sender */
-	uint64_t near; /* memb_digest_hall() of the sender */
-	bool asks; /* the receiver is to answer */
-	struct msg_list others; /* struct memb_info */
+	struct msg_conf_summary conf_summary;
+	uint64_t hubs_digest; /* memb_digest_hubs() of the sender */
+	uint64_t hall_digest; /* memb_digest_hall() of the sender */
+	bool expects_reply; /* the receiver is to answer */
+	struct msg_list updates; /* struct memb_info */
 };
 
-struct msg_beat {
+struct msg_heartbeat {
 	struct str box;
-	uint64_t boot, beat; /* of the sender's state */
-	uint64_t hubs, near; /* as in struct msg_hello */
-	struct msg_holds holds;
-	bool asks; /* the receiver is to answer */
+	uint64_t started_ms, incarnation; /* of the sender's state */
+	uint64_t hubs_digest, hall_digest; /* as in struct msg_announcement */
+	struct msg_conf_summary conf_summary;
+	bool expects_reply; /* the receiver is to answer */
 };
 
 struct msg_u64 {
@@ -86,14 +87,14 @@
 };
 
 struct msg_buckets {
-	bool partial; /* the buckets of backend servers do not count */
+	bool rules_only; /* the buckets of backend servers do not count */
 	struct msg_list digests; /* struct msg_u64, CONF_BUCKETS of them */
 };
 
 struct msg_version {
 	struct str key;
 	uint64_t version; /* in force */
-	uint64_t bad_version; /* rejected; 0: none */
+	uint64_t rejected_version; /* rejected; 0: none */
 	uint64_t hash; /* `hash` of struct conf_entry; 0 for a deletion */
 };
 
@@ -106,7 +107,7 @@
 	struct str key;
 };
 
-struct msg_want {
+struct msg_object_request {
 	struct msg_list keys; /* struct msg_key */
 };
 
@@ -125,87 +126,95 @@
 
 struct msg_members {
 	struct msg_list members; /* struct memb_info */
-	uint64_t fleet; /* to a gate: serving gates of the fleet */
-	bool hub; /* to a gate: its box is a hub */
+	uint64_t serving_gates; /* to a gate: serving gates of the fleet */
+	bool is_hub; /* to a gate: its box is a hub */
 };
 
-struct msg_gate {
+struct msg_gate_status {
 	struct str box;
-	uint64_t boot; /* start of the gate, ms since 1970 */
-	struct msg_holds holds;
-	uint64_t objects; /* number of objects that it holds */
+	uint64_t started_ms; /* start of the gate, ms since 1970 */
+	struct msg_conf_summary conf_summary;
+	uint64_t object_count; /* number of objects that it holds */
 	bool leaving;
 	bool ready; /* it serves */
-	struct str doubted; /* a box whose gate does not answer, or empty */
+	struct str suspect_box; /* a box whose gate does not answer, or empty */
 };
 
 /* The state of a backend server as found by probes. */
-enum msg_state { STATE_UNKNOWN, STATE_UP, STATE_DOWN, STATE_DRAINING };
+enum msg_health_state {
+	HEALTH_UNKNOWN,
+	HEALTH_UP,
+	HEALTH_DOWN,
+	HEALTH_DRAINING
+};
 
-struct msg_state_of {
+struct msg_backend_health {
 	struct str backend;
-	uint64_t state; /* enum msg_state */
-	uint64_t at_ms; /* wall time of the probe at the prober */
+	uint64_t state; /* enum msg_health_state */
+	uint64_t probed_ms; /* wall time of the probe at the prober */
 };
 
 struct msg_health {
-	struct msg_list states; /* struct msg_state_of */
+	struct msg_list states; /* struct msg_backend_health */
 };
 
-struct msg_summary {
+struct msg_capacity {
 	struct str service;
 	struct str hall;
 	uint64_t slot_tenths; /* usable slots, in use or free, times ten */
-	uint64_t free; /* free slots */
-	uint64_t waiting; /* requests in the queue */
+	uint64_t free_slots; /* free slots */
+	uint64_t queued; /* requests in the queue */
 };
 
-/* struct poison_word, with ages in place of times. */
+/* struct poison_record, with ages in place of times. */
 struct msg_suspect {
-	uint64_t print_hi, print_lo, print_caller; /* fingerprint */
+	uint64_t fingerprint_hi, fingerprint_lo,
+	    fingerprint_caller; /* fingerprint */
 	uint64_t trials[POISON_TRIALS];
-	uint64_t ended_ms; /* age of the last crash; 0: none */
-	uint64_t cleared_ms; /* age of the last answer; 0: none */
+	uint64_t crash_age_ms; /* age of the last crash; 0: none */
+	uint64_t cleared_age_ms; /* age of the last answer; 0: none */
 };
 
 struct msg_suspects {
 	struct msg_list suspects; /* struct msg_suspect */
 };
 
-/* struct word, with an age in place of a time. */
-struct msg_word {
+/* struct backend_report, with an age in place of a time. */
+struct msg_report {
 	struct str backend;
-	uint64_t born_ms; /* its start, ms since 1970; 0: unknown */
-	bool leaves; /* it accepts no new requests */
+	uint64_t started_ms; /* its start, ms since 1970; 0: unknown */
+	bool leaving; /* it accepts no new requests */
 	uint64_t rate_milli; /* requests in 1000 s; 0: no limit */
-	uint64_t heard_ms; /* age of the report of the rate */
+	uint64_t age_ms; /* age of the report of the rate */
 };
 
-struct msg_words {
-	struct msg_list words; /* struct msg_word */
+struct msg_reports {
+	struct msg_list reports; /* struct msg_report */
 };
 
-/* struct roll_word, with its age in ms, of the owner of a service in a hall. */
-struct msg_roll {
+/* struct roll_report, with its age in ms, of the owner of a service in a hall.
+ */
+struct msg_rollout {
 	struct str service;
 	struct str hall;
 	struct str box;
 	struct str version; /* the new one */
 	uint64_t age_ms;
 	uint64_t state; /* enum roll_state */
-	uint64_t answers, bad;
-	uint64_t old_out;
+	uint64_t answers, failures;
+	uint64_t old_in_flight;
 };
 
 /* Asks the owner of a customer's rate limit for one request. */
-struct msg_ask {
+struct msg_rate_query {
 	uint64_t seq; /* repeated in the answer */
 	struct str customer;
-	struct str asker; /* inbox for the answer if forwarded, else empty */
-	bool again; /* the first owner did not answer */
+	struct str
+	    requester; /* inbox for the answer if forwarded, else empty */
+	bool is_retry; /* the first owner did not answer */
 };
 
-struct msg_grant {
+struct msg_rate_grant {
 	uint64_t seq;
 	bool granted;
 	/* If granted, delay of the request, else time until capacity is free.
@@ -227,22 +236,22 @@
 	enum msg_kind kind;
 	struct str from; /* address of the sender's inbox */
 	union {
-		struct msg_hello hello;
-		struct msg_beat beat;
+		struct msg_announcement announcement;
+		struct msg_heartbeat heartbeat;
 		struct msg_buckets buckets;
 		struct msg_versions versions;
-		struct msg_want want;
+		struct msg_object_request object_request;
 		struct msg_objects objects;
 		struct msg_members members;
-		struct msg_gate gate;
+		struct msg_gate_status gate_status;
 		struct msg_health health;
-		struct msg_summary summary;
+		struct msg_capacity capacity;
 		struct msg_ping ping;
 		struct msg_suspects suspects;
-		struct msg_words words;
-		struct msg_roll roll;
-		struct msg_ask ask;
-		struct msg_grant grant;
+		struct msg_reports reports;
+		struct msg_rollout rollout;
+		struct msg_rate_query rate_query;
+		struct msg_rate_grant rate_grant;
 		struct msg_deflated deflated;
 	} u;
 	msgpack_unpacked raw; /* owns the decoded objects */
@@ -255,10 +264,10 @@
 /*
  * Decodes a message of n bytes.  The strings of the message point into `p`,
  * which must outlive it.  Returns false and sets ERR_MESSAGE if the message is
- * malformed.  After success, call msg_done() to free what it allocated.
+ * malformed.  After success, call msg_release() to free what it allocated.
  */
 bool msg_decode(const char *p, size_t n, struct msg *, GError **);
-void msg_done(struct msg *);
+void msg_release(struct msg *);
 
 /* Returns the struct tag of the kind's fields. */
 const char *msg_kind_name(enum msg_kind);
--- a/obj.h
+++ b/obj.h
@@ -52,8 +52,9 @@
 	int64_t slots; /* requests that it executes at a time */
 	int64_t connections; /* maximum number of connections to it */
 	bool drain; /* it gets no new requests */
-	int64_t warm_ms; /* slow start: how long it is slow after its start */
-	int64_t born_ms; /* its start, ms since 1970; 0: unknown */
+	int64_t
+	    slow_start_ms; /* slow start: how long it is slow after its start */
+	int64_t started_ms; /* its start, ms since 1970; 0: unknown */
 	json_t *labels; /* with "hall" and "name" added */
 };
 
@@ -61,7 +62,7 @@
 	struct str select_text; /* selector of its backend servers */
 	struct sel *select; /* the parsed selector */
 	int64_t deadline_ms; /* for requests without a deadline */
-	int64_t queue; /* maximum queue length of an owner */
+	int64_t queue_max; /* maximum queue length of an owner */
 	int64_t bulk_percent; /* share of the slots for bulk requests */
 	int64_t rate; /* requests a second of the fleet; 0: no limit */
 	int64_t probe_ms; /* interval between probes of one backend */
@@ -84,13 +85,13 @@
 	int64_t attempts; /* maximum backend servers tried; 0: no limit */
 	int64_t rank; /* priority: a lower rank is more urgent */
 	int repeatable; /* REPEATABLE_* */
-	int cls; /* enum obj_class */
+	int request_class; /* enum obj_class */
 	int64_t rate; /* requests a second of the fleet; 0: no limit */
 	int64_t caller_rate; /* the same for each caller */
 	struct str caller_header; /* identifies callers; empty: by address */
 	int on_outage; /* enum obj_outage */
 	int64_t deadline_ms; /* 0: that of the service */
-	bool open; /* no customer's key is required */
+	bool is_public; /* no customer's key is required */
 };
 
 /* Limits for callers. */
@@ -101,23 +102,23 @@
 
 /* The backend servers of the hall with its name get no new requests. */
 struct obj_evacuation {
-	struct str why; /* for operators; may be empty */
+	struct str reason; /* for operators; may be empty */
 };
 
 /* The state of a rollout as stored on the platform. */
-enum obj_rolled {
-	ROLLED_OPEN, /* no state is stored yet */
-	ROLLED_RUNNING,
-	ROLLED_COMPLETED, /* servers of other versions may be stopped */
-	ROLLED_BACK, /* servers of the new version will be stopped */
-	ROLLED_MAX
+enum obj_rollout_state {
+	ROLLOUT_OPEN, /* no state is stored yet */
+	ROLLOUT_RUNNING,
+	ROLLOUT_COMPLETED, /* servers of other versions may be stopped */
+	ROLLOUT_ROLLED_BACK, /* servers of the new version will be stopped */
+	ROLLOUT_STATE_MAX
 };
 
 /* The rollout of a version of a service: servers with that label `version`. */
 struct obj_rollout {
 	struct str version;
 	int64_t duration_ms; /* time limit for the decision */
-	int state; /* enum obj_rolled */
+	int state; /* enum obj_rollout_state */
 };
 
 /* A customer, whose requests are recognized by its keys. */
@@ -160,7 +161,7 @@
 bool obj_kind_by_name(struct str, enum obj_kind *);
 
 /* Returns the name of a rollout's state: "running" and so on. */
-const char *obj_rolled_name(enum obj_rolled);
+const char *obj_rollout_state_name(enum obj_rollout_state);
 
 /* Returns the name of a class: "interactive" or "bulk". */
 const char *obj_class_name(enum obj_class);
--- a/region.c
+++ b/region.c
@@ -40,7 +40,7 @@
 }
 
 bool
-region_is_near(const json_t *halls, struct str a, struct str b)
+region_is_same(const json_t *halls, struct str a, struct str b)
 {
 	return str_eq(region_of(halls, a), region_of(halls, b));
 }
@@ -59,7 +59,7 @@
 	return h->slots > 0 &&
 	    region_allows(filter->list, region_of(filter->halls, h->hall)) &&
 	    (!filter->same_region ||
-		region_is_near(filter->halls, filter->own, h->hall));
+		region_is_same(filter->halls, filter->own, h->hall));
 }
 
 /* Returns a random matching hall, weighted by slots; empty if none matches. */
--- a/region.h
+++ b/region.h
@@ -35,7 +35,7 @@
 struct str region_of(const json_t *halls, struct str hall);
 
 /* Returns whether two halls are in the same region according to the table. */
-bool region_is_near(const json_t *halls, struct str a, struct str b);
+bool region_is_same(const json_t *halls, struct str a, struct str b);
 
 /*
  * Returns the hall whose backend servers a request is to use.  This is the hall
--- a/roll.c
+++ b/roll.c
@@ -49,7 +49,7 @@
 /* Another owner of the service, and its last report. */
 struct owner {
 	struct str box, hall;
-	struct roll_word report;
+	struct roll_report report;
 	int64_t received; /* when it was received, monotonic ns */
 };
 
@@ -106,10 +106,10 @@
 
 /* If the stored outcome has been removed, the rollout was started again. */
 bool
-roll_is(const struct roll *r, const struct obj_rollout *rollout)
+roll_matches(const struct roll *r, const struct obj_rollout *rollout)
 {
-	bool decided =
-	    rollout->state == ROLLED_COMPLETED || rollout->state == ROLLED_BACK;
+	bool decided = rollout->state == ROLLOUT_COMPLETED ||
+	    rollout->state == ROLLOUT_ROLLED_BACK;
 
 	return str_eq(r->version, rollout->version) &&
 	    r->duration == rollout->duration_ms * NS_MS &&
@@ -127,13 +127,13 @@
 }
 
 void
-roll_settle(struct roll *r, enum obj_rolled state)
+roll_set_platform_state(struct roll *r, enum obj_rollout_state state)
 {
-	r->outcome_stored = r->outcome_stored || state == ROLLED_COMPLETED ||
-	    state == ROLLED_BACK;
-	if (state == ROLLED_COMPLETED)
+	r->outcome_stored = r->outcome_stored || state == ROLLOUT_COMPLETED ||
+	    state == ROLLOUT_ROLLED_BACK;
+	if (state == ROLLOUT_COMPLETED)
 		step(r, ROLL_EV_COMPLETED, r->state_since);
-	if (state != ROLLED_BACK)
+	if (state != ROLLOUT_ROLLED_BACK)
 		return;
 	step(r, ROLL_EV_BAD, r->state_since);
 	if (r->why == NULL)
@@ -141,7 +141,7 @@
 }
 
 bool
-roll_may_send(const struct roll *r, bool to_new)
+roll_allows(const struct roll *r, bool to_new)
 {
 	switch (r->state) {
 	case ROLL_SMALL:
@@ -156,7 +156,7 @@
 }
 
 bool
-roll_counts_on(const struct roll *r, bool is_new)
+roll_counts_as_capacity(const struct roll *r, bool is_new)
 {
 	bool has_moved = r->state == ROLL_ALL || r->state == ROLL_COMPLETED;
 
@@ -164,9 +164,9 @@
 }
 
 bool
-roll_is_open(const struct roll *r)
+roll_is_undecided(const struct roll *r)
 {
-	return r->state != ROLL_COMPLETED && r->state != ROLL_BACK;
+	return r->state != ROLL_COMPLETED && r->state != ROLL_ROLLED_BACK;
 }
 
 enum roll_state
@@ -176,7 +176,7 @@
 }
 
 const char *
-roll_why(const struct roll *r)
+roll_reason(const struct roll *r)
 {
 	return r->why;
 }
@@ -191,7 +191,7 @@
 }
 
 void
-roll_sent(struct roll *r, bool to_new)
+roll_request_sent(struct roll *r, bool to_new)
 {
 	r->credit = MIN(r->credit + share_of(r), BURST_MAX);
 	if (to_new)
@@ -206,18 +206,18 @@
 }
 
 void
-roll_ended(
+roll_request_ended(
     struct roll *r, bool at_new, unsigned kind, enum verdict_answer answer)
 {
 	const char *why;
 
-	if (!roll_is_open(r))
+	if (!roll_is_undecided(r))
 		return;
 	if (!at_new) {
-		verdict_old(&r->verdict, kind, answer);
+		verdict_add_old(&r->verdict, kind, answer);
 		return;
 	}
-	why = verdict_new(&r->verdict, kind, answer);
+	why = verdict_add_new(&r->verdict, kind, answer);
 	if (why != NULL)
 		roll_back(r, why);
 }
@@ -255,19 +255,19 @@
 		step(r, ROLL_EV_SERVERS, now);
 	if (proven && r->state != ROLL_WAITING && is_step_over(r, now))
 		step(r, ROLL_EV_PROVEN, now);
-	if (!proven && roll_is_open(r) &&
+	if (!proven && roll_is_undecided(r) &&
 	    (double)(now - r->started) >= TOO_LATE_AT * (double)r->duration)
 		roll_back(r, "too few answers to decide in time");
 }
 
-struct roll_word
-roll_word_of(const struct roll *r, unsigned old_out, int64_t now)
+struct roll_report
+roll_make_report(const struct roll *r, unsigned old_out, int64_t now)
 {
-	return (struct roll_word){.age = now - r->started,
+	return (struct roll_report){.age = now - r->started,
 	    .state = r->state,
 	    .answers = r->verdict.answers,
-	    .bad = r->verdict.bad,
-	    .old_out = old_out};
+	    .failures = r->verdict.bad,
+	    .old_in_flight = old_out};
 }
 
 static struct owner *
@@ -288,15 +288,15 @@
 }
 
 void
-roll_told(struct roll *r, struct str box, struct str hall,
-    const struct roll_word *report, int64_t now)
+roll_merge_report(struct roll *r, struct str box, struct str hall,
+    const struct roll_report *report, int64_t now)
 {
 	struct owner *o = get_owner(r, box, hall);
 
 	o->report = *report;
 	o->received = now;
 	r->started = MIN(r->started, now - report->age);
-	if (report->state == ROLL_BACK && roll_is_open(r))
+	if (report->state == ROLL_ROLLED_BACK && roll_is_undecided(r))
 		roll_back(r, "rolled back by another owner");
 }
 
@@ -311,7 +311,7 @@
 		o = &g_array_index(r->owners, struct owner, i);
 		if (str_eq(o->hall, hall) &&
 		    now - o->received <= REPORT_FRESH_NS &&
-		    o->report.state == ROLL_ALL && o->report.old_out == 0)
+		    o->report.state == ROLL_ALL && o->report.old_in_flight == 0)
 			return true;
 	}
 	return false;
@@ -327,27 +327,27 @@
 	for (i = 0; i < r->owners->len; i++) {
 		o = &g_array_index(r->owners, struct owner, i);
 		if (now - o->received <= REPORT_DELAYS_NS &&
-		    (o->report.state < ROLL_ALL || o->report.old_out > 0))
+		    (o->report.state < ROLL_ALL || o->report.old_in_flight > 0))
 			return true;
 	}
 	return false;
 }
 
-enum obj_rolled
-roll_wants(const struct roll *r, const struct str *halls, unsigned n,
+enum obj_rollout_state
+roll_state_to_write(const struct roll *r, const struct str *halls, unsigned n,
     unsigned old_out, int64_t now)
 {
 	unsigned i;
 
-	if (r->state == ROLL_BACK)
-		return ROLLED_BACK;
+	if (r->state == ROLL_ROLLED_BACK)
+		return ROLLOUT_ROLLED_BACK;
 	if (r->state == ROLL_COMPLETED)
-		return ROLLED_COMPLETED;
+		return ROLLOUT_COMPLETED;
 	if (r->state != ROLL_ALL || old_out > 0 ||
 	    now - r->state_since < OLD_IDLE_NS || is_used_by_other(r, now))
-		return ROLLED_RUNNING;
+		return ROLLOUT_RUNNING;
 	for (i = 0; i < n; i++)
 		if (!has_left(r, halls[i], now))
-			return ROLLED_RUNNING;
-	return ROLLED_COMPLETED;
+			return ROLLOUT_RUNNING;
+	return ROLLOUT_COMPLETED;
 }
--- a/roll.h
+++ b/roll.h
@@ -38,7 +38,7 @@
 	ROLL_WIDER, /* it gets a larger share */
 	ROLL_ALL, /* it gets all new requests */
 	ROLL_COMPLETED,
-	ROLL_BACK, /* the old version gets all new requests */
+	ROLL_ROLLED_BACK, /* the old version gets all new requests */
 	ROLL_STATE_MAX
 };
 
@@ -53,11 +53,12 @@
 extern const struct chart_names roll_chart_names;
 
 /* What an owner reports to the other owners of the service. */
-struct roll_word {
+struct roll_report {
 	int64_t age; /* since the rollout was first seen, ns */
 	enum roll_state state;
-	uint64_t answers, bad; /* answers of the new version, and failures */
-	unsigned old_out; /* requests in flight at the old version */
+	uint64_t answers,
+	    failures; /* answers of the new version, and failures */
+	unsigned old_in_flight; /* requests in flight at the old version */
 };
 
 struct roll;
@@ -71,40 +72,42 @@
  * Returns whether an object of the configuration still describes this rollout;
  * if not, a new one has been started.
  */
-bool roll_is(const struct roll *, const struct obj_rollout *);
+bool roll_matches(const struct roll *, const struct obj_rollout *);
 
 /* Takes over the state that the platform has stored. */
-void roll_settle(struct roll *, enum obj_rolled);
+void roll_set_platform_state(struct roll *, enum obj_rollout_state);
 
 /* Returns whether a server of the new or old version may get a request now. */
-bool roll_may_send(const struct roll *, bool to_new);
+bool roll_allows(const struct roll *, bool to_new);
 
 /* Returns whether the slots of a version count as capacity for new requests. */
-bool roll_counts_on(const struct roll *, bool is_new);
+bool roll_counts_as_capacity(const struct roll *, bool is_new);
 
 /* Returns whether it is undecided which version stays. */
-bool roll_is_open(const struct roll *);
+bool roll_is_undecided(const struct roll *);
 
 enum roll_state roll_state(const struct roll *);
 
 /* Returns the reason of a rollback, a static string, or NULL without one. */
-const char *roll_why(const struct roll *);
+const char *roll_reason(const struct roll *);
 
 /* Records that a request was sent to a server of the new or old version. */
-void roll_sent(struct roll *, bool to_new);
+void roll_request_sent(struct roll *, bool to_new);
 
 /* Records its outcome; `kind` groups requests that are compared. */
-void roll_ended(struct roll *, bool at_new, unsigned kind, enum verdict_answer);
+void roll_request_ended(
+    struct roll *, bool at_new, unsigned kind, enum verdict_answer);
 
 /* Advances the state; `has_new`: servers of the new version are usable here. */
 void roll_tick(struct roll *, bool has_new, int64_t now);
 
 /* Returns the report for the other owners of the service. */
-struct roll_word roll_word_of(const struct roll *, unsigned old_out, int64_t);
+struct roll_report
+roll_make_report(const struct roll *, unsigned old_out, int64_t);
 
 /* Merges a report of the box that owns the service for a hall. */
-void roll_told(struct roll *, struct str box, struct str hall,
-    const struct roll_word *, int64_t now);
+void roll_merge_report(struct roll *, struct str box, struct str hall,
+    const struct roll_report *, int64_t now);
 
 /*
  * Returns the state that the platform should have stored.  This is completed
@@ -112,7 +115,7 @@
  * those of the other owners, and `old_out` counts this owner's requests in
  * flight at the old version.
  */
-enum obj_rolled roll_wants(const struct roll *, const struct str *halls,
-    unsigned n, unsigned old_out, int64_t now);
+enum obj_rollout_state roll_state_to_write(const struct roll *,
+    const struct str *halls, unsigned n, unsigned old_out, int64_t now);
 
 #endif
--- a/route.h
+++ b/route.h
@@ -30,7 +30,7 @@
 /* The backend servers of a service in one hall. */
 struct route_hall {
 	struct str hall;
-	struct disp_backend *backends;
+	struct disp_backend_conf *backends;
 	unsigned n;
 	int slots; /* of those that accept new requests */
 	bool evacuated; /* none of them accepts new requests */
@@ -43,11 +43,11 @@
 	unsigned nhalls;
 	int slots; /* sum over all halls */
 	const struct obj_rollout *rollout; /* NULL: none */
-	bool has_new; /* there are servers of the rollout's version */
+	bool has_new_version; /* there are servers of the rollout's version */
 };
 
 /* One of the services that the requests of a rule are distributed to. */
-struct route_part {
+struct route_target {
 	const struct route_service *service; /* NULL: does not exist */
 	uint64_t weight;
 };
@@ -55,9 +55,9 @@
 struct route_rule {
 	struct str name;
 	const struct obj_rule *obj;
-	struct route_part *parts;
-	unsigned nparts; /* at least one */
-	uint64_t weight; /* sum over all parts */
+	struct route_target *targets;
+	unsigned ntargets; /* at least one */
+	uint64_t total_weight; /* sum over all parts */
 };
 
 /* The properties of a request that rules match. */
@@ -92,7 +92,7 @@
  * NULL if the chosen service does not exist.
  */
 const struct route_service *
-route_choose(const struct route_rule *, const struct rnd *);
+route_choose_service(const struct route_rule *, const struct rnd *);
 
 /* Returns NULL if there is no such service. */
 const struct route_service *
@@ -105,10 +105,10 @@
 uint64_t route_version(const struct route_table *);
 
 /* Returns the number of rules. */
-unsigned route_rules(const struct route_table *);
+unsigned route_count_rules(const struct route_table *);
 
 /* Returns the number of evacuated halls. */
-unsigned route_evacuations(const struct route_table *);
+unsigned route_count_evacuations(const struct route_table *);
 
 /* Returns the customers, which can be looked up by their keys. */
 const struct customers *route_customers(const struct route_table *);
@@ -128,6 +128,7 @@
  * Returns whether a request may be sent again if it is not known whether it was
  * executed.  This is false for requests with an idempotency key (`has_key`).
  */
-bool route_repeatable(const struct obj_rule *, struct str method, bool has_key);
+bool
+route_is_repeatable(const struct obj_rule *, struct str method, bool has_key);
 
 #endif
