--- a/gossip.c
+++ b/gossip.c
@@ -12,12 +12,12 @@
 
 enum {
 	UPDATES_MAX = 12, /* updates about other boxes in one announcement */
-	/* One box of the fleet in this many contacts a seed in a round. */
-	SEED_REQUEST_ONE_IN = 10,
-	/* Maximum rounds between requests to seeds while no hub is found. */
+	/* Rounds for one request of the fleet to seeds once hubs are known. */
+	SEED_IDLE_ROUNDS = 10,
+	/* Maximum rounds between requests to seeds while no hub is known. */
 	SEED_ROUNDS_MAX = 16,
 	/*
-	 * Requests a second that a hub gets from leaves.  With the answers
+	 * Requests a second that a hub gets from leaves.  With the replies
 	 * this takes about 5 kB/s of the 6 kB/s that a box may use for control
 	 * traffic.
 	 */
@@ -33,10 +33,10 @@
 	ANNOUNCE_BATCH = 32
 };
 
-/* A live box answers a request within this time. */
-#define ANSWER_WAIT_NS (300 * NS_MS)
-/* Both a request in our hall and those to other halls went unanswered. */
-#define UNATTENDED_NS (2 * ANSWER_WAIT_NS)
+/* A live box replies to a request within this time. */
+#define REPLY_WAIT_NS (300 * NS_MS)
+/* Time for a request in our hall and one to other halls to get no reply. */
+#define UNATTENDED_NS (2 * REPLY_WAIT_NS)
 /* If the platform has not listed boxes by then, it may be unreachable. */
 #define LIST_WAIT_NS (2 * NS_S)
 /* Delay before listing again if no hub of our hall is known; then doubled. */
@@ -67,11 +67,11 @@
 	/* When to send requests to other halls instead; 0: not needed. */
 	int64_t fallback_at;
 	/*
-	 * Since when this box waits for a message of a hub that the platform
-	 * answers; 0: it does not.
+	 * Since when this box waits for a message of a hub that can reach the
+	 * platform; 0: it does not wait.
 	 */
 	int64_t awaiting_hub_since;
-	/* Last message of a hub that the platform does not answer; 0: none. */
+	/* Last message of a hub that cannot reach the platform; 0: none. */
 	int64_t platform_down_reported;
 	unsigned rounds;
 	unsigned seed_round; /* in which a seed is contacted next */
@@ -84,7 +84,7 @@
 	bool hall_listed; /* it contained other boxes of our hall */
 	/* The discovery at the start. */
 	GHashTable *contacted; /* set of char *, names of boxes */
-	int64_t contacted_at; /* 0: no answers are waited for */
+	int64_t contacted_at; /* 0: no replies are waited for */
 	int64_t settle_at; /* when the discovery ends at the latest */
 	bool settled;
 	/* Incarnation of our state that all who must know it are sent. */
@@ -159,7 +159,7 @@
 
 /* Sending. */
 
-/* Starts waiting for a hub; a request to a leaf brings no such answer. */
+/* Starts the wait for a hub, unless the request goes to a weak box, a leaf. */
 static void
 start_hub_wait(struct gossip *g, struct str box)
 {
@@ -173,26 +173,26 @@
 send_announcement(
     struct gossip *g, struct str to, struct str box, bool expects_reply)
 {
-	const struct memb_member *some[UPDATES_MAX];
+	const struct memb_member *members[UPDATES_MAX];
 	struct memb_info infos[UPDATES_MAX];
-	struct msg_announcement h = {
+	struct msg_announcement msg = {
 	    .self = *memb_self(g->memb), .expects_reply = expects_reply};
 	size_t i, n;
 
-	n = memb_collect_updates(g->memb, g->rnd, box, some, UPDATES_MAX);
+	n = memb_collect_updates(g->memb, g->rnd, box, members, UPDATES_MAX);
 	for (i = 0; i < n; i++)
-		infos[i] = some[i]->info;
-	h.hubs_digest = memb_digest_hubs(g->memb);
-	h.hall_digest = memb_digest_hall(g->memb);
-	h.conf_summary = g->ops.conf_summary(g->ops.ctx);
-	h.updates.items = infos;
-	h.updates.n = n;
+		infos[i] = members[i]->info;
+	msg.hubs_digest = memb_digest_hubs(g->memb);
+	msg.hall_digest = memb_digest_hall(g->memb);
+	msg.conf_summary = g->ops.conf_summary(g->ops.ctx);
+	msg.updates.items = infos;
+	msg.updates.n = n;
 	if (expects_reply) {
 		memb_request_sent(g->memb, box, clk_ns(g->clk));
 		start_hub_wait(g, box);
 	}
 	memb_self_sent(g->memb, box);
-	g->ops.announcement(g->ops.ctx, to, &h);
+	g->ops.send_announcement(g->ops.ctx, to, &msg);
 }
 
 static void
@@ -200,7 +200,7 @@
     struct gossip *g, struct str to, struct str box, bool expects_reply)
 {
 	const struct memb_info *self = memb_self(g->memb);
-	struct msg_heartbeat b = {
+	struct msg_heartbeat msg = {
 	    .box = self->box,
 	    .started_ms = self->started_ms,
 	    .incarnation = self->incarnation,
@@ -214,7 +214,7 @@
 		memb_request_sent(g->memb, box, clk_ns(g->clk));
 		start_hub_wait(g, box);
 	}
-	g->ops.send_heartbeat(g->ops.ctx, to, &b);
+	g->ops.send_heartbeat(g->ops.ctx, to, &msg);
 }
 
 /*
@@ -239,9 +239,9 @@
 }
 
 static bool
-request_random(struct gossip *g, enum memb_target who)
+request_random(struct gossip *g, enum memb_target target)
 {
-	const struct memb_member *m = memb_pick_target(g->memb, g->rnd, who);
+	const struct memb_member *m = memb_pick_target(g->memb, g->rnd, target);
 
 	if (m != NULL)
 		send_request(g, m);
@@ -297,7 +297,7 @@
 		g->seed_round_gap = 1;
 		g->seed_round = g->rounds;
 		return rnd_below(g->rnd,
-			   SEED_REQUEST_ONE_IN *
+			   SEED_IDLE_ROUNDS *
 			       memb_count_fleet_serving(g->memb)) == 0;
 	}
 	if (g->rounds < g->seed_round)
@@ -329,12 +329,13 @@
 static void
 contact_lost(struct gossip *g)
 {
-	const struct memb_member *some[LOST_REQUESTS_MAX];
-	size_t n = memb_pick_lost(g->memb, g->rnd, some, LOST_REQUESTS_MAX), i;
+	const struct memb_member *members[LOST_REQUESTS_MAX];
+	size_t n = memb_pick_lost(g->memb, g->rnd, members, LOST_REQUESTS_MAX),
+	       i;
 
 	for (i = 0; i < n; i++)
 		send_announcement(
-		    g, some[i]->info.inbox, some[i]->info.box, true);
+		    g, members[i]->info.inbox, members[i]->info.box, true);
 }
 
 /* Publishes the serving gates of our hall if they changed by over a quarter. */
@@ -342,14 +343,14 @@
 update_serving_gates(struct gossip *g)
 {
 	struct memb_info *self = memb_self(g->memb);
-	uint64_t crowd = memb_count_serving(g->memb);
-	uint64_t change = crowd > self->serving_gates
-	    ? crowd - self->serving_gates
-	    : self->serving_gates - crowd;
+	uint64_t gates = memb_count_serving(g->memb);
+	uint64_t change = gates > self->serving_gates
+	    ? gates - self->serving_gates
+	    : self->serving_gates - gates;
 
 	if (change * 4 <= self->serving_gates)
 		return;
-	self->serving_gates = crowd;
+	self->serving_gates = gates;
 	memb_self_changed(g->memb);
 }
 
@@ -358,11 +359,11 @@
 {
 	const struct memb_info *hubs[MEMB_HUBS_MAX];
 	size_t n = memb_hubs(g->memb, own_hall(g), hubs), i;
-	uint64_t crowd = 0;
+	uint64_t gates = 0;
 
 	for (i = 0; i < n; i++)
-		crowd = MAX(crowd, hubs[i]->serving_gates);
-	return crowd;
+		gates = MAX(gates, hubs[i]->serving_gates);
+	return gates;
 }
 
 /*
@@ -373,13 +374,13 @@
 round_interval(struct gossip *g)
 {
 	size_t n = count_other_hubs(g) + self_is_hub(g);
-	uint64_t crowd = gossip_serving_gates(g);
+	uint64_t gates = gossip_serving_gates(g);
 	uint64_t rate_max = (uint64_t)MAX(n, 1u) * HUB_REQUESTS_PER_S;
 
-	if (self_is_hub(g) || crowd <= rate_max)
+	if (self_is_hub(g) || gates <= rate_max)
 		return g->settings.announce_interval_ns;
 	return (int64_t)((double)g->settings.announce_interval_ns *
-	    (double)crowd / (double)rate_max);
+	    (double)gates / (double)rate_max);
 }
 
 static void
@@ -401,7 +402,7 @@
 	if (is_hub || !sent_to_hub)
 		request_random(g, MEMB_OTHER_HALL_HUB);
 	else
-		g->fallback_at = now + ANSWER_WAIT_NS;
+		g->fallback_at = now + REPLY_WAIT_NS;
 	if (is_hub)
 		contact_lost(g);
 	contact_seed(g);
@@ -419,7 +420,7 @@
 {
 	int64_t since = memb_oldest_unanswered(g->memb);
 
-	return since != 0 && clk_ns(g->clk) - since >= ANSWER_WAIT_NS;
+	return since != 0 && clk_ns(g->clk) - since >= REPLY_WAIT_NS;
 }
 
 bool
@@ -443,8 +444,8 @@
 }
 
 /*
- * Sends requests to hubs of other halls, a few at a time until one answers, if
- * a hub of our hall does not answer.  Frozen hubs relay nothing, and are
+ * Sends requests to hubs of other halls, a few at a time until one replies, if
+ * a hub of our hall does not reply.  Frozen hubs relay nothing, and are
  * declared dead only after three seconds: without this, changes of the
  * configuration reached the leaves of a hall with frozen hubs 2.7 s after they
  * were acknowledged, instead of within two seconds.
@@ -463,11 +464,11 @@
 		if (m == NULL)
 			return;
 		send_request(g, m);
-		g->fallback_at = now + ANSWER_WAIT_NS;
+		g->fallback_at = now + REPLY_WAIT_NS;
 	}
 }
 
-/* Ends the fallback to other halls if a box of one of them has answered. */
+/* Ends the fallback to other halls if a box of one of them has replied. */
 static void
 end_fallback(struct gossip *g, struct str box)
 {
@@ -593,15 +594,15 @@
 static void
 check_settled(struct gossip *g)
 {
-	unsigned known = 0, asked = gossip_initial_requests(g);
+	unsigned known = 0, requests = gossip_initial_requests(g);
 
 	if (g->settled || !g->list_received)
 		return;
 	memb_each(g->memb, count_known, &known);
-	g->settled = known * 2 >= asked;
+	g->settled = known * 2 >= requests;
 }
 
-/* Contacts further listed boxes if no hub of our hall has answered. */
+/* Contacts further listed boxes if no hub of our hall has replied. */
 static void
 contact_more(struct gossip *g)
 {
@@ -626,23 +627,23 @@
 static void
 schedule_list(struct gossip *g)
 {
-	int64_t in;
+	int64_t delay;
 
 	g->list_at = 0;
 	if (lacks_listed_hub(g)) {
-		in = MIN(g->list_gap, g->settings.list_interval_ns);
+		delay = MIN(g->list_gap, g->settings.list_interval_ns);
 		g->list_gap = MIN(g->list_gap * 2, RELIST_MAX_NS);
-		g->list_at = clk_ns(g->clk) + rnd_jitter(g->rnd, in);
+		g->list_at = clk_ns(g->clk) + rnd_jitter(g->rnd, delay);
 		return;
 	}
 	g->list_gap = RELIST_NS;
 	if (!self_is_hub(g))
 		return;
-	in = memb_is_watcher(
-		 g->memb, memb_self(g->memb)->box, g->settings.watchers)
+	delay = memb_is_watcher(
+		    g->memb, memb_self(g->memb)->box, g->settings.watchers)
 	    ? g->settings.list_interval_ns
 	    : g->settings.hub_list_interval_ns;
-	g->list_at = clk_ns(g->clk) + rnd_jitter(g->rnd, in);
+	g->list_at = clk_ns(g->clk) + rnd_jitter(g->rnd, delay);
 }
 
 void
@@ -652,7 +653,7 @@
 	g->list_received = true;
 	memb_each(g->memb, note_own_hall_listed, g);
 	if (!g->settled)
-		g->settle_at = clk_ns(g->clk) + ANSWER_WAIT_NS;
+		g->settle_at = clk_ns(g->clk) + REPLY_WAIT_NS;
 	if (!g->settled || count_other_hubs(g) == 0)
 		contact_listed(g);
 	check_settled(g);
@@ -743,9 +744,9 @@
 /* Receiving. */
 
 /*
- * Evaluates a message of a hub.  A hub that the platform answers ends the wait
- * for one.  If the hub reports that the platform does not answer, and no other
- * hub is known that it answers, the wait starts at once.
+ * Evaluates a message of a hub.  If the hub can reach the platform, the wait
+ * for such a hub ends.  If it cannot, and no other hub is known that can, the
+ * wait starts at once.
  */
 static void
 note_hub_state(struct gossip *g, const struct memb_info *box)
@@ -791,50 +792,50 @@
 
 void
 gossip_on_announcement(
-    struct gossip *g, struct str from, const struct msg_announcement *h)
+    struct gossip *g, struct str from, const struct msg_announcement *msg)
 {
 	int64_t now = clk_ns(g->clk);
 	const struct memb_member *m;
 	bool changed;
 
-	memb_message_received(g->memb, h->self.box, now);
-	end_fallback(g, h->self.box);
-	changed = memb_update(g->memb, &h->self, now);
-	changed = merge_updates(g, &h->updates) || changed;
-	note_hub_state(g, &h->self);
-	m = memb_find(g->memb, h->self.box);
-	if (h->expects_reply || (m != NULL && m->sent_incarnation == 0))
-		send_announcement(g, from, h->self.box, false);
-	if (digests_differ(g, &h->self, h->hubs_digest, h->hall_digest))
-		send_members(g, from, h->self.box);
+	memb_message_received(g->memb, msg->self.box, now);
+	end_fallback(g, msg->self.box);
+	changed = memb_update(g->memb, &msg->self, now);
+	changed = merge_updates(g, &msg->updates) || changed;
+	note_hub_state(g, &msg->self);
+	m = memb_find(g->memb, msg->self.box);
+	if (msg->expects_reply || (m != NULL && m->sent_incarnation == 0))
+		send_announcement(g, from, msg->self.box, false);
+	if (digests_differ(g, &msg->self, msg->hubs_digest, msg->hall_digest))
+		send_members(g, from, msg->self.box);
 	if (changed)
 		announce_to_new_boxes(g);
 	check_settled(g);
 }
 
 /*
- * A heartbeat suffices as answer if the sender is known and nothing has changed
+ * A heartbeat suffices as reply if the sender is known and nothing has changed
  * on either side.  Otherwise full announcements are exchanged.
  */
 void
 gossip_on_heartbeat(
-    struct gossip *g, struct str from, const struct msg_heartbeat *b)
+    struct gossip *g, struct str from, const struct msg_heartbeat *msg)
 {
-	const struct memb_member *m = memb_find(g->memb, b->box);
+	const struct memb_member *m = memb_find(g->memb, msg->box);
 
-	memb_message_received(g->memb, b->box, clk_ns(g->clk));
-	end_fallback(g, b->box);
+	memb_message_received(g->memb, msg->box, clk_ns(g->clk));
+	end_fallback(g, msg->box);
 	if (m != NULL && memb_is_alive(m))
 		note_hub_state(g, &m->info);
 	if (m == NULL || !memb_is_alive(m) ||
-	    m->info.started_ms != b->started_ms ||
-	    m->info.incarnation != b->incarnation ||
-	    digests_differ(g, &m->info, b->hubs_digest, b->hall_digest))
-		send_announcement(g, from, b->box, true);
-	else if (b->expects_reply && heartbeat_suffices(g, m))
-		send_heartbeat(g, from, b->box, false);
-	else if (b->expects_reply)
-		send_announcement(g, from, b->box, false);
+	    m->info.started_ms != msg->started_ms ||
+	    m->info.incarnation != msg->incarnation ||
+	    digests_differ(g, &m->info, msg->hubs_digest, msg->hall_digest))
+		send_announcement(g, from, msg->box, true);
+	else if (msg->expects_reply && heartbeat_suffices(g, m))
+		send_heartbeat(g, from, msg->box, false);
+	else if (msg->expects_reply)
+		send_announcement(g, from, msg->box, false);
 }
 
 void
@@ -882,7 +883,7 @@
 		run_round(g, now);
 	if (g->fallback_at != 0 && now >= g->fallback_at)
 		run_fallback(g, now);
-	if (g->contacted_at != 0 && now >= g->contacted_at + ANSWER_WAIT_NS)
+	if (g->contacted_at != 0 && now >= g->contacted_at + REPLY_WAIT_NS)
 		contact_more(g);
 	g->settled = g->settled || now >= g->settle_at;
 	if (g->list_at != 0 && now >= g->list_at)
@@ -892,7 +893,7 @@
 	next = earlier(earlier(g->round_at, g->list_at), g->announce_at);
 	next = earlier(next, g->fallback_at);
 	if (g->contacted_at != 0)
-		next = MIN(next, g->contacted_at + ANSWER_WAIT_NS);
+		next = MIN(next, g->contacted_at + REPLY_WAIT_NS);
 	if (g->awaiting_hub_since != 0 && !gossip_is_unattended(g))
 		next = MIN(next, g->awaiting_hub_since + UNATTENDED_NS);
 	return g->settled ? next : MIN(next, g->settle_at);
--- a/gossip.h
+++ b/gossip.h
@@ -40,7 +40,7 @@
 	 * Send a message to the inbox `to`: the whole state of this box, a
 	 * heartbeat if nothing has changed, or a list of members.
 	 */
-	void (*announcement)(
+	void (*send_announcement)(
 	    void *, struct str to, const struct msg_announcement *);
 	void (*send_heartbeat)(
 	    void *, struct str to, const struct msg_heartbeat *);
@@ -58,12 +58,9 @@
 
 /* Settings, which may change at run time. */
 struct gossip_settings {
-	int64_t
-	    announce_interval_ns; /* interval between two rounds of requests */
-	int64_t
-	    list_interval_ns; /* interval at which watchers list the boxes */
-	int64_t
-	    hub_list_interval_ns; /* the same for hubs that are not watchers */
+	int64_t announce_interval_ns; /* between rounds of requests */
+	int64_t list_interval_ns; /* between lists of boxes, of watchers */
+	int64_t hub_list_interval_ns; /* the same, of the other hubs */
 	int watchers; /* boxes of the fleet that watch the platform */
 	const json_t *seeds; /* addresses of inboxes; borrowed */
 };
@@ -99,12 +96,12 @@
  */
 void gossip_announce(struct gossip *, bool at_once);
 
-/* The gate of a box did not answer ours: checks at once if the box is alive. */
+/* Checks now if a box is alive whose gate has not replied to ours. */
 void gossip_check_suspect(struct gossip *, struct str box);
 
 /*
  * Returns whether the discovery is complete: at least half of the boxes that
- * were contacted first are known, or the time for their answers is over.
+ * were contacted first are known, or the time for their replies is over.
  */
 bool gossip_is_settled(const struct gossip *);
 
@@ -118,19 +115,18 @@
 /* Returns whether this box is a hub; false while that cannot be known. */
 bool gossip_is_hub(struct gossip *);
 
-/* Returns whether a box of our hall has not answered a request in time. */
+/* Returns whether a box of our hall has not replied to a request in time. */
 bool gossip_has_unresponsive_peer(const struct gossip *);
 
 /*
- * Returns whether no hub with a working connection to the platform has sent
- * anything for a while, although some box was sent a request.  This box then
- * learns of no changes.
+ * Returns whether this box has waited too long for a message of a hub that can
+ * reach the platform.  It then learns of no changes of the configuration.
  */
 bool gossip_is_unattended(const struct gossip *);
 
 /*
- * Returns whether hubs have reported since then that the platform does not
- * answer them.
+ * Returns whether hubs have reported during that wait that they cannot reach
+ * the platform.
  */
 bool gossip_hubs_lost_platform(const struct gossip *);
 
--- a/memb.c
+++ b/memb.c
@@ -104,7 +104,7 @@
 	struct memb *mb = g_new0(struct memb, 1);
 
 	memb_info_copy(&mb->own.info, self);
-	/* 0 means that nothing was sent yet, see memb_self_sent(). */
+	/* In `sent_incarnation` of members 0 means that nothing was sent. */
 	mb->own.info.incarnation = MAX(self->incarnation, 1);
 	mb->own.weight = hub_weight(self->box);
 	mb->members = g_ptr_array_new_with_free_func(member_free);
@@ -505,7 +505,7 @@
 {
 	struct memb_member *m = find_member(mb, box);
 
-	if (now - mb->last_contact > MEMB_ANSWER_TIMEOUT_NS)
+	if (now - mb->last_contact > MEMB_REPLY_TIMEOUT_NS)
 		end_isolation(mb);
 	mb->last_contact = now;
 	if (m == NULL)
@@ -542,7 +542,7 @@
 
 static bool
 is_target(const struct memb *mb, const struct memb_member *m,
-    enum memb_target who, bool lost)
+    enum memb_target target, bool lost)
 {
 	bool hub = lost ? m->strong : m->hub_rank >= 0;
 
@@ -550,14 +550,14 @@
 	    lost != (m->info.dead || m->last_update == 0))
 		return false;
 	if (is_in_own_hall(mb, m))
-		return hub ? who == MEMB_OWN_HALL_HUB
-			   : who == MEMB_OWN_HALL_LEAF;
-	return hub && who == MEMB_OTHER_HALL_HUB;
+		return hub ? target == MEMB_OWN_HALL_HUB
+			   : target == MEMB_OWN_HALL_LEAF;
+	return hub && target == MEMB_OTHER_HALL_HUB;
 }
 
 static const struct memb_member *
-pick_random(const struct memb *mb, const struct rnd *rnd, enum memb_target who,
-    bool lost, bool with_unanswered)
+pick_random(const struct memb *mb, const struct rnd *rnd,
+    enum memb_target target, bool lost, bool with_unanswered)
 {
 	const struct memb_member *m, *chosen = NULL;
 	unsigned seen = 0;
@@ -565,7 +565,7 @@
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		if (!is_target(mb, m, who, lost) ||
+		if (!is_target(mb, m, target, lost) ||
 		    (!with_unanswered && m->unanswered_since != 0))
 			continue;
 		if (rnd_below(rnd, ++seen) == 0)
@@ -575,24 +575,25 @@
 }
 
 const struct memb_member *
-memb_pick_target(struct memb *mb, const struct rnd *rnd, enum memb_target who)
+memb_pick_target(
+    struct memb *mb, const struct rnd *rnd, enum memb_target target)
 {
 	bool lost = rnd_below(rnd, LOST_TARGET_ONE_IN) == 0;
 	const struct memb_member *chosen;
 
 	refresh_hubs(mb);
-	chosen = pick_random(mb, rnd, who, lost, true);
+	chosen = pick_random(mb, rnd, target, lost, true);
 	if (chosen == NULL)
-		chosen = pick_random(mb, rnd, who, !lost, true);
+		chosen = pick_random(mb, rnd, target, !lost, true);
 	return chosen;
 }
 
 const struct memb_member *
 memb_pick_responsive(
-    struct memb *mb, const struct rnd *rnd, enum memb_target who)
+    struct memb *mb, const struct rnd *rnd, enum memb_target target)
 {
 	refresh_hubs(mb);
-	return pick_random(mb, rnd, who, false, false);
+	return pick_random(mb, rnd, target, false, false);
 }
 
 static const struct memb_member *
@@ -668,7 +669,7 @@
 has_timed_out(const struct memb_member *m, int64_t now)
 {
 	return m->unanswered_since != 0 &&
-	    now - m->unanswered_since > MEMB_ANSWER_TIMEOUT_NS && !m->info.dead;
+	    now - m->unanswered_since > MEMB_REPLY_TIMEOUT_NS && !m->info.dead;
 }
 
 static void
@@ -880,7 +881,7 @@
 					  : a->weight > b->weight;
 }
 
-/* Counts the hubs before a box, and those of them that the platform answers. */
+/* Counts the hubs before a box, and those of them that reach the platform. */
 static int
 count_before(struct memb *mb, const struct memb_member *m, int *with_platform)
 {
--- a/memb.h
+++ b/memb.h
@@ -22,7 +22,7 @@
  * Membership: merges the platform's list of boxes, which lags behind, with the
  * state that the boxes send each other by gossip.  A box counts as alive from
  * the first state received of it until it announces that it is leaving, or
- * until some box gets no answer from it and reports it dead.  A box that
+ * until some box gets no reply from it and reports it dead.  A box that
  * receives a report of its own death refutes it by sending its state with a
  * higher incarnation number.  No I/O is done here.
  *
@@ -34,8 +34,8 @@
  * a short time.
  */
 
-/* A box that leaves a request unanswered for longer is declared dead. */
-#define MEMB_ANSWER_TIMEOUT_NS (3 * NS_S)
+/* A box that has not replied to a request for longer is declared dead. */
+#define MEMB_REPLY_TIMEOUT_NS (3 * NS_S)
 /* How long a dead or departed box is kept that the platform does not list. */
 #define MEMB_DEAD_RETENTION_NS (120 * NS_S)
 
@@ -49,7 +49,7 @@
 	 * boxes are hubs.
 	 */
 	MEMB_HUBS_MAX = 6,
-	/* Wanted number of watchers that the platform answers. */
+	/* Desired number of watchers that can reach the platform. */
 	MEMB_WATCHERS_WITH_PLATFORM_MIN = 2
 };
 
@@ -58,29 +58,28 @@
 	struct str box;
 	struct str hall;
 	struct str inbox; /* ZeroMQ address of its agent */
-	struct str
-	    forward_address; /* where its gate accepts forwarded requests */
+	struct str forward_address; /* of its gate, for forwarded requests */
 	struct str gate_inbox; /* ZeroMQ address of its gate */
 	uint64_t started_ms; /* start of its agent, ms since 1970 */
 	uint64_t incarnation; /* incremented with each change of this state */
 	uint64_t power; /* its processor share, in 1/MEMB_POWER_ONE_CPU */
-	uint64_t
-	    serving_gates; /* gates serving in its hall, as far as it knows */
-	bool dead; /* reported by a box that got no answer from it */
+	/* Number of serving gates of its hall, as far as it knows. */
+	uint64_t serving_gates;
+	bool dead; /* reported by a box that got no reply from it */
 	bool leaving;
 	bool ready; /* its gate serves */
-	bool platform_unreachable; /* the platform does not answer it */
+	bool platform_unreachable; /* it gets no responses of the platform */
 };
 
 struct memb_member {
 	struct memb_info info;
 	int64_t last_update; /* monotonic ns of the last update; 0: none */
-	int64_t unanswered_since; /* monotonic ns of the unanswered request; 0:
-				     none */
+	/* When the unanswered request was sent, monotonic ns; 0: none. */
+	int64_t unanswered_since;
 	unsigned sends_left; /* how often `info` is still to be relayed */
 	bool listed; /* on the platform's list */
-	uint64_t
-	    sent_incarnation; /* incarnation of our own state last sent to it */
+	/* Incarnation of our own state that it was sent last; 0: none. */
+	uint64_t sent_incarnation;
 	/* The members below are maintained by memb.c. */
 	uint64_t weight; /* orders the strong boxes of a hall */
 	bool strong; /* see MEMB_STRONG_RATIO */
@@ -117,7 +116,7 @@
 void memb_request_sent(struct memb *, struct str box, int64_t now);
 
 /*
- * Records that a message, answer or not, was received from a box.  The box is
+ * Records that a message, reply or not, was received from a box.  The box is
  * alive again if it was this box that had declared it dead.
  */
 void memb_message_received(struct memb *, struct str box, int64_t now);
@@ -159,7 +158,7 @@
 void memb_list_add(struct memb *, const struct memb_info *);
 
 /*
- * Declares boxes dead that have not answered in MEMB_ANSWER_TIMEOUT_NS, and
+ * Declares boxes dead that have not replied in MEMB_REPLY_TIMEOUT_NS, and
  * removes unlisted ones that have been dead or gone for MEMB_DEAD_RETENTION_NS.
  * Returns whether any box was declared dead.
  *
@@ -173,7 +172,7 @@
 
 /*
  * Forgets all unanswered requests.  For use after this process was paused, when
- * missing answers say nothing about other boxes.
+ * missing replies say nothing about other boxes.
  */
 void memb_cancel_requests(struct memb *);
 
@@ -215,7 +214,7 @@
 /* Returns the number of live hubs of all halls, including this box. */
 size_t memb_count_hubs(struct memb *);
 
-/* Returns whether the platform answers any hub, by the state that they sent. */
+/* Returns whether any hub can reach the platform, by the state that it sent. */
 bool memb_has_hub_with_platform(struct memb *);
 
 /* Stores the hubs of a hall, ordered by rank, and returns their number. */
@@ -249,17 +248,15 @@
 /*
  * Returns whether a box is one of the k that watch the platform for the fleet.
  * Hubs are chosen by rank: the first hubs of all halls, then the second ones,
- * and so on.  If the platform answers fewer than
- * MEMB_WATCHERS_WITH_PLATFORM_MIN of them, the next hubs that it answers watch
- * as well.
+ * and so on.  If fewer than MEMB_WATCHERS_WITH_PLATFORM_MIN of them can reach
+ * the platform, the next hubs that can reach it watch as well.
  */
 bool memb_is_watcher(struct memb *, struct str box, int k);
 
 /* Returns whether updates remain to be relayed to a box; it may be NULL. */
 bool memb_has_updates(struct memb *, const struct memb_member *to);
 
-/* Returns the weight of a box for a key, by which memb_is_in_top_hubs() orders.
- */
+/* Returns the weight of a box for a key, used by memb_is_in_top_hubs(). */
 uint64_t memb_weight(struct str key, struct str box);
 
 /*
