--- a/gate_roll.c
+++ b/gate_roll.c
@@ -86,7 +86,7 @@
 	    "bad=%llu old_out=%u why=%s",
 	    STR_ARG(s->service), STR_ARG(s->hall),
 	    roll_chart_names.states[state], (long long)(word.age / NS_MS),
-	    (unsigned long long)word.answers, (unsigned long long)word.failures,
+	    (unsigned long long)word.responses, (unsigned long long)word.failures,
 	    word.old_in_flight, slog_quote(why != NULL ? why : ""));
 }
 
@@ -106,7 +106,7 @@
 	    .version = svc->rollout->version,
 	    .age_ms = (uint64_t)(w.age / NS_MS),
 	    .state = (uint64_t)w.state,
-	    .answers = w.answers,
+	    .responses = w.responses,
 	    .failures = w.failures,
 	    .old_in_flight = w.old_in_flight};
 	gate_owner_send_others(g, s, svc, &m);
@@ -121,7 +121,7 @@
 	struct roll_report w = {
 	    .age = (int64_t)MIN(m->age_ms, (uint64_t)(now / NS_MS)) * NS_MS,
 	    .state = (enum roll_state)MIN(m->state, ROLL_ROLLED_BACK),
-	    .answers = m->answers,
+	    .responses = m->responses,
 	    .failures = m->failures,
 	    .old_in_flight = (unsigned)MIN(m->old_in_flight, G_MAXUINT)};
 	struct gate_shard *s;
--- a/msg.c
+++ b/msg.c
@@ -164,7 +164,7 @@
 static const struct msg_field rollout_fields[] = {STR(msg_rollout, service),
     STR(msg_rollout, hall), STR(msg_rollout, box), STR(msg_rollout, version),
     U64(msg_rollout, age_ms), U64(msg_rollout, state),
-    U64(msg_rollout, answers), U64(msg_rollout, failures),
+    U64(msg_rollout, responses), U64(msg_rollout, failures),
     U64(msg_rollout, old_in_flight)};
 static const struct msg_field rate_query_fields[] = {U64(msg_rate_query, seq),
     STR(msg_rate_query, customer), STR(msg_rate_query, requester),
--- a/msg.h
+++ b/msg.h
@@ -26,9 +26,9 @@
  * are the fields of the kind, in the order that msg.c defines.
  */
 enum msg_kind {
-	/* Agents, and an agent to its gate: state of the sender. */
+	/* Agent to agent, and agent to its gate: state of the sender. */
 	MSG_ANNOUNCEMENT,
-	MSG_HEARTBEAT, /* agents: short form of it if nothing has changed */
+	MSG_HEARTBEAT, /* agent to agent: the same if nothing has changed */
 	MSG_BUCKETS, /* digests of all buckets of the configuration */
 	MSG_VERSIONS, /* versions of all objects in some buckets */
 	MSG_OBJECT_REQUEST, /* requests objects */
@@ -38,20 +38,19 @@
 	MSG_HEALTH, /* results of probes, to agents and gates */
 	MSG_CAPACITY, /* owner to owner of a service: capacity of its hall */
 	MSG_PING, /* gate to gate: liveness check */
-	MSG_PONG, /* its answer */
+	MSG_PONG, /* its reply */
 	MSG_DEFLATED, /* another message, compressed */
 	MSG_SUSPECTS, /* gates and agents: requests that crash servers */
-	MSG_REPORTS, /* gate to gate: states reported by backend servers */
-	MSG_ROLLOUT, /* owner to owner of a service: state of a rollout */
-	MSG_RATE_QUERY, /* gate to gate: is a request within a customer's rate?
-			 */
-	MSG_RATE_GRANT, /* its answer */
+	MSG_REPORTS, /* gate to gate: reports of backend servers */
+	MSG_ROLLOUT, /* owner to owner of a service: state of a roll-out */
+	MSG_RATE_QUERY, /* gate to gate: does a rate limit allow a request? */
+	MSG_RATE_GRANT, /* its reply */
 	MSG_KIND_MAX
 };
 
 /* A list of records of one type. */
 struct msg_list {
-	void *items; /* array of the type that is noted at each list */
+	void *items; /* array; each list says of which type */
 	size_t n;
 };
 
@@ -70,8 +69,8 @@
 	struct msg_conf_summary conf_summary;
 	uint64_t hubs_digest; /* memb_digest_hubs() of the sender */
 	uint64_t hall_digest; /* memb_digest_hall() of the sender */
-	bool expects_reply; /* the receiver is to answer */
-	struct msg_list updates; /* struct memb_info */
+	bool expects_reply;
+	struct msg_list updates; /* struct memb_info, of other boxes */
 };
 
 struct msg_heartbeat {
@@ -79,7 +78,7 @@
 	uint64_t started_ms, incarnation; /* of the sender's state */
 	uint64_t hubs_digest, hall_digest; /* as in struct msg_announcement */
 	struct msg_conf_summary conf_summary;
-	bool expects_reply; /* the receiver is to answer */
+	bool expects_reply;
 };
 
 struct msg_u64 {
@@ -134,10 +133,10 @@
 	struct str box;
 	uint64_t started_ms; /* start of the gate, ms since 1970 */
 	struct msg_conf_summary conf_summary;
-	uint64_t object_count; /* number of objects that it holds */
+	uint64_t object_count; /* in its configuration */
 	bool leaving;
 	bool ready; /* it serves */
-	struct str suspect_box; /* a box whose gate does not answer, or empty */
+	struct str suspect_box; /* its gate does not reply; empty: none */
 };
 
 /* The state of a backend server as found by probes. */
@@ -162,17 +161,16 @@
 	struct str service;
 	struct str hall;
 	uint64_t slot_tenths; /* usable slots, in use or free, times ten */
-	uint64_t free_slots; /* free slots */
+	uint64_t free_slots;
 	uint64_t queued; /* requests in the queue */
 };
 
 /* struct poison_record, with ages in place of times. */
 struct msg_suspect {
-	uint64_t fingerprint_hi, fingerprint_lo,
-	    fingerprint_caller; /* fingerprint */
+	uint64_t fingerprint_hi, fingerprint_lo, fingerprint_caller;
 	uint64_t trials[POISON_TRIALS];
-	uint64_t crash_age_ms; /* age of the last crash; 0: none */
-	uint64_t cleared_age_ms; /* age of the last answer; 0: none */
+	uint64_t crash_age_ms; /* since the last crash; 0: none */
+	uint64_t cleared_age_ms; /* since the last response; 0: none */
 };
 
 struct msg_suspects {
@@ -192,8 +190,7 @@
 	struct msg_list reports; /* struct msg_report */
 };
 
-/* struct roll_report, with its age in ms, of the owner of a service in a hall.
- */
+/* struct roll_report of the owner of a service in a hall. */
 struct msg_rollout {
 	struct str service;
 	struct str hall;
@@ -201,25 +198,22 @@
 	struct str version; /* the new one */
 	uint64_t age_ms;
 	uint64_t state; /* enum roll_state */
-	uint64_t answers, failures;
+	uint64_t responses, failures;
 	uint64_t old_in_flight;
 };
 
 /* Asks the owner of a customer's rate limit for one request. */
 struct msg_rate_query {
-	uint64_t seq; /* repeated in the answer */
+	uint64_t seq; /* repeated in the reply */
 	struct str customer;
-	struct str
-	    requester; /* inbox for the answer if forwarded, else empty */
-	bool is_retry; /* the first owner did not answer */
+	struct str requester; /* inbox for the reply if forwarded, or empty */
+	bool is_retry; /* the first owner did not reply */
 };
 
 struct msg_rate_grant {
 	uint64_t seq;
 	bool granted;
-	/* If granted, delay of the request, else time until capacity is free.
-	 */
-	uint64_t wait_us;
+	uint64_t wait_us; /* delay of the request, or until the next query */
 };
 
 struct msg_ping {
--- a/obj.h
+++ b/obj.h
@@ -32,7 +32,7 @@
 	OBJ_LISTENER, /* limits for callers */
 	OBJ_BUNDLE, /* other objects that come into force together */
 	OBJ_EVACUATION, /* evacuation of the hall with its name */
-	OBJ_ROLLOUT, /* rollout of a version of the service with its name */
+	OBJ_ROLLOUT, /* roll-out of a version of the service with its name */
 	OBJ_CUSTOMER,
 	OBJ_KIND_MAX
 };
@@ -52,8 +52,7 @@
 	int64_t slots; /* requests that it executes at a time */
 	int64_t connections; /* maximum number of connections to it */
 	bool drain; /* it gets no new requests */
-	int64_t
-	    slow_start_ms; /* slow start: how long it is slow after its start */
+	int64_t slow_start_ms; /* how long it is slow after its start */
 	int64_t started_ms; /* its start, ms since 1970; 0: unknown */
 	json_t *labels; /* with "hall" and "name" added */
 };
@@ -105,7 +104,7 @@
 	struct str reason; /* for operators; may be empty */
 };
 
-/* The state of a rollout as stored on the platform. */
+/* The state of a roll-out as stored on the platform. */
 enum obj_rollout_state {
 	ROLLOUT_OPEN, /* no state is stored yet */
 	ROLLOUT_RUNNING,
@@ -114,7 +113,7 @@
 	ROLLOUT_STATE_MAX
 };
 
-/* The rollout of a version of a service: servers with that label `version`. */
+/* The roll-out of a version of a service: servers with that label `version`. */
 struct obj_rollout {
 	struct str version;
 	int64_t duration_ms; /* time limit for the decision */
@@ -160,7 +159,7 @@
 /* Returns false if no kind has the name. */
 bool obj_kind_by_name(struct str, enum obj_kind *);
 
-/* Returns the name of a rollout's state: "running" and so on. */
+/* Returns the name of a roll-out's state: "running" and so on. */
 const char *obj_rollout_state_name(enum obj_rollout_state);
 
 /* Returns the name of a class: "interactive" or "bulk". */
--- a/roll.c
+++ b/roll.c
@@ -13,12 +13,12 @@
 #include "clk.h"
 #include "roll.h"
 
-/* When the wider step begins, as a fraction of the rollout's duration. */
+/* When the wider step begins, as a fraction of the roll-out's duration. */
 static const double WIDER_AT = 0.5;
 /* How long the wider step lasts, as such a fraction. */
 static const double WIDER_DURATION = 0.06;
 /*
- * When a rollout without enough answers is rolled back, as such a fraction.
+ * When a roll-out without enough responses is rolled back, as such a fraction.
  * The old version stays, as it is known to work.
  */
 static const double TOO_LATE_AT = 0.85;
@@ -28,8 +28,8 @@
 /* Maximum burst of requests to the new version. */
 static const double BURST_MAX = 3;
 
-/* Answers of the new version to all owners needed for the next step. */
-enum { ANSWERS_MIN = 30 };
+/* Responses of the new version to all owners needed for the next step. */
+enum { RESPONSES_MIN = 30 };
 
 /* How long the old version is kept after the last step before completion. */
 #define OLD_IDLE_NS (300 * NS_MS)
@@ -63,7 +63,7 @@
 	double share; /* of the new version in the first step */
 	double credit; /* requests that the new version may get now */
 	struct verdict verdict;
-	const char *why;
+	const char *reason;
 	bool outcome_stored; /* the platform has stored the outcome */
 	GArray *owners; /* struct owner */
 };
@@ -104,7 +104,7 @@
 	g_free(r);
 }
 
-/* If the stored outcome has been removed, the rollout was started again. */
+/* If the stored outcome has been removed, the roll-out was started again. */
 bool
 roll_matches(const struct roll *r, const struct obj_rollout *rollout)
 {
@@ -136,8 +136,8 @@
 	if (state != ROLLOUT_ROLLED_BACK)
 		return;
 	step(r, ROLL_EV_BAD, r->state_since);
-	if (r->why == NULL)
-		r->why = "rolled back on the platform";
+	if (r->reason == NULL)
+		r->reason = "rolled back on the platform";
 }
 
 bool
@@ -178,7 +178,7 @@
 const char *
 roll_reason(const struct roll *r)
 {
-	return r->why;
+	return r->reason;
 }
 
 /* Returns the share of the new version in all requests. */
@@ -199,9 +199,9 @@
 }
 
 static void
-roll_back(struct roll *r, const char *why)
+roll_back(struct roll *r, const char *reason)
 {
-	r->why = why;
+	r->reason = reason;
 	step(r, ROLL_EV_BAD, r->state_since);
 }
 
@@ -209,7 +209,7 @@
 roll_request_ended(
     struct roll *r, bool at_new, unsigned kind, enum verdict_answer answer)
 {
-	const char *why;
+	const char *reason;
 
 	if (!roll_is_undecided(r))
 		return;
@@ -217,20 +217,20 @@
 		verdict_add_old(&r->verdict, kind, answer);
 		return;
 	}
-	why = verdict_add_new(&r->verdict, kind, answer);
-	if (why != NULL)
-		roll_back(r, why);
+	reason = verdict_add_new(&r->verdict, kind, answer);
+	if (reason != NULL)
+		roll_back(r, reason);
 }
 
-/* Counts the answers of the new version to all owners. */
+/* Counts the responses of the new version to all owners. */
 static uint64_t
-answers_of(const struct roll *r)
+count_responses(const struct roll *r)
 {
 	uint64_t n = r->verdict.answers;
 	guint i;
 
 	for (i = 0; i < r->owners->len; i++)
-		n += g_array_index(r->owners, struct owner, i).report.answers;
+		n += g_array_index(r->owners, struct owner, i).report.responses;
 	return n;
 }
 
@@ -249,7 +249,7 @@
 void
 roll_tick(struct roll *r, bool has_new, int64_t now)
 {
-	bool proven = answers_of(r) >= ANSWERS_MIN;
+	bool proven = count_responses(r) >= RESPONSES_MIN;
 
 	if (has_new)
 		step(r, ROLL_EV_SERVERS, now);
@@ -261,13 +261,13 @@
 }
 
 struct roll_report
-roll_make_report(const struct roll *r, unsigned old_out, int64_t now)
+roll_make_report(const struct roll *r, unsigned old_in_flight, int64_t now)
 {
 	return (struct roll_report){.age = now - r->started,
 	    .state = r->state,
-	    .answers = r->verdict.answers,
+	    .responses = r->verdict.answers,
 	    .failures = r->verdict.bad,
-	    .old_in_flight = old_out};
+	    .old_in_flight = old_in_flight};
 }
 
 static struct owner *
@@ -335,7 +335,7 @@
 
 enum obj_rollout_state
 roll_state_to_write(const struct roll *r, const struct str *halls, unsigned n,
-    unsigned old_out, int64_t now)
+    unsigned old_in_flight, int64_t now)
 {
 	unsigned i;
 
@@ -343,7 +343,7 @@
 		return ROLLOUT_ROLLED_BACK;
 	if (r->state == ROLL_COMPLETED)
 		return ROLLOUT_COMPLETED;
-	if (r->state != ROLL_ALL || old_out > 0 ||
+	if (r->state != ROLL_ALL || old_in_flight > 0 ||
 	    now - r->state_since < OLD_IDLE_NS || is_used_by_other(r, now))
 		return ROLLOUT_RUNNING;
 	for (i = 0; i < n; i++)
--- a/roll.h
+++ b/roll.h
@@ -20,15 +20,15 @@
 #include "verdict.h"
 
 /*
- * The canary rollout of a new version of a service, as one owner of the service
- * performs it: which share of the requests goes to the new version, whether
- * that version is worse than the old one, and which state the platform is to be
- * given.  No I/O is done here.
+ * The canary roll-out of a new version of a service, as one owner of the
+ * service performs it: decides which share of the requests goes to the new
+ * version, whether that version is worse than the old one, and which state to
+ * write to the platform.  No I/O is done here.
  *
  * There is one owner of the service in each hall.  All owners reach the same
- * decisions without asking each other: they exchange reports, take the age of
- * the rollout from the owner that knows it for longest, and roll back if any of
- * them does.  So nothing is lost when an owner fails or another one takes over.
+ * decisions without a coordinator: they exchange reports, use the highest age
+ * of the roll-out that any of them reports, and roll back if any of them does.
+ * So nothing is lost when an owner fails or another box becomes the owner.
  */
 
 /* States and events of charts/rollout.toml. */
@@ -44,8 +44,8 @@
 
 enum roll_event {
 	ROLL_EV_SERVERS, /* there are usable servers of the new version */
-	ROLL_EV_PROVEN, /* enough answers, and the time of the step is over */
-	ROLL_EV_BAD,
+	ROLL_EV_PROVEN, /* enough responses, and the step's time is over */
+	ROLL_EV_BAD, /* the new version is to be rolled back */
 	ROLL_EV_COMPLETED,
 	ROLL_EVENT_MAX
 };
@@ -54,10 +54,10 @@
 
 /* What an owner reports to the other owners of the service. */
 struct roll_report {
-	int64_t age; /* since the rollout was first seen, ns */
+	int64_t age; /* since any owner first saw the roll-out, ns */
 	enum roll_state state;
-	uint64_t answers,
-	    failures; /* answers of the new version, and failures */
+	uint64_t responses; /* of the new version */
+	uint64_t failures; /* of these, failed or slow ones */
 	unsigned old_in_flight; /* requests in flight at the old version */
 };
 
@@ -69,7 +69,7 @@
 void roll_free(struct roll *);
 
 /*
- * Returns whether an object of the configuration still describes this rollout;
+ * Returns whether an object of the configuration still describes this roll-out;
  * if not, a new one has been started.
  */
 bool roll_matches(const struct roll *, const struct obj_rollout *);
@@ -94,7 +94,10 @@
 /* Records that a request was sent to a server of the new or old version. */
 void roll_request_sent(struct roll *, bool to_new);
 
-/* Records its outcome; `kind` groups requests that are compared. */
+/*
+ * Records the outcome of a request.  `kind` is a number that is equal for
+ * requests that are comparable.
+ */
 void roll_request_ended(
     struct roll *, bool at_new, unsigned kind, enum verdict_answer);
 
@@ -103,7 +106,7 @@
 
 /* Returns the report for the other owners of the service. */
 struct roll_report
-roll_make_report(const struct roll *, unsigned old_out, int64_t);
+roll_make_report(const struct roll *, unsigned old_in_flight, int64_t);
 
 /* Merges a report of the box that owns the service for a hall. */
 void roll_merge_report(struct roll *, struct str box, struct str hall,
@@ -112,10 +115,10 @@
 /*
  * Returns the state that the platform should have stored.  This is completed
  * only when no owner has requests in flight at the old version.  `halls` are
- * those of the other owners, and `old_out` counts this owner's requests in
- * flight at the old version.
+ * those of the other owners, and `old_in_flight` counts the requests of this
+ * owner.
  */
 enum obj_rollout_state roll_state_to_write(const struct roll *,
-    const struct str *halls, unsigned n, unsigned old_out, int64_t now);
+    const struct str *halls, unsigned n, unsigned old_in_flight, int64_t now);
 
 #endif
--- a/route.c
+++ b/route.c
@@ -188,7 +188,7 @@
 	return NULL;
 }
 
-/* Returns whether a backend server has the version of the rollout. */
+/* Returns whether a backend server has the version of the roll-out. */
 static bool
 has_new_version(const struct route_service *s, const struct obj_backend *b)
 {
--- a/route.h
+++ b/route.h
@@ -43,7 +43,7 @@
 	unsigned nhalls;
 	int slots; /* sum over all halls */
 	const struct obj_rollout *rollout; /* NULL: none */
-	bool has_new_version; /* there are servers of the rollout's version */
+	bool has_new_version; /* there are servers of the roll-out's version */
 };
 
 /* One of the services that the requests of a rule are distributed to. */
@@ -57,7 +57,7 @@
 	const struct obj_rule *obj;
 	struct route_target *targets;
 	unsigned ntargets; /* at least one */
-	uint64_t total_weight; /* sum over all parts */
+	uint64_t total_weight; /* of all targets */
 };
 
 /* The properties of a request that rules match. */
