--- a/gossip.c
+++ b/gossip.c
@@ -12,7 +12,10 @@
 
 enum {
 	UPDATES_MAX = 12, /* updates about other boxes in one announcement */
-	/* Rounds for one request of the fleet to seeds once hubs are known. */
+	/*
+	 * Once hubs are known, all boxes together send seeds one request in
+	 * this many rounds.
+	 */
 	SEED_IDLE_ROUNDS = 10,
 	/* Maximum rounds between requests to seeds while no hub is known. */
 	SEED_ROUNDS_MAX = 16,
@@ -87,9 +90,9 @@
 	int64_t contacted_at; /* 0: no replies are waited for */
 	int64_t settle_at; /* when the discovery ends at the latest */
 	bool settled;
-	/* Incarnation of our state that all who must know it are sent. */
+	/* Incarnation of the own state that was announced; 0: none. */
 	uint64_t announced;
-	int64_t announce_at; /* 0: it was sent to all of them */
+	int64_t announce_at; /* the next batch; 0: sent to all */
 };
 
 struct gossip *
@@ -146,10 +149,10 @@
 }
 
 /*
- * Returns whether this box knows no other hub of its hall that it can rely on:
- * none at all, or none while the platform has listed no box of the hall.  If
- * all boxes start at once, leaves that know only each other would consider each
- * other hubs.
+ * Returns whether this box knows no other hub of its hall, or the platform has
+ * not listed any other box of its hall yet.  Until it has, known hubs may be
+ * wrong: if all boxes start at once, leaves that know only each other consider
+ * each other hubs.
  */
 static bool
 lacks_listed_hub(struct gossip *g)
@@ -283,10 +286,10 @@
 /* Rounds of requests. */
 
 /*
- * Returns whether a seed is to be contacted in this round.  While no reliable
- * hub is known, this starts with the second round, so that the platform's list
- * has time to arrive, and the gap doubles each time.  Later it is rare enough
- * that seeds get few requests from the whole fleet.
+ * Returns whether a seed is to be contacted in this round.  While no listed hub
+ * is known, this starts with the second round, so that the platform's list has
+ * time to arrive, and the gap doubles each time.  Later it is rare enough that
+ * seeds get few requests from the whole fleet.
  */
 static bool
 should_contact_seed(struct gossip *g)
@@ -622,7 +625,7 @@
 
 /*
  * Schedules the next listing of the platform's boxes.  Hubs list periodically,
- * watchers most often; leaves list only while they know no reliable hub.
+ * watchers most often; leaves list only while they know no listed hub.
  */
 static void
 schedule_list(struct gossip *g)
--- a/memb.c
+++ b/memb.c
@@ -177,7 +177,7 @@
 /* Selection of hubs. */
 
 static struct hall *
-hall_of(struct memb *mb, struct str name)
+get_hall(struct memb *mb, struct str name)
 {
 	struct hall *h;
 	guint i;
@@ -219,7 +219,7 @@
 static void
 update_max_power(struct memb *mb, const struct memb_member *m)
 {
-	struct hall *h = hall_of(mb, m->info.hall);
+	struct hall *h = get_hall(mb, m->info.hall);
 
 	h->max_power = MAX(h->max_power, m->info.power);
 }
@@ -227,7 +227,7 @@
 static void
 classify(struct memb *mb, struct memb_member *m)
 {
-	struct hall *h = hall_of(mb, m->info.hall);
+	struct hall *h = get_hall(mb, m->info.hall);
 
 	m->hub_rank = -1;
 	m->strong = m->info.power * MEMB_STRONG_RATIO >= h->max_power;
@@ -328,7 +328,7 @@
 	unsigned i;
 
 	refresh_hubs(mb);
-	h = hall_of(mb, hall);
+	h = get_hall(mb, hall);
 	for (i = 0; i < h->nhubs; i++)
 		out[i] = &h->hubs[i]->info;
 	return h->nhubs;
@@ -818,7 +818,7 @@
 	return count_serving(mb, mb->own.info.hall);
 }
 
-/* The maximum of that and of what the hubs of the hall reported. */
+/* The same, or the highest number that a hub of the hall reported. */
 static uint64_t
 max_serving(const struct memb *mb, const struct hall *h)
 {
--- a/memb.h
+++ b/memb.h
@@ -26,12 +26,12 @@
  * receives a report of its own death refutes it by sending its state with a
  * higher incarnation number.  No I/O is done here.
  *
- * The first few strong boxes of a hall are its hubs.  Hubs know all boxes of
- * their hall and the hubs of all halls; the other boxes, the leaves, know only
- * hubs.  So the state and traffic of a leaf do not grow with the fleet, and
- * those of a hub grow with its hall.  Each box computes the hubs from the set
- * of boxes that it considers alive; boxes with different sets may disagree for
- * a short time.
+ * Up to MEMB_HUBS_MAX strong boxes of a hall, chosen by a hash of their names,
+ * are its hubs.  Hubs know all boxes of their hall and the hubs of all halls;
+ * the other boxes, the leaves, know only hubs.  So the state and traffic of a
+ * leaf do not grow with the fleet, and those of a hub grow with its hall.  Each
+ * box computes the hubs from the set of boxes that it considers alive; boxes
+ * with different sets may disagree for a short time.
  */
 
 /* A box that has not replied to a request for longer is declared dead. */
@@ -78,7 +78,7 @@
 	int64_t unanswered_since;
 	unsigned sends_left; /* how often `info` is still to be relayed */
 	bool listed; /* on the platform's list */
-	/* Incarnation of our own state that it was sent last; 0: none. */
+	/* Incarnation of our own state last sent to it; 0: none. */
 	uint64_t sent_incarnation;
 	/* The members below are maintained by memb.c. */
 	uint64_t weight; /* orders the strong boxes of a hall */
--- a/msg.c
+++ b/msg.c
@@ -13,7 +13,7 @@
 
 enum { LIST_MAX = 65536 };
 
-/* suspect_fields names each of the trials. */
+/* suspect_fields lists the elements of `trials` one by one. */
 G_STATIC_ASSERT(POISON_TRIALS == 2);
 
 enum field_kind { F_U64, F_STR, F_BOOL, F_LIST };
--- a/msg.h
+++ b/msg.h
@@ -40,7 +40,7 @@
 	MSG_PING, /* gate to gate: liveness check */
 	MSG_PONG, /* its reply */
 	MSG_DEFLATED, /* another message, compressed */
-	MSG_SUSPECTS, /* gates and agents: requests that crash servers */
+	MSG_SUSPECTS, /* gates, agents: requests that may crash servers */
 	MSG_REPORTS, /* gate to gate: reports of backend servers */
 	MSG_ROLLOUT, /* owner to owner of a service: state of a roll-out */
 	MSG_RATE_QUERY, /* gate to gate: does a rate limit allow a request? */
@@ -202,7 +202,7 @@
 	uint64_t old_in_flight;
 };
 
-/* Asks the owner of a customer's rate limit for one request. */
+/* Asks the gate that owns a customer's rate limit to allow one request. */
 struct msg_rate_query {
 	uint64_t seq; /* repeated in the reply */
 	struct str customer;
--- a/obj.h
+++ b/obj.h
@@ -62,11 +62,11 @@
 	struct sel *select; /* the parsed selector */
 	int64_t deadline_ms; /* for requests without a deadline */
 	int64_t queue_max; /* maximum queue length of an owner */
-	int64_t bulk_percent; /* share of the slots for bulk requests */
-	int64_t rate; /* requests a second of the fleet; 0: no limit */
+	int64_t bulk_percent; /* share of the slots that bulk may use */
+	int64_t rate; /* requests a second, all gates together; 0: no limit */
 	int64_t probe_ms; /* interval between probes of one backend */
 	struct str probe_path;
-	int64_t retry_percent; /* retry budget as a share of the requests */
+	int64_t retry_percent; /* retry budget, percent of the requests */
 	/* Requests a second that a cold backend server gets; 0: no limit. */
 	double cold_rate;
 	int64_t cold_ms; /* maximum time a server is cold after its start */
@@ -85,7 +85,7 @@
 	int64_t rank; /* priority: a lower rank is more urgent */
 	int repeatable; /* REPEATABLE_* */
 	int request_class; /* enum obj_class */
-	int64_t rate; /* requests a second of the fleet; 0: no limit */
+	int64_t rate; /* requests a second, all gates together; 0: no limit */
 	int64_t caller_rate; /* the same for each caller */
 	struct str caller_header; /* identifies callers; empty: by address */
 	int on_outage; /* enum obj_outage */
@@ -124,7 +124,7 @@
 struct obj_customer {
 	struct str keys; /* digests of its keys, joined by commas */
 	int64_t rank; /* priority: a lower rank is more urgent */
-	double rate; /* requests a second of the fleet; 0: no limit */
+	double rate; /* requests a second, all gates together; 0: no limit */
 	double burst; /* requests that may exceed the rate at once */
 };
 
--- a/roll.c
+++ b/roll.c
@@ -257,7 +257,7 @@
 		step(r, ROLL_EV_PROVEN, now);
 	if (!proven && roll_is_undecided(r) &&
 	    (double)(now - r->started) >= TOO_LATE_AT * (double)r->duration)
-		roll_back(r, "too few answers to decide in time");
+		roll_back(r, "too few responses to decide in time");
 }
 
 struct roll_report
@@ -317,7 +317,7 @@
 	return false;
 }
 
-/* Returns whether any owner has recently reported the opposite. */
+/* Returns whether an owner recently reported that it uses the old version. */
 static bool
 is_used_by_other(const struct roll *r, int64_t now)
 {
--- a/roll.h
+++ b/roll.h
@@ -25,10 +25,11 @@
  * version, whether that version is worse than the old one, and which state to
  * write to the platform.  No I/O is done here.
  *
- * There is one owner of the service in each hall.  All owners reach the same
- * decisions without a coordinator: they exchange reports, use the highest age
- * of the roll-out that any of them reports, and roll back if any of them does.
- * So nothing is lost when an owner fails or another box becomes the owner.
+ * An owner is the gate that dispatches the requests for the service to one
+ * hall. All owners reach the same decisions without a coordinator: they
+ * exchange reports, use the highest age of the roll-out that any of them
+ * reports, and roll back if any of them does.  So nothing is lost when an owner
+ * fails or another gate becomes the owner.
  */
 
 /* States and events of charts/rollout.toml. */
--- a/route.c
+++ b/route.c
@@ -18,8 +18,8 @@
 	GPtrArray *services; /* struct route_service * */
 	GPtrArray *rules; /* struct route_rule *, in order of matching */
 	GPtrArray *backends; /* struct obj *, sorted by name */
-	GPtrArray *evacuations; /* struct obj *, by names of halls */
-	GPtrArray *rollouts; /* struct obj *, by names of services */
+	GPtrArray *evacuations; /* struct obj *, named after halls */
+	GPtrArray *rollouts; /* struct obj *, named after services */
 	GPtrArray *objects; /* struct obj *, references held by the table */
 	struct customers *customers;
 	const struct obj_listener *listener;
