--- a/msg.c
+++ b/msg.c
@@ -13,35 +13,35 @@
 
 enum { LIST_MAX = 65536 };
 
-/* The shape of a suspect names each of its trials. */
+/* suspect_fields lists the elements of `trials` one by one. */
 G_STATIC_ASSERT(POISON_TRIALS == 2);
 
 enum field_kind { F_U64, F_STR, F_BOOL, F_LIST };
 
-struct shape;
+struct layout;
 
-/* One element of a record, and where it goes in the struct. */
+/* One element of an encoded record, and its offset in the struct. */
 struct msg_field {
 	enum field_kind kind;
 	size_t offset;
-	const struct shape *item; /* F_LIST */
+	const struct layout *item; /* F_LIST */
 };
 
-/* A record: an array of so many elements. */
-struct shape {
+/* The layout of a record, which is encoded as an array of n elements. */
+struct layout {
 	const char *name;
-	size_t size;
+	size_t size; /* of the struct */
 	const struct msg_field *fields;
 	size_t n;
 };
 
-static void pack_record(msgpack_packer *, const struct shape *, const void *);
-static bool unpack_record(
-    struct msg *, const struct shape *, const msgpack_object *, size_t, void *);
+static void pack_record(msgpack_packer *, const struct layout *, const void *);
+static bool unpack_record(struct msg *, const struct layout *,
+    const msgpack_object *, size_t, void *);
 static bool unpack_field(
     struct msg *, const struct msg_field *, const msgpack_object *, void *);
-static bool
-unpack_list(struct msg *, const struct shape *, const msgpack_object *, void *);
+static bool unpack_list(
+    struct msg *, const struct layout *, const msgpack_object *, void *);
 
 #define U64(type, m)                                                           \
 	{                                                                      \
@@ -59,7 +59,7 @@
 	{                                                                      \
 		F_LIST, offsetof(struct type, m), &(s)                         \
 	}
-#define SHAPE(type, f)                                                         \
+#define LAYOUT(type, f)                                                        \
 	{                                                                      \
 #type, sizeof(struct type), f, G_N_ELEMENTS(f)                 \
 	}
@@ -71,31 +71,33 @@
     U64(memb_info, power), U64(memb_info, serving_gates), BOOL(memb_info, dead),
     BOOL(memb_info, leaving), BOOL(memb_info, ready),
     BOOL(memb_info, platform_unreachable)};
-static const struct shape info_shape = SHAPE(memb_info, info_fields);
+static const struct layout info_layout = LAYOUT(memb_info, info_fields);
 
 static const struct msg_field u64_fields[] = {U64(msg_u64, v)};
-static const struct shape u64_shape = SHAPE(msg_u64, u64_fields);
+static const struct layout u64_layout = LAYOUT(msg_u64, u64_fields);
 
 static const struct msg_field version_fields[] = {STR(msg_version, key),
     U64(msg_version, version), U64(msg_version, rejected_version),
     U64(msg_version, hash)};
-static const struct shape version_shape = SHAPE(msg_version, version_fields);
+static const struct layout version_layout = LAYOUT(msg_version, version_fields);
 
 static const struct msg_field key_fields[] = {STR(msg_key, key)};
-static const struct shape key_shape = SHAPE(msg_key, key_fields);
+static const struct layout key_layout = LAYOUT(msg_key, key_fields);
 
 static const struct msg_field object_fields[] = {STR(msg_object, key),
     U64(msg_object, version), BOOL(msg_object, deleted), STR(msg_object, spec),
     U64(msg_object, size), U64(msg_object, hash)};
-static const struct shape object_shape = SHAPE(msg_object, object_fields);
+static const struct layout object_layout = LAYOUT(msg_object, object_fields);
 
-static const struct msg_field state_fields[] = {
+static const struct msg_field backend_health_fields[] = {
     STR(msg_backend_health, backend), U64(msg_backend_health, state),
     U64(msg_backend_health, probed_ms)};
-static const struct shape state_shape = SHAPE(msg_backend_health, state_fields);
+static const struct layout backend_health_layout =
+    LAYOUT(msg_backend_health, backend_health_fields);
 
-static const struct msg_field hello_fields[] = {STR(msg_announcement, self.box),
-    STR(msg_announcement, self.hall), STR(msg_announcement, self.inbox),
+static const struct msg_field announcement_fields[] = {
+    STR(msg_announcement, self.box), STR(msg_announcement, self.hall),
+    STR(msg_announcement, self.inbox),
     STR(msg_announcement, self.forward_address),
     STR(msg_announcement, self.gate_inbox),
     U64(msg_announcement, self.started_ms),
@@ -111,8 +113,8 @@
     U64(msg_announcement, conf_summary.confirmed_age),
     U64(msg_announcement, hubs_digest), U64(msg_announcement, hall_digest),
     BOOL(msg_announcement, expects_reply),
-    LIST(msg_announcement, updates, info_shape)};
-static const struct msg_field beat_fields[] = {STR(msg_heartbeat, box),
+    LIST(msg_announcement, updates, info_layout)};
+static const struct msg_field heartbeat_fields[] = {STR(msg_heartbeat, box),
     U64(msg_heartbeat, started_ms), U64(msg_heartbeat, incarnation),
     U64(msg_heartbeat, hubs_digest), U64(msg_heartbeat, hall_digest),
     U64(msg_heartbeat, conf_summary.digest),
@@ -122,17 +124,17 @@
     U64(msg_heartbeat, conf_summary.confirmed_age),
     BOOL(msg_heartbeat, expects_reply)};
 static const struct msg_field buckets_fields[] = {
-    BOOL(msg_buckets, rules_only), LIST(msg_buckets, digests, u64_shape)};
+    BOOL(msg_buckets, rules_only), LIST(msg_buckets, digests, u64_layout)};
 static const struct msg_field versions_fields[] = {
-    U64(msg_versions, buckets), LIST(msg_versions, versions, version_shape)};
-static const struct msg_field want_fields[] = {
-    LIST(msg_object_request, keys, key_shape)};
+    U64(msg_versions, buckets), LIST(msg_versions, versions, version_layout)};
+static const struct msg_field object_request_fields[] = {
+    LIST(msg_object_request, keys, key_layout)};
 static const struct msg_field objects_fields[] = {
-    LIST(msg_objects, objects, object_shape)};
+    LIST(msg_objects, objects, object_layout)};
 static const struct msg_field members_fields[] = {
-    LIST(msg_members, members, info_shape), U64(msg_members, serving_gates),
+    LIST(msg_members, members, info_layout), U64(msg_members, serving_gates),
     BOOL(msg_members, is_hub)};
-static const struct msg_field gate_fields[] = {STR(msg_gate_status, box),
+static const struct msg_field gate_status_fields[] = {STR(msg_gate_status, box),
     U64(msg_gate_status, started_ms), U64(msg_gate_status, conf_summary.digest),
     U64(msg_gate_status, conf_summary.rules_digest),
     U64(msg_gate_status, conf_summary.floor),
@@ -141,8 +143,8 @@
     U64(msg_gate_status, object_count), BOOL(msg_gate_status, leaving),
     BOOL(msg_gate_status, ready), STR(msg_gate_status, suspect_box)};
 static const struct msg_field health_fields[] = {
-    LIST(msg_health, states, state_shape)};
-static const struct msg_field summary_fields[] = {STR(msg_capacity, service),
+    LIST(msg_health, states, backend_health_layout)};
+static const struct msg_field capacity_fields[] = {STR(msg_capacity, service),
     STR(msg_capacity, hall), U64(msg_capacity, slot_tenths),
     U64(msg_capacity, free_slots), U64(msg_capacity, queued)};
 static const struct msg_field suspect_fields[] = {
@@ -150,54 +152,54 @@
     U64(msg_suspect, fingerprint_caller), U64(msg_suspect, trials[0]),
     U64(msg_suspect, trials[1]), U64(msg_suspect, crash_age_ms),
     U64(msg_suspect, cleared_age_ms)};
-static const struct shape suspect_shape = SHAPE(msg_suspect, suspect_fields);
+static const struct layout suspect_layout = LAYOUT(msg_suspect, suspect_fields);
 static const struct msg_field suspects_fields[] = {
-    LIST(msg_suspects, suspects, suspect_shape)};
-static const struct msg_field word_fields[] = {STR(msg_report, backend),
+    LIST(msg_suspects, suspects, suspect_layout)};
+static const struct msg_field report_fields[] = {STR(msg_report, backend),
     U64(msg_report, started_ms), BOOL(msg_report, leaving),
     U64(msg_report, rate_milli), U64(msg_report, age_ms)};
-static const struct shape word_shape = SHAPE(msg_report, word_fields);
-static const struct msg_field words_fields[] = {
-    LIST(msg_reports, reports, word_shape)};
-static const struct msg_field roll_fields[] = {STR(msg_rollout, service),
+static const struct layout report_layout = LAYOUT(msg_report, report_fields);
+static const struct msg_field reports_fields[] = {
+    LIST(msg_reports, reports, report_layout)};
+static const struct msg_field rollout_fields[] = {STR(msg_rollout, service),
     STR(msg_rollout, hall), STR(msg_rollout, box), STR(msg_rollout, version),
     U64(msg_rollout, age_ms), U64(msg_rollout, state),
-    U64(msg_rollout, answers), U64(msg_rollout, failures),
+    U64(msg_rollout, responses), U64(msg_rollout, failures),
     U64(msg_rollout, old_in_flight)};
-static const struct msg_field ask_fields[] = {U64(msg_rate_query, seq),
+static const struct msg_field rate_query_fields[] = {U64(msg_rate_query, seq),
     STR(msg_rate_query, customer), STR(msg_rate_query, requester),
     BOOL(msg_rate_query, is_retry)};
-static const struct msg_field grant_fields[] = {U64(msg_rate_grant, seq),
+static const struct msg_field rate_grant_fields[] = {U64(msg_rate_grant, seq),
     BOOL(msg_rate_grant, granted), U64(msg_rate_grant, wait_us)};
 static const struct msg_field ping_fields[] = {U64(msg_ping, nonce)};
 static const struct msg_field deflated_fields[] = {
     U64(msg_deflated, size), STR(msg_deflated, data)};
 
-static const struct shape shapes[MSG_KIND_MAX] = {
-    [MSG_ANNOUNCEMENT] = SHAPE(msg_announcement, hello_fields),
-    [MSG_HEARTBEAT] = SHAPE(msg_heartbeat, beat_fields),
-    [MSG_BUCKETS] = SHAPE(msg_buckets, buckets_fields),
-    [MSG_VERSIONS] = SHAPE(msg_versions, versions_fields),
-    [MSG_OBJECT_REQUEST] = SHAPE(msg_object_request, want_fields),
-    [MSG_OBJECTS] = SHAPE(msg_objects, objects_fields),
-    [MSG_MEMBERS] = SHAPE(msg_members, members_fields),
-    [MSG_GATE_STATUS] = SHAPE(msg_gate_status, gate_fields),
-    [MSG_HEALTH] = SHAPE(msg_health, health_fields),
-    [MSG_CAPACITY] = SHAPE(msg_capacity, summary_fields),
-    [MSG_PING] = SHAPE(msg_ping, ping_fields),
-    [MSG_PONG] = SHAPE(msg_ping, ping_fields),
-    [MSG_DEFLATED] = SHAPE(msg_deflated, deflated_fields),
-    [MSG_SUSPECTS] = SHAPE(msg_suspects, suspects_fields),
-    [MSG_REPORTS] = SHAPE(msg_reports, words_fields),
-    [MSG_ROLLOUT] = SHAPE(msg_rollout, roll_fields),
-    [MSG_RATE_QUERY] = SHAPE(msg_rate_query, ask_fields),
-    [MSG_RATE_GRANT] = SHAPE(msg_rate_grant, grant_fields),
+static const struct layout layouts[MSG_KIND_MAX] = {
+    [MSG_ANNOUNCEMENT] = LAYOUT(msg_announcement, announcement_fields),
+    [MSG_HEARTBEAT] = LAYOUT(msg_heartbeat, heartbeat_fields),
+    [MSG_BUCKETS] = LAYOUT(msg_buckets, buckets_fields),
+    [MSG_VERSIONS] = LAYOUT(msg_versions, versions_fields),
+    [MSG_OBJECT_REQUEST] = LAYOUT(msg_object_request, object_request_fields),
+    [MSG_OBJECTS] = LAYOUT(msg_objects, objects_fields),
+    [MSG_MEMBERS] = LAYOUT(msg_members, members_fields),
+    [MSG_GATE_STATUS] = LAYOUT(msg_gate_status, gate_status_fields),
+    [MSG_HEALTH] = LAYOUT(msg_health, health_fields),
+    [MSG_CAPACITY] = LAYOUT(msg_capacity, capacity_fields),
+    [MSG_PING] = LAYOUT(msg_ping, ping_fields),
+    [MSG_PONG] = LAYOUT(msg_ping, ping_fields),
+    [MSG_DEFLATED] = LAYOUT(msg_deflated, deflated_fields),
+    [MSG_SUSPECTS] = LAYOUT(msg_suspects, suspects_fields),
+    [MSG_REPORTS] = LAYOUT(msg_reports, reports_fields),
+    [MSG_ROLLOUT] = LAYOUT(msg_rollout, rollout_fields),
+    [MSG_RATE_QUERY] = LAYOUT(msg_rate_query, rate_query_fields),
+    [MSG_RATE_GRANT] = LAYOUT(msg_rate_grant, rate_grant_fields),
 };
 
 const char *
 msg_kind_name(enum msg_kind kind)
 {
-	return shapes[kind].name;
+	return layouts[kind].name;
 }
 
 static void
@@ -209,7 +211,7 @@
 
 static void
 pack_list(
-    msgpack_packer *pk, const struct shape *item, const struct msg_list *list)
+    msgpack_packer *pk, const struct layout *item, const struct msg_list *list)
 {
 	size_t i;
 
@@ -222,22 +224,22 @@
 }
 
 static void
-pack_record(msgpack_packer *pk, const struct shape *shape, const void *rec)
+pack_record(msgpack_packer *pk, const struct layout *layout, const void *record)
 {
 	const struct msg_field *f;
-	const void *at;
+	const void *field;
 	size_t i;
 
-	for (i = 0; i < shape->n; i++) {
-		f = &shape->fields[i];
-		at = (const char *)rec + f->offset;
+	for (i = 0; i < layout->n; i++) {
+		f = &layout->fields[i];
+		field = (const char *)record + f->offset;
 		if (f->kind == F_U64)
-			msgpack_pack_uint64(pk, *(const uint64_t *)at);
+			msgpack_pack_uint64(pk, *(const uint64_t *)field);
 		else if (f->kind == F_STR)
-			pack_str(pk, *(const struct str *)at);
+			pack_str(pk, *(const struct str *)field);
 		else if (f->kind == F_LIST)
-			pack_list(pk, f->item, at);
-		else if (*(const bool *)at)
+			pack_list(pk, f->item, field);
+		else if (*(const bool *)field)
 			msgpack_pack_true(pk);
 		else
 			msgpack_pack_false(pk);
@@ -247,22 +249,22 @@
 void
 msg_encode(const struct msg *m, msgpack_sbuffer *out)
 {
-	const struct shape *shape = &shapes[m->kind];
+	const struct layout *layout = &layouts[m->kind];
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, msgpack_sbuffer_write);
-	msgpack_pack_array(&pk, 2 + shape->n);
+	msgpack_pack_array(&pk, 2 + layout->n);
 	msgpack_pack_uint64(&pk, (uint64_t)m->kind);
 	pack_str(&pk, m->from);
-	pack_record(&pk, shape, &m->u);
+	pack_record(&pk, layout, &m->u);
 }
 
 static bool
-unpack_list(
-    struct msg *m, const struct shape *item, const msgpack_object *o, void *at)
+unpack_list(struct msg *m, const struct layout *item, const msgpack_object *o,
+    void *field)
 {
-	struct msg_list *list = at;
-	const msgpack_object *rec;
+	struct msg_list *list = field;
+	const msgpack_object *record;
 	size_t i;
 
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size > LIST_MAX)
@@ -271,10 +273,10 @@
 	list->items = g_malloc0_n(list->n + 1, item->size);
 	g_ptr_array_add(m->arrays, list->items);
 	for (i = 0; i < list->n; i++) {
-		rec = &o->via.array.ptr[i];
-		if (rec->type != MSGPACK_OBJECT_ARRAY ||
-		    !unpack_record(m, item, rec->via.array.ptr,
-			rec->via.array.size,
+		record = &o->via.array.ptr[i];
+		if (record->type != MSGPACK_OBJECT_ARRAY ||
+		    !unpack_record(m, item, record->via.array.ptr,
+			record->via.array.size,
 			(char *)list->items + i * item->size))
 			return false;
 	}
@@ -282,43 +284,43 @@
 }
 
 static bool
-unpack_field(
-    struct msg *m, const struct msg_field *f, const msgpack_object *o, void *at)
+unpack_field(struct msg *m, const struct msg_field *f, const msgpack_object *o,
+    void *field)
 {
 	switch (f->kind) {
 	case F_U64:
 		if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
 			return false;
-		*(uint64_t *)at = o->via.u64;
+		*(uint64_t *)field = o->via.u64;
 		return true;
 	case F_STR:
 		if (o->type != MSGPACK_OBJECT_STR)
 			return false;
-		*(struct str *)at = str_n(o->via.str.ptr, o->via.str.size);
+		*(struct str *)field = str_n(o->via.str.ptr, o->via.str.size);
 		return true;
 	case F_BOOL:
 		if (o->type != MSGPACK_OBJECT_BOOLEAN)
 			return false;
-		*(bool *)at = o->via.boolean;
+		*(bool *)field = o->via.boolean;
 		return true;
 	case F_LIST:
-		return unpack_list(m, f->item, o, at);
+		return unpack_list(m, f->item, o, field);
 	}
 	return false;
 }
 
-/* Elements behind those we know are let pass: a newer peer may add some. */
+/* Ignores further elements after the known ones: a newer peer may add some. */
 static bool
-unpack_record(struct msg *m, const struct shape *shape,
-    const msgpack_object *elems, size_t n, void *rec)
+unpack_record(struct msg *m, const struct layout *layout,
+    const msgpack_object *elements, size_t n, void *record)
 {
 	size_t i;
 
-	if (n < shape->n)
+	if (n < layout->n)
 		return false;
-	for (i = 0; i < shape->n; i++)
-		if (!unpack_field(m, &shape->fields[i], &elems[i],
-			(char *)rec + shape->fields[i].offset))
+	for (i = 0; i < layout->n; i++)
+		if (!unpack_field(m, &layout->fields[i], &elements[i],
+			(char *)record + layout->fields[i].offset))
 			return false;
 	return true;
 }
@@ -326,7 +328,7 @@
 bool
 msg_decode(const char *p, size_t n, struct msg *m, GError **err)
 {
-	const msgpack_object *o, *elems;
+	const msgpack_object *o, *elements;
 	size_t off = 0;
 
 	memset(m, 0, sizeof(*m));
@@ -337,15 +339,15 @@
 	o = &m->raw.data;
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size < 2)
 		goto bad;
-	elems = o->via.array.ptr;
-	if (elems[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-	    elems[0].via.u64 >= MSG_KIND_MAX ||
-	    elems[1].type != MSGPACK_OBJECT_STR)
+	elements = o->via.array.ptr;
+	if (elements[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+	    elements[0].via.u64 >= MSG_KIND_MAX ||
+	    elements[1].type != MSGPACK_OBJECT_STR)
 		goto bad;
-	m->kind = (enum msg_kind)elems[0].via.u64;
-	m->from = str_n(elems[1].via.str.ptr, elems[1].via.str.size);
-	if (unpack_record(
-		m, &shapes[m->kind], elems + 2, o->via.array.size - 2, &m->u))
+	m->kind = (enum msg_kind)elements[0].via.u64;
+	m->from = str_n(elements[1].via.str.ptr, elements[1].via.str.size);
+	if (unpack_record(m, &layouts[m->kind], elements + 2,
+		o->via.array.size - 2, &m->u))
 		return true;
 bad:
 	msg_release(m);
--- a/msg.h
+++ b/msg.h
@@ -21,45 +21,46 @@
 #include "str.h"
 
 /*
- * Messages between our own processes, as msgpack arrays.  The first element
- * is the kind, the second the sender's inbox; the rest follows the shape
- * that msg.c gives for the kind.
+ * Messages between the agents and gates of the fleet, as msgpack arrays.  The
+ * first element is the kind and the second the inbox of the sender; the others
+ * are the fields of the kind, in the order that msg.c defines.
  */
 enum msg_kind {
-	MSG_ANNOUNCEMENT, /* who I am, what I have, whom I know */
-	MSG_HEARTBEAT, /* the same where nothing has changed, in few bytes */
-	MSG_BUCKETS, /* digests of all buckets */
+	/* Agent to agent, and agent to its gate: state of the sender. */
+	MSG_ANNOUNCEMENT,
+	MSG_HEARTBEAT, /* agent to agent: the same if nothing has changed */
+	MSG_BUCKETS, /* digests of all buckets of the configuration */
 	MSG_VERSIONS, /* versions of all objects in some buckets */
-	MSG_OBJECT_REQUEST, /* please send these objects */
+	MSG_OBJECT_REQUEST, /* requests objects */
 	MSG_OBJECTS, /* objects */
-	MSG_MEMBERS, /* boxes that are alive; to a gate: the hubs */
-	MSG_GATE_STATUS, /* gate to its agent: what the gate has */
-	MSG_HEALTH, /* what probes found */
-	MSG_CAPACITY, /* home to home: room for a service in a hall */
-	MSG_PING, /* gate to gate: are you there? */
-	MSG_PONG,
-	MSG_DEFLATED, /* another message, in fewer bytes */
-	MSG_SUSPECTS, /* gate to gate: requests that end backend servers */
-	MSG_REPORTS, /* gate to gate: what backend servers said of themselves */
-	MSG_ROLLOUT, /* home to home: how far a roll-out is there */
-	MSG_RATE_QUERY, /* gate to gate: may a customer make a request? */
-	MSG_RATE_GRANT, /* the answer */
+	MSG_MEMBERS, /* live boxes; from an agent to its gate: the hubs */
+	MSG_GATE_STATUS, /* gate to its agent: state of the gate */
+	MSG_HEALTH, /* results of probes, to agents and gates */
+	MSG_CAPACITY, /* owner to owner of a service: capacity of its hall */
+	MSG_PING, /* gate to gate: liveness check */
+	MSG_PONG, /* its reply */
+	MSG_DEFLATED, /* another message, compressed */
+	MSG_SUSPECTS, /* gates, agents: requests that may crash servers */
+	MSG_REPORTS, /* gate to gate: reports of backend servers */
+	MSG_ROLLOUT, /* owner to owner of a service: state of a roll-out */
+	MSG_RATE_QUERY, /* gate to gate: does a rate limit allow a request? */
+	MSG_RATE_GRANT, /* its reply */
 	MSG_KIND_MAX
 };
 
-/* A list of records of one shape. */
+/* A list of records of one type. */
 struct msg_list {
-	void *items;
+	void *items; /* array; each list says of which type */
 	size_t n;
 };
 
-/* Which configuration a process has. */
+/* Summary of the configuration that a process holds. */
 struct msg_conf_summary {
-	uint64_t digest; /* of all that it holds */
-	uint64_t rules_digest; /* of its rules */
+	uint64_t digest; /* conf_digest() */
+	uint64_t rules_digest; /* conf_digest_of() its rules */
 	uint64_t floor; /* of all that it holds */
-	bool rules_only; /* it holds no backend servers */
-	/* ms since the platform said that its rules hold, plus 1; 0: never */
+	bool rules_only; /* it holds rules only, no backend servers */
+	/* 1 + ms since the platform confirmed its rules; 0: never */
 	uint64_t confirmed_age;
 };
 
@@ -67,17 +68,17 @@
 	struct memb_info self;
 	struct msg_conf_summary conf_summary;
 	uint64_t hubs_digest; /* memb_digest_hubs() of the sender */
-	uint64_t hall_digest; /* memb_digest_hall() */
-	bool expects_reply; /* an answer is wanted */
-	struct msg_list updates; /* struct memb_info */
+	uint64_t hall_digest; /* memb_digest_hall() of the sender */
+	bool expects_reply;
+	struct msg_list updates; /* struct memb_info, of other boxes */
 };
 
 struct msg_heartbeat {
 	struct str box;
-	uint64_t started_ms, incarnation; /* of its last announcement */
-	uint64_t hubs_digest, hall_digest; /* as in an announcement */
+	uint64_t started_ms, incarnation; /* of the sender's state */
+	uint64_t hubs_digest, hall_digest; /* as in struct msg_announcement */
 	struct msg_conf_summary conf_summary;
-	bool expects_reply; /* an answer is wanted */
+	bool expects_reply;
 };
 
 struct msg_u64 {
@@ -85,19 +86,19 @@
 };
 
 struct msg_buckets {
-	bool rules_only; /* those of backend servers are not to be compared */
-	struct msg_list digests; /* struct msg_u64 */
+	bool rules_only; /* the buckets of backend servers do not count */
+	struct msg_list digests; /* struct msg_u64, CONF_BUCKETS of them */
 };
 
 struct msg_version {
 	struct str key;
-	uint64_t version;
-	uint64_t rejected_version;
-	uint64_t hash; /* of the contents; 0 for a deletion */
+	uint64_t version; /* in force */
+	uint64_t rejected_version; /* rejected; 0: none */
+	uint64_t hash; /* `hash` of struct conf_entry; 0 for a deletion */
 };
 
 struct msg_versions {
-	uint64_t buckets; /* a bit for each bucket listed */
+	uint64_t buckets; /* one bit for each bucket that is listed */
 	struct msg_list versions; /* struct msg_version */
 };
 
@@ -113,9 +114,9 @@
 	struct str key;
 	uint64_t version;
 	bool deleted;
-	struct str spec; /* JSON text, deflated if `size` is not 0 */
-	uint64_t size; /* of the text, where it is deflated */
-	uint64_t hash; /* of the contents, as conf_entry has it */
+	struct str spec; /* JSON text, compressed if `size` is not 0 */
+	uint64_t size; /* bytes of the text if it is compressed */
+	uint64_t hash; /* `hash` of struct conf_entry */
 };
 
 struct msg_objects {
@@ -124,21 +125,21 @@
 
 struct msg_members {
 	struct msg_list members; /* struct memb_info */
-	uint64_t serving_gates; /* to a gate: gates that serve, of all halls */
+	uint64_t serving_gates; /* to a gate: serving gates of the fleet */
 	bool is_hub; /* to a gate: its box is a hub */
 };
 
 struct msg_gate_status {
 	struct str box;
-	uint64_t started_ms;
+	uint64_t started_ms; /* start of the gate, ms since 1970 */
 	struct msg_conf_summary conf_summary;
-	uint64_t object_count;
+	uint64_t object_count; /* in its configuration */
 	bool leaving;
-	bool ready;
-	struct str suspect_box; /* a box whose gate does not answer, or empty */
+	bool ready; /* it serves */
+	struct str suspect_box; /* its gate does not reply; empty: none */
 };
 
-/* What probes found of one backend server. */
+/* The state of a backend server as found by probes. */
 enum msg_health_state {
 	HEALTH_UNKNOWN,
 	HEALTH_UP,
@@ -159,17 +160,17 @@
 struct msg_capacity {
 	struct str service;
 	struct str hall;
-	uint64_t slot_tenths; /* of slots that may be used, taken or free */
+	uint64_t slot_tenths; /* usable slots, in use or free, times ten */
 	uint64_t free_slots;
-	uint64_t queued;
+	uint64_t queued; /* requests in the queue */
 };
 
 /* struct poison_record, with ages in place of times. */
 struct msg_suspect {
 	uint64_t fingerprint_hi, fingerprint_lo, fingerprint_caller;
 	uint64_t trials[POISON_TRIALS];
-	uint64_t crash_age_ms; /* ago; 0: never */
-	uint64_t cleared_age_ms; /* ago; 0: never */
+	uint64_t crash_age_ms; /* since the last crash; 0: none */
+	uint64_t cleared_age_ms; /* since the last response; 0: none */
 };
 
 struct msg_suspects {
@@ -179,40 +180,40 @@
 /* struct backend_report, with an age in place of a time. */
 struct msg_report {
 	struct str backend;
-	uint64_t started_ms;
-	bool leaving;
-	uint64_t rate_milli; /* requests in a thousand seconds */
-	uint64_t age_ms; /* ago */
+	uint64_t started_ms; /* its start, ms since 1970; 0: unknown */
+	bool leaving; /* it accepts no new requests */
+	uint64_t rate_milli; /* requests in 1000 s; 0: no limit */
+	uint64_t age_ms; /* age of the report of the rate */
 };
 
 struct msg_reports {
 	struct msg_list reports; /* struct msg_report */
 };
 
-/* struct roll_report, of one home of a service. */
+/* struct roll_report of the owner of a service in a hall. */
 struct msg_rollout {
 	struct str service;
 	struct str hall;
 	struct str box;
-	struct str version; /* that the order brings in */
-	uint64_t age_ms; /* of the order */
+	struct str version; /* the new one */
+	uint64_t age_ms;
 	uint64_t state; /* enum roll_state */
-	uint64_t answers, failures; /* of the new version */
-	uint64_t old_in_flight; /* requests at servers of the old one */
+	uint64_t responses, failures;
+	uint64_t old_in_flight;
 };
 
+/* Asks the gate that owns a customer's rate limit to allow one request. */
 struct msg_rate_query {
-	uint64_t seq;
+	uint64_t seq; /* repeated in the reply */
 	struct str customer;
-	struct str
-	    requester; /* its inbox, if the sender hands it on; else empty */
-	bool is_retry; /* its usual home did not answer */
+	struct str requester; /* inbox for the reply if forwarded, or empty */
+	bool is_retry; /* the first owner did not reply */
 };
 
 struct msg_rate_grant {
 	uint64_t seq;
 	bool granted;
-	uint64_t wait_us; /* until it may begin, or there will be room */
+	uint64_t wait_us; /* delay of the request, or until the next query */
 };
 
 struct msg_ping {
@@ -220,14 +221,14 @@
 };
 
 struct msg_deflated {
-	uint64_t size; /* of the message in it */
+	uint64_t size; /* bytes of the message before compression */
 	struct str data;
 };
 
-/* One message; which member of the union holds is told by the kind. */
+/* One message; the kind selects the member of the union. */
 struct msg {
 	enum msg_kind kind;
-	struct str from; /* sender's inbox address */
+	struct str from; /* address of the sender's inbox */
 	union {
 		struct msg_announcement announcement;
 		struct msg_heartbeat heartbeat;
@@ -247,21 +248,22 @@
 		struct msg_rate_grant rate_grant;
 		struct msg_deflated deflated;
 	} u;
-	msgpack_unpacked raw; /* what the strings point into */
-	GPtrArray *arrays; /* what the lists point into */
+	msgpack_unpacked raw; /* owns the decoded objects */
+	GPtrArray *arrays; /* owns the items of the lists */
 };
 
-/* Append the bytes of a message to a buffer. */
+/* Appends the encoded message to a buffer. */
 void msg_encode(const struct msg *, msgpack_sbuffer *);
 
 /*
- * Read a message; strings point into `p`, which must outlive it.  False and
- * ERR_MESSAGE on anything that does not have the shape.  Call msg_release()
- * after use, on success only.
+ * Decodes a message of n bytes.  The strings of the message point into `p`,
+ * which must outlive it.  Returns false and sets ERR_MESSAGE if the message is
+ * malformed.  After success, call msg_release() to free what it allocated.
  */
 bool msg_decode(const char *p, size_t n, struct msg *, GError **);
 void msg_release(struct msg *);
 
+/* Returns the struct tag of the kind's fields. */
 const char *msg_kind_name(enum msg_kind);
 
 #endif
