--- a/disp.c
+++ b/disp.c
@@ -11,25 +11,25 @@
 #include "libdisp.h"
 
 /*
- * The dispatcher's core: a request arrives, is started or held, and its try
- * ends; what is held is served as slots come free.
+ * The core of the dispatcher: it accepts requests, sends or queues them,
+ * handles the ends of attempts, and serves the queues when slots become free.
  */
 
-/* Of a slow spell, until one was told. */
-static const double SLOW_PACE_FIRST = 3;
+/* Assumed latency factor of slow periods until one is reported. */
+static const double INITIAL_SLOW_FACTOR = 3;
 
-/* Limits of concurrency are set anew each so often. */
-#define LIMIT_NS (100 * NS_MS)
-/* Callers come back as long as one has within this time. */
-#define RETURNS_NS (1 * NS_S)
+/* Interval of updates of the concurrency limits. */
+#define CONC_UPDATE_NS (100 * NS_MS)
+/* Callers are expected to retry if one has done so within this time. */
+#define RETURN_SEEN_NS (1 * NS_S)
 
-enum { TRIES_MAX = 4 };
+enum { DEFAULT_MAX_ATTEMPTS = 4 };
 
-/* What each outcome means. */
+/* What each outcome shows of the request and of the backend server. */
 static const struct {
-	bool not_run; /* it surely did not run */
-	bool bad; /* it speaks against the backend server */
-	bool good; /* it speaks for it */
+	bool not_run; /* the request certainly did not run */
+	bool bad; /* counts as a failure of the backend server */
+	bool good; /* counts as a success of the backend server */
 } outcomes[DISP_OUTCOME_MAX] = {
     [DISP_OK] = {false, false, true},
     [DISP_REFUSED] = {true, false, false},
@@ -56,7 +56,7 @@
 	d->remotes = g_array_new(FALSE, TRUE, sizeof(struct disp_remote_hall));
 	d->works = g_array_new(FALSE, TRUE, sizeof(struct disp_work));
 	d->mean_pace = d->begin_pace = 1;
-	d->slow_pace = SLOW_PACE_FIRST;
+	d->slow_pace = INITIAL_SLOW_FACTOR;
 	g_queue_init(&d->out);
 	for (i = 0; i < QUEUES; i++)
 		queue_init(&d->queues[i]);
@@ -85,15 +85,15 @@
 }
 
 /*
- * The time until a new request of a class would get a slot: those before it,
- * at the pace at which all usable slots free up.
+ * Estimates the time in ns until a new request of a class gets a slot, from the
+ * number of requests before it and the rate at which usable slots become free.
  */
 static int64_t
 expected_wait(const struct disp *d, enum obj_class cls)
 {
 	int64_t now = clk_ns(d->clk), usual, ahead;
 	const struct pick_backend *b;
-	double pace = 0, one;
+	double rate = 0, backend_rate;
 	int64_t wait;
 	guint i;
 
@@ -107,12 +107,12 @@
 		if (!pick_usable(b, now) || now < b->rest_until)
 			continue;
 		usual = b->usual == 0 ? USUAL_UNKNOWN_NS : b->usual;
-		one = (double)b->slots / (double)usual;
+		backend_rate = (double)b->slots / (double)usual;
 		if (b->quota.rate > 0)
-			one = MIN(one, b->quota.rate / NS_S);
-		pace += one;
+			backend_rate = MIN(backend_rate, b->quota.rate / NS_S);
+		rate += backend_rate;
 	}
-	return pace == 0 ? 0 : (int64_t)((double)ahead / pace);
+	return rate == 0 ? 0 : (int64_t)((double)ahead / rate);
 }
 
 void
@@ -121,20 +121,19 @@
 	d->ops.give_up(d->ops.ctx, r, kind, after);
 }
 
-/* Try to start a request now; false if it has to wait. */
 bool
 disp_start(struct disp *d, struct disp_req *r)
 {
 	struct pick_set set = disp_set_of(d);
-	struct pick_want want = {r->cls, r->avoid, r->work};
+	struct pick_want criteria = {r->cls, r->avoid, r->work};
 	int64_t now = clk_ns(d->clk);
 	struct pick_backend *b;
-	int at;
+	int chosen;
 
-	at = d->params.policy->choose(&set, &want, now, d->rnd);
-	if (at == PICK_NONE)
+	chosen = d->params.policy->choose(&set, &criteria, now, d->rnd);
+	if (chosen == PICK_NONE)
 		return false;
-	b = set.v[at];
+	b = set.v[chosen];
 	if (disp_pace_should_wait(d, r, b, now))
 		return false;
 	if (disp_pace_better_elsewhere(d, r, b, now) && disp_pass(d, r))
@@ -143,9 +142,9 @@
 	return true;
 }
 
-/* Is something sent there now against what it says of itself? */
+/* Returns the reported limit that a request sent now would violate. */
 static enum disp_against
-against(const struct pick_backend *b, int64_t now)
+violated_limit(const struct pick_backend *b, int64_t now)
 {
 	if (b->leaves)
 		return AGAINST_LEAVING;
@@ -171,7 +170,7 @@
 	r->sent = now;
 	r->tries++;
 	cold_sent(&b->cold, &d->params.cold, now);
-	r->against = against(b, now);
+	r->against = violated_limit(b, now);
 	quota_sent(&b->quota, now);
 	disp_roll_sent(d, b);
 	disp_conc_begin(d, r);
@@ -179,9 +178,13 @@
 	d->ops.send(d->ops.ctx, r, b);
 }
 
-/* A request that was sent before, from another gate, counts as a retry. */
+/*
+ * Checks the deadline, the rate limit and the retry budget; answers a request
+ * that fails a check.  A request that another gate has already sent counts as a
+ * retry.
+ */
 static bool
-may_arrive(struct disp *d, struct disp_req *r)
+admit(struct disp *d, struct disp_req *r)
 {
 	if (clk_ns(d->clk) >= r->deadline) {
 		disp_drop(d, r, ERR_DEADLINE, 0);
@@ -210,7 +213,7 @@
 
 	if (r->came_back)
 		d->came_back = now;
-	if (!may_arrive(d, r) || disp_trial_arrive(d, r))
+	if (!admit(d, r) || disp_trial_arrive(d, r))
 		return;
 	disp_roll_look(d);
 	if (d->params.policy->paced) {
@@ -234,8 +237,9 @@
 	disp_hold(d, r);
 }
 
+/* Handles the first request of a queue; returns false if it has to wait. */
 static bool
-serve_queue(struct disp *d, int queue)
+serve_first(struct disp *d, int queue)
 {
 	struct queue_item *item = queue_first(&d->queues[queue]);
 	struct disp_req *r;
@@ -258,8 +262,9 @@
 }
 
 /*
- * Serve what is held, the interactive ones first.  A callback may end a
- * request and so bring us here again; one level then looks twice.
+ * Serves the queues, interactive requests first.  A callback may end a request
+ * and so call this function recursively; the inner call then only makes the
+ * outer one repeat its loop.
  */
 void
 disp_serve(struct disp *d)
@@ -273,28 +278,32 @@
 		disp_roll_look(d);
 		disp_sort_late(d);
 		disp_trial_serve(d);
-		while (serve_queue(d, CLASS_INTERACTIVE))
+		while (serve_first(d, CLASS_INTERACTIVE))
 			;
 		if (d->queues[CLASS_INTERACTIVE].n > 0)
 			continue;
-		while (serve_queue(d, QUEUE_LATE))
+		while (serve_first(d, QUEUE_LATE))
 			;
-		while (serve_queue(d, CLASS_BULK))
+		while (serve_first(d, CLASS_BULK))
 			;
 	}
 	d->serving = false;
 }
 
-/* The requests that are out are in the order of their start. */
+/*
+ * Finds the oldest request in flight at a backend server: the list of requests
+ * in flight is sorted by start time.
+ */
 static void
-refresh_oldest(struct disp *d, struct pick_backend *b)
+update_oldest(struct disp *d, struct pick_backend *b)
 {
 	const struct disp_req *r;
-	const GList *at;
+	const GList *node;
 
 	b->oldest = 0;
-	for (at = d->out.head; b->inflight > 0 && at != NULL; at = at->next) {
-		r = at->data;
+	for (node = d->out.head; b->inflight > 0 && node != NULL;
+	     node = node->next) {
+		r = node->data;
 		if (r->at != b)
 			continue;
 		b->oldest = r->sent;
@@ -302,8 +311,9 @@
 	}
 }
 
+/* Updates the state and the statistics of the backend server. */
 static void
-judge(struct disp *d, struct disp_req *r, struct pick_backend *b,
+record_outcome(struct disp *d, struct disp_req *r, struct pick_backend *b,
     enum disp_outcome outcome)
 {
 	struct pick_set set = disp_set_of(d);
@@ -330,19 +340,19 @@
 }
 
 /*
- * May the budget pay for another try of one that was refused?
+ * Returns whether the retry budget allows another attempt of a refused request.
  *
- * Load pattern: servers that have room turn more than half of the requests away
- * at random, and the budget pays for less than each of them needs.  Callers who
- * are turned away for the first time come back at once, and that costs no
- * budget; those who have come back are refused for good.  So while callers do
- * come back, half of what may be saved up is kept for them.
+ * Where servers with free slots refuse most requests at random, the budget is
+ * too small for all retries.  Callers who get a refusal for the first time
+ * retry at once themselves, without cost for the budget, while those who have
+ * already done so get no further chance.  As long as callers retry, half of the
+ * budget is therefore reserved for requests of the latter.
  */
 static bool
-has_budget(struct disp *d, const struct disp_req *r)
+refusal_budget_allows(struct disp *d, const struct disp_req *r)
 {
 	bool others_return =
-	    d->came_back != 0 && clk_ns(d->clk) - d->came_back < RETURNS_NS;
+	    d->came_back != 0 && clk_ns(d->clk) - d->came_back < RETURN_SEEN_NS;
 
 	if (r->came_back || !others_return)
 		return retry_budget_has(&d->budget);
@@ -350,12 +360,13 @@
 }
 
 /*
- * Where calls nest, retries must not multiply down the chain: a request that
- * is a retry already is not tried again once it may have run.
+ * Where services call each other, retries must not multiply along the chain: a
+ * request that is already a retry is not retried once it may have run.
  *
- * What was refused for want of a slot is held again, without a budget: the
- * refusing backend server gets nothing for a while that doubles with each
- * refusal in a row, and that bounds the refusals.
+ * A refused request is queued again without charging the budget, unless its
+ * number of attempts is configured: the backend server that refused it gets no
+ * requests for a time that doubles with each consecutive refusal, which bounds
+ * the number of refusals.
  */
 bool
 disp_retryable(
@@ -368,14 +379,15 @@
 	if (r->attempts > 0 && r->tries >= r->attempts)
 		return false;
 	if (outcome == DISP_REFUSED)
-		return r->attempts == 0 || has_budget(d, r);
+		return r->attempts == 0 || refusal_budget_allows(d, r);
 	if (!outcomes[outcome].not_run && !r->repeatable)
 		return false;
 	if (!outcomes[outcome].not_run && r->retried)
 		return false;
-	return r->tries < TRIES_MAX && retry_budget_has(&d->budget);
+	return r->tries < DEFAULT_MAX_ATTEMPTS && retry_budget_has(&d->budget);
 }
 
+/* Queues the request for a retry if that is allowed. */
 static bool
 retry(struct disp *d, struct disp_req *r, enum disp_outcome outcome)
 {
@@ -393,7 +405,7 @@
 disp_done(struct disp *d, struct disp_req *r, enum disp_outcome outcome)
 {
 	struct pick_backend *b = r->at;
-	bool again;
+	bool retried;
 
 	b->inflight--;
 	b->inflight_bulk -= r->cls == CLASS_BULK;
@@ -401,14 +413,14 @@
 	r->at = NULL;
 	r->avoid = b;
 	if (b->oldest == r->sent || b->inflight == 0)
-		refresh_oldest(d, b);
-	judge(d, r, b, outcome);
+		update_oldest(d, b);
+	record_outcome(d, r, b, outcome);
 	disp_trial_done(d, r, b, outcome);
-	again = retry(d, r, outcome);
+	retried = retry(d, r, outcome);
 	disp_serve(d);
 	if (b->gone)
 		disp_sweep(d);
-	return again;
+	return retried;
 }
 
 void
@@ -426,7 +438,7 @@
 	int i;
 
 	disp_roll_mark(d);
-	if (now - d->limited >= LIMIT_NS)
+	if (now - d->limited >= CONC_UPDATE_NS)
 		disp_conc_set(d, now);
 	disp_cold_ask(d, now);
 	disp_peek_silent(d, now);
--- a/disp.h
+++ b/disp.h
@@ -28,107 +28,109 @@
 #include "word.h"
 
 /*
- * The dispatcher of one shard: one service's backend servers in one hall.
- * It runs at the shard's home and holds requests until a slot is free.
- * Pure: events come in by calls, actions go out by callbacks, clock and
- * random numbers are passed in; one order of events gives one result.
+ * The dispatcher of one shard: the backend servers of one service in one hall.
+ * It runs in the gate that owns the shard and queues requests until a slot is
+ * free.  It does no I/O: events arrive as function calls, actions are
+ * callbacks, and the clock and the random numbers are passed in.  The same
+ * sequence of events therefore always gives the same result.
  */
 
-/* How one try at a backend server ended. */
+/* How one attempt at a backend server ended. */
 enum disp_outcome {
-	DISP_OK, /* a whole answer */
-	DISP_REFUSED, /* the backend server says it did not run it */
-	DISP_CONNECT, /* nothing could be sent */
-	DISP_FAILED, /* an answer that tells a failure, 5xx */
-	DISP_CUT, /* the connection broke; it may have run */
-	DISP_LATE, /* the deadline passed while it was there */
-	DISP_GONE, /* the caller went away while it was there */
-	DISP_SLOW, /* it takes far longer than usual, and was stopped */
-	DISP_MOVED, /* another backend server has its address now */
+	DISP_OK, /* complete answer */
+	DISP_REFUSED, /* the backend server reported that it did not run it */
+	DISP_CONNECT, /* no connection, nothing was sent */
+	DISP_FAILED, /* answer with a 5xx status */
+	DISP_CUT, /* the connection broke; the request may have run */
+	DISP_LATE, /* the deadline passed before the answer */
+	DISP_GONE, /* the caller disconnected before the answer */
+	DISP_SLOW, /* stopped, as it took far longer than usual */
+	DISP_MOVED, /* another backend server has the address now */
 	DISP_OUTCOME_MAX
 };
 
-/* A request is sent against what its backend server said of itself. */
+/* Which limit reported by the backend server an attempt violates. */
 enum disp_against {
 	AGAINST_NOTHING,
-	AGAINST_QUOTA, /* it takes fewer requests a second */
-	AGAINST_REST, /* it wants none from us for a while */
-	AGAINST_LEAVING, /* it leaves */
+	AGAINST_QUOTA, /* its limit of requests per second */
+	AGAINST_REST, /* its Retry-After pause */
+	AGAINST_LEAVING, /* it reported that it is shutting down */
 	AGAINST_MAX
 };
 
-/* One request, embedded in its owner's. */
+/* One request, embedded in the caller's own request structure. */
 struct disp_req {
 	enum obj_class cls;
 	bool repeatable;
-	bool may_pass; /* may go to another hall's home */
-	bool may_retry; /* nothing of an answer has gone out yet */
+	bool may_pass; /* may be forwarded to another hall */
+	bool may_retry; /* no part of an answer was sent to the caller yet */
 	int64_t deadline; /* monotonic ns */
-	int64_t sent; /* start of the try under way */
+	int64_t sent; /* start of the current attempt; monotonic ns */
 	int tries;
-	int attempts; /* how many tries it may have; 0: the default */
-	int rank; /* the lower, the more urgent */
-	int64_t target; /* an answer is worth most before; 0: unsaid */
-	unsigned kind; /* requests of one kind take alike */
+	int attempts; /* limit of attempts; 0: the default */
+	int rank; /* priority; lower is more urgent */
+	int64_t target; /* wanted time of the answer, monotonic ns; 0: none */
+	unsigned kind; /* requests of one kind have similar service times */
 	struct str regions; /* where it may be served: region.h */
-	struct fprint print; /* is it the same again? */
-	/* The rest is the dispatcher's own. */
-	int64_t work; /* ns that it is thought to take at the usual speed */
-	double pace; /* that was expected when the try under way began */
-	int beside; /* others that ran there then */
-	double slowdown; /* that these are thought to cause */
-	bool told; /* and that rested on a fresh word */
-	enum disp_against against; /* what its backend server had said */
-	bool asked; /* backend servers were asked for it once */
-	bool paid; /* its tries so far are within a retry budget */
-	bool judged; /* it was decided that it may wait */
-	int queue; /* where it is held */
-	struct pick_backend *at; /* where it is now; NULL: held or done */
-	struct pick_backend *avoid; /* where it failed last */
-	/* The connection broke there, and it may have ended. */
+	struct fprint print; /* identifies retries of the same request */
+	/* The members below are private to the dispatcher. */
+	int64_t work; /* estimated service time at the usual speed, ns */
+	double pace; /* expected at the start of the current attempt */
+	int beside; /* other requests in flight there at that time */
+	double slowdown; /* expected from these; factor >= 1 */
+	bool told; /* the latency factor came from a recent load report */
+	enum disp_against against; /* of the current attempt */
+	bool asked; /* load queries were sent for it */
+	bool paid; /* its attempts so far were charged to a retry budget */
+	bool judged; /* whether it may wait was decided */
+	int queue; /* index of the queue that it waits in */
+	struct pick_backend *at; /* current one; NULL: queued or done */
+	struct pick_backend *avoid; /* the one of the last attempt */
+	/* Its connection broke, and it may have crashed; NULL: none. */
 	const struct pick_backend *doubted;
 	bool held;
-	bool trial; /* it runs by itself: poison.h */
-	bool stopped; /* a try of it was stopped as too slow */
-	bool retried; /* it is a retry already, by whoever sent it to us */
-	bool came_back; /* its caller was turned away before */
+	bool trial; /* runs isolated from other requests: poison.h */
+	bool stopped; /* an attempt was stopped as too slow */
+	bool retried; /* its sender marked it as a retry */
+	bool came_back; /* its caller retries it after a refusal */
 	struct queue_item item;
-	GList link; /* among the requests that are out, by their start */
+	GList link; /* in the list of requests in flight, by start time */
 };
 
 struct disp_ops {
 	/* Send the request to a backend server. */
 	void (*send)(void *, struct disp_req *, struct pick_backend *);
-	/* Pass the request to the home in another hall. */
+	/* Forward the request to the shard's owner in another hall. */
 	void (*pass)(void *, struct disp_req *, struct str hall);
-	/* Answer the request with an error; retry_after in ns, 0: unsaid. */
+	/* Answer the request with an error; retry_after in ns, 0: none. */
 	void (*give_up)(
 	    void *, struct disp_req *, enum err_kind, int64_t retry_after);
 	/*
-	 * Stop the try under way, which is far too slow, and then call
+	 * Stop the current attempt, which is far too slow, and then call
 	 * disp_done() with DISP_SLOW.
 	 */
 	void (*stop)(void *, struct disp_req *);
-	/* Ask a backend server how fast it is, and call disp_peeked(). */
+	/* Query the load of a backend server, then call disp_peeked(). */
 	void (*peek)(void *, struct pick_backend *);
-	/* A backend server ended with so many requests there. */
+	/* A backend server crashed with this many requests in flight. */
 	void (*ended)(void *, const struct pick_backend *, unsigned);
-	/* A backend server is no longer used and will be freed. */
+	/* A backend server is no longer used and is freed after the call. */
 	void (*release)(void *, struct pick_backend *);
 	void *ctx;
 };
 
 /*
- * What a shard can take, as homes tell each other.  A backend server that says
- * what it takes is worth a part of its slots, in tenths of one: with finer
- * parts homes would have news all the time.
+ * The capacity of a shard, as the owners in different halls exchange it.  A
+ * backend server that reports a rate limit counts for a fraction of its slots,
+ * rounded to tenths of a slot: with finer fractions the value would change, and
+ * be sent, all the time.
  */
 enum { SLOT_TENTHS = 10 };
 struct disp_room {
-	/* Of the backend servers that may be used, taken or free. */
+	/* Of all usable backend servers, occupied or free. */
 	double slots;
-	int free; /* of these, the free ones */
-	int waiting; /* requests that are held */
+	int free; /* free slots */
+	int waiting; /* queued requests */
 };
 
 struct disp_params {
@@ -137,36 +139,33 @@
 	int64_t queue_max;
 	int bulk_percent;
 	int64_t retry_percent;
-	double retry_max; /* tries that may be saved up; 0: the default */
+	double retry_max; /* size of the retry budget; 0: the default */
 	struct cold_bound cold;
-	struct poison *poison; /* what all shards know; NULL: not looked at */
-	const struct words *words; /* the same of backend servers */
-	struct str hall; /* the shard's; must outlive it */
+	struct poison *poison; /* shared by all shards; NULL: no check */
+	const struct words *words; /* of all shards; NULL: none */
+	struct str hall; /* of the shard; must outlive the dispatcher */
 	struct roll *roll; /* of the service; NULL: none */
-	double rate; /* this shard's part of the service's rate; 0: none */
+	double rate; /* limit, requests per second in this shard; 0: none */
 };
 
-/* A backend server as configuration has it. */
+/* A backend server as the configuration describes it. */
 struct disp_backend {
 	struct str name;
 	struct str address;
 	int slots;
 	bool drain;
-	bool evacuated; /* its hall is to get nothing new */
-	int64_t warm_ns; /* it is cold for so long after its start */
-	int64_t born_ms; /* its start, ms since 1970; 0: unsaid */
-	bool is_new; /* of the version that a roll-out brings in */
+	bool evacuated; /* its hall must get no new requests */
+	int64_t warm_ns; /* duration of its slow start */
+	int64_t born_ms; /* start time, ms since 1970; 0: unknown */
+	bool is_new; /* of the new version of a roll-out */
 };
 
 /*
- * When a request that backend servers refused may come back: at once, which
- * callers take for some milliseconds.
- *
- * Load pattern: backend servers that have room turn half of the requests away
- * at random, and two tries meet the same.  Gain: 0.016 of worth on days with
- * that, with a standard error of 0.003 (six seeds), none elsewhere; told 100 ms
- * the next two tries of a request with a target of 400 ms come late.  Where
- * backend servers are full they say so beforehand, and requests are not sent.
+ * The Retry-After of a request that backend servers refused.  It is short, as
+ * backend servers may refuse requests at random although they have free slots:
+ * with 100 ms the next two attempts of a request with a target of 400 ms would
+ * be late.  Backend servers that are full report that beforehand, and get no
+ * requests.
  */
 #define DISP_REFUSED_AGAIN_NS (10 * NS_MS)
 
@@ -175,110 +174,129 @@
 struct disp *
 disp_new(const struct disp_ops *, const struct clk *, const struct rnd *);
 
-/* Only when no request is left in it. */
+/* Frees the dispatcher.  It must have no requests, queued or in flight. */
 void disp_free(struct disp *);
 
+/* Sets the parameters; the structure is copied. */
 void disp_configure(struct disp *, const struct disp_params *);
 
-/* The backend servers from now on; state of those that stay is kept. */
+/*
+ * Replaces the list of backend servers.  The state of those that are in the old
+ * and in the new list is kept.
+ */
 void disp_backends(struct disp *, const struct disp_backend *, unsigned);
 
-/* A request arrives: one of the ops is called, now or later. */
+/*
+ * Accepts a new request.  One of the operations send, pass and give_up is
+ * called for it, during this call or later.
+ */
 void disp_arrive(struct disp *, struct disp_req *);
 
-/* Would disp_done() take the request back after such an end of its try? */
+/*
+ * Returns whether disp_done() would queue the request for a retry after an
+ * attempt with this outcome.
+ */
 bool disp_retryable(struct disp *, const struct disp_req *, enum disp_outcome);
 
 /*
- * A try has ended.  True if the request was taken back to be tried again;
- * otherwise its owner answers it.
+ * Reports the end of an attempt.  Returns true if the request is retried by the
+ * dispatcher; otherwise the caller has to answer it.
  */
 bool disp_done(struct disp *, struct disp_req *, enum disp_outcome);
 
 /*
- * When the caller of a request that was refused by backend servers may come
- * back: as above, or when they will take it, if they say that.
+ * Returns the Retry-After in ns for a request that backend servers refused:
+ * DISP_REFUSED_AGAIN_NS, or a longer time where the limits that all of them
+ * reported show that they can accept it only later.
  */
 int64_t disp_refused_again(struct disp *, const struct disp_req *);
 
-/* A held request's caller went away. */
+/* Removes a queued request whose caller disconnected. */
 void disp_forget(struct disp *, struct disp_req *);
 
-/* Time passes: deadlines of held requests, ends of ejections. */
+/* Handles deadlines of queued requests, ends of ejections and other timers. */
 void disp_tick(struct disp *);
 
 /*
- * What a backend server says with an answer: requests that it works on, those
- * that wait there, and the time that work takes now in percent of the usual.
+ * Records the load that a backend server reported with an answer: the number of
+ * requests that it processes, the number that wait in it, and its latency
+ * factor in percent (100: as fast as usual).
  */
-void disp_load_told(
-    struct disp *, struct pick_backend *, int running, int waiting, int pace);
+void disp_load_told(struct disp *, struct pick_backend *, int running,
+    int waiting, int percent);
 
-/* Go by what other boxes tell that backend servers said. */
+/*
+ * Applies the reports of backend servers in params.words, after reports from
+ * other boxes were merged into them.
+ */
 void disp_words_told(struct disp *);
 
-/* A backend server by its name; NULL if there is none. */
+/* Returns the backend server with this name, or NULL. */
 struct pick_backend *disp_find(const struct disp *, struct str backend);
 
 /*
- * What it says of itself, with an answer to a request or to a question; for a
- * question, called before disp_peeked().  True if that is news.
+ * The next three functions record what a backend server reported with an answer
+ * to a request or to a load query; for a load query, they must be called before
+ * disp_peeked().  They return true if the report changed the state.
  */
-/* It leaves. */
+/* It is shutting down. */
 bool disp_leaves_told(struct pick_backend *);
-/* It wants no requests from us for so many ns. */
+/* It asks this gate for a pause of this many ns (Retry-After). */
 bool disp_rest_told(struct disp *, struct pick_backend *, int64_t ns);
 /*
- * It takes so many requests a second from all boxes; 0: any.  The time is that
- * of the sending of what it answers.
+ * It accepts this many requests per second from all boxes together; 0: no
+ * limit.  `sent` is the time at which the answered request was sent.
  */
 bool disp_quota_told(
     struct disp *, struct pick_backend *, double rate, int64_t sent);
 
 /*
- * An answer to a question that peek() sent, or that none has come.  A pace of
- * 0 says that the backend server does not tell its load.
+ * Reports the result of a load query that peek() sent.  A `percent` of 0 means
+ * the backend server does not report its load.
  */
 void disp_peeked(struct disp *, struct str backend, bool answered, int running,
-    int waiting, int pace);
+    int waiting, int percent);
 
 /*
- * The connection for such a question stands, so something listens there.
- * Called before disp_peeked().
+ * Reports that the connection for a load query was established, which means
+ * that the backend server's process is running.  Must be called before
+ * disp_peeked().
  */
 void disp_reached(struct disp *, struct str backend);
 
 /*
- * With such an answer it tells for how many ns it stays cold; 0: it is warm.
- * Called before disp_peeked().  True if that is news.
+ * Records the remaining slow start in ns, as the answer to a load query reports
+ * it; 0: the backend server is warm.  Must be called before disp_peeked().
+ * Returns true if that changed the state.
  */
 bool disp_cold_told(struct disp *, struct str backend, int64_t ns);
 
-/* What probes say of a backend server. */
+/* Records the result of health probes of a backend server. */
 void disp_health(struct disp *, struct str backend, bool down, bool drain);
 
-/* Another hall has so many slots for the service. */
+/* Sets how many slots the service has in another hall by configuration. */
 void disp_hall(struct disp *, struct str hall, int slots);
 
-/* The region of another hall, and whether that is ours. */
-void
-disp_hall_region(struct disp *, struct str hall, struct str region, bool near);
+/* Sets the region of another hall, and whether it is the region of this one. */
+void disp_hall_region(
+    struct disp *, struct str hall, struct str region, bool same_region);
 
-/* Another hall's home tells its room. */
+/* Records the capacity that the shard's owner in another hall reported. */
 void disp_remote(struct disp *, struct str hall, const struct disp_room *);
 
-/* Free slots and requests held, for other homes. */
+/* Returns the capacity of this shard, for the owners in other halls. */
 struct disp_room disp_room_of(const struct disp *);
 
+/* Returns the number of requests in flight. */
 unsigned disp_inflight(const struct disp *);
 
-/* Those at servers of the version that a roll-out ends. */
+/* Returns the number in flight at servers of a roll-out's old version. */
 unsigned disp_old_inflight(const struct disp *);
 
-/* Backend servers to which something new may be sent. */
+/* Returns the number of backend servers that may get new requests. */
 unsigned disp_usable(const struct disp *);
 
-/* Visit the backend servers, for status and explain. */
+/* Calls a function for each backend server. */
 typedef void disp_visit_fn(void *, const struct pick_backend *);
 void disp_each(const struct disp *, disp_visit_fn *, void *);
 
--- a/disp_cold.c
+++ b/disp_cold.c
@@ -11,18 +11,20 @@
 #include "libdisp.h"
 
 /*
- * Backend servers that have just started, or may have: those that join, those
- * that a new home finds, those of a hall that returns, those that could not be
- * reached.  They are asked before more than a few requests go there; what they
- * bear while it is not known is what a cold one bears.
+ * Slow start: backend servers that have just started are cold, and get requests
+ * at a limited rate.  One may be cold if it is new in the list, new to the
+ * shard's owner, in a hall that returns from an evacuation, or was unreachable.
+ * Such a server is treated as cold until its answer to a load query confirms or
+ * denies it.
  */
 
-/* One that does not answer is asked again after this time. */
-#define ASK_AGAIN_NS (50 * NS_MS)
+/* Interval of load queries to a server that has not confirmed its state. */
+#define COLD_QUERY_GAP_NS (50 * NS_MS)
 
 /*
- * It may be cold, for so long or for as long as any one of the service is.  One
- * whose service has no bound is not asked for it.
+ * Marks a backend server as possibly cold, for `lasts` ns or the duration that
+ * is configured for the service, whichever is longer.  Does nothing if the
+ * service has no limit for cold servers.
  */
 void
 disp_cold_suspect(struct disp *d, struct pick_backend *b, int64_t lasts)
@@ -34,15 +36,15 @@
 	d->in_doubt = true;
 }
 
-/* Does only a question tell whether it is cold, and does one answer there? */
+/* Returns whether a load query is needed to learn if a server is cold. */
 static bool
-is_asked(const struct pick_backend *b, int64_t now)
+needs_query(const struct pick_backend *b, int64_t now)
 {
 	return cold_in_doubt(&b->cold, now) && !pick_is_silent(b) &&
 	    pick_usable(b, now);
 }
 
-/* Ask those of which it is not known, in turn; health answers tell at once. */
+/* Sends load queries to servers whose state is unconfirmed, in turn. */
 void
 disp_cold_ask(struct disp *d, int64_t now)
 {
@@ -57,14 +59,15 @@
 		d->in_doubt = d->in_doubt || cold_in_doubt(&b->cold, now);
 	}
 	if (d->in_doubt)
-		disp_peek_in_turn(d, is_asked, ASK_AGAIN_NS, now);
+		disp_peek_in_turn(d, needs_query, COLD_QUERY_GAP_NS, now);
 }
 
 /*
- * Is an answer due that tells of more room?  Requests wait for it unjudged: a
- * home that has just begun would else refuse, within the few milliseconds that
- * the answers take, those that came back after a loss of all boxes.  For one
- * that did not answer before nobody waits.
+ * Returns whether the answer to a load query is expected that may show that a
+ * server is warm.  Requests are not refused until it arrives: a new owner would
+ * otherwise refuse the requests that are retried after a failure of all boxes,
+ * during the few milliseconds that the answers take.  Queries to a server that
+ * left the previous one unanswered do not count.
  */
 bool
 disp_cold_asks(const struct disp *d, int64_t now)
@@ -82,18 +85,19 @@
 }
 
 /*
- * The slots worth counting when the wait for one is reckoned: of a cold one as
- * many as its rate keeps at work, so that a hall that returns cold does not
- * hold what it cannot serve in time.
+ * Returns how many slots of a server count in estimates of the queueing time.
+ * For a cold server this is the number that its rate limit keeps occupied, so
+ * that a hall that returns with cold servers does not queue requests that it
+ * cannot serve in time.
  */
 double
 disp_cold_slots(const struct disp *d, const struct pick_backend *b, int64_t now)
 {
-	double at_work = d->params.cold.rate * (double)d->mean_work / NS_S;
+	double occupied = d->params.cold.rate * (double)d->mean_work / NS_S;
 	double slots = pick_slots(b);
 
 	if (d->params.cold.rate <= 0 || !cold_is(&b->cold, now) ||
 	    d->mean_work == 0)
 		return slots;
-	return MIN(at_work, slots);
+	return MIN(occupied, slots);
 }
--- a/disp_conc.c
+++ b/disp_conc.c
@@ -12,21 +12,20 @@
 #include "pace.h"
 
 /*
- * How many requests at once each backend server gets.  Beyond the limit that
- * was learned a server does less in the same time, so requests wait at us
- * instead, where the choice stays open.
- *
- * Gain: in virtual time, with four backend servers of six slots that work 1.7
- * times slower beyond four fifths of them, 70 requests a second of 200 ms and
- * 600 ms to answer, 99 in 100 are in time instead of 70 (mean of five runs).
+ * Concurrency limits of the backend servers.  Above the learned limit a server
+ * has a lower throughput, so further requests wait in the dispatcher's queues,
+ * from where they can still be sent to any server.
  */
 
-/* Some backend servers, each in its turn, try another limit for so long. */
-#define TRY_NS (1 * NS_S)
+/* Time for which a backend server explores another limit. */
+#define EXPLORE_NS (1 * NS_S)
 
-enum { TRY_EVERY = 4 }; /* of so many, one at a time */
+enum { EXPLORE_EVERY = 4 }; /* one in so many servers explores at a time */
 
-/* The request is about to be sent, and counted in flight. */
+/*
+ * Fills in the expected slowdown by other requests.  The request is about to be
+ * sent, and is already counted as in flight.
+ */
 void
 disp_conc_begin(const struct disp *d, struct disp_req *r)
 {
@@ -35,15 +34,16 @@
 }
 
 /*
- * All get the limit; a few of them, each in its turn, another of which too
- * little has been learned lately.
+ * Updates the slowdown over all kinds of requests.  Under the latency-aware
+ * policy, also sets the learned limit for all backend servers; a few of them,
+ * in turn, get another limit instead that has too few recent samples.
  */
 void
 disp_conc_set(struct disp *d, int64_t now)
 {
-	guint turn = (guint)(now / TRY_NS), i;
+	guint turn = (guint)(now / EXPLORE_NS), i;
 	struct pick_backend *b;
-	int try;
+	int other;
 
 	d->limited = now;
 	disp_work_mean_pace(d);
@@ -57,10 +57,10 @@
 		b = g_ptr_array_index(d->backends, i);
 		b->conc = &d->conc;
 		b->limit = conc_limit(&d->conc, b->slots);
-		if (i % TRY_EVERY != turn % TRY_EVERY)
+		if (i % EXPLORE_EVERY != turn % EXPLORE_EVERY)
 			continue;
-		try = conc_to_try(&d->conc, b->slots, now);
-		if (try > 0)
-			b->limit = try;
+		other = conc_to_try(&d->conc, b->slots, now);
+		if (other > 0)
+			b->limit = other;
 	}
 }
--- a/disp_doubt.c
+++ b/disp_doubt.c
@@ -11,18 +11,19 @@
 #include "libdisp.h"
 
 /*
- * Has a backend server ended with the requests that were there?  A broken
- * connection tells of itself only, and a try that ends late tells nothing; a
- * question on a new connection tells.  What was there is remembered until then.
+ * Detects backend servers that crashed with requests in flight.  A broken
+ * connection or a timeout alone does not show a crash, so a load query is sent
+ * on a new connection.  Requests that may have caused the crash are recorded
+ * until the result of the query is known.
  */
 
-/* Tries of one backend server that are remembered so. */
-enum { DOUBTS_MAX = 16 };
+/* Limit of recorded attempts for each backend server. */
+enum { SUSPECTS_MAX = 16 };
 
 /*
- * May the backend server have ended with a try?  Its connection broke, or no
- * sign of life came while the request was there, as where a machine loses its
- * power.
+ * Returns whether the backend server may have crashed during an attempt: the
+ * connection broke, or the server has answered nothing since the request was
+ * sent, as when its machine loses power.
  */
 static bool
 may_have_ended(const struct disp_req *r, const struct pick_backend *b,
@@ -37,31 +38,31 @@
 }
 
 /*
- * A try has ended.  Where the backend server may have ended with it, a question
- * tells; a request that may be tried again waits for its answer, which takes a
- * millisecond.
+ * Handles the end of an attempt.  If the backend server may have crashed, sends
+ * a load query to find out; a request that is to be retried waits for the
+ * result, which takes about a millisecond.
  */
 void
 disp_doubt_done(struct disp *d, struct disp_req *r, struct pick_backend *b,
     enum disp_outcome outcome)
 {
-	struct disp_doubt doubt = {r->print, r->trial};
+	struct disp_doubt suspect = {r->print, r->trial};
 
 	if (d->params.poison == NULL || fprint_is_none(r->print) ||
 	    d->ops.peek == NULL || !may_have_ended(r, b, outcome))
 		return;
 	if (b->doubts == NULL)
-		b->doubts = g_array_new(FALSE, FALSE, sizeof(doubt));
-	if (b->doubts->len < DOUBTS_MAX)
-		g_array_append_val(b->doubts, doubt);
+		b->doubts = g_array_new(FALSE, FALSE, sizeof(suspect));
+	if (b->doubts->len < SUSPECTS_MAX)
+		g_array_append_val(b->doubts, suspect);
 	b->doubted_at = clk_ns(d->clk);
 	r->doubted = b;
 	disp_peek_after(d, b, 0, b->doubted_at);
 }
 
-/* Those that wait to learn what became of a backend server wait no more. */
+/* Lets requests continue that wait to learn whether the server crashed. */
 static void
-release_held(struct disp *d, const struct pick_backend *b)
+release_waiting(struct disp *d, const struct pick_backend *b)
 {
 	const struct queue *q = &d->queues[QUEUE_TRIAL];
 	struct disp_req *r;
@@ -74,33 +75,33 @@
 	}
 }
 
-/* It is known now whether a backend server has ended. */
+/* Handles the decision whether a backend server has crashed. */
 void
-disp_doubt_settle(struct disp *d, struct pick_backend *b, bool ended)
+disp_doubt_settle(struct disp *d, struct pick_backend *b, bool crashed)
 {
-	GArray *doubts = b->doubts;
-	const struct disp_doubt *doubt;
+	GArray *suspects = b->doubts;
+	const struct disp_doubt *suspect;
 	guint i;
 
-	if (doubts == NULL)
+	if (suspects == NULL)
 		return;
 	b->doubts = NULL;
-	for (i = 0; ended && i < doubts->len; i++) {
-		doubt = &g_array_index(doubts, struct disp_doubt, i);
-		poison_ended(d->params.poison, doubt->print, doubt->trial);
+	for (i = 0; crashed && i < suspects->len; i++) {
+		suspect = &g_array_index(suspects, struct disp_doubt, i);
+		poison_ended(d->params.poison, suspect->print, suspect->trial);
 	}
-	if (ended)
+	if (crashed)
 		pick_ended(b, clk_ns(d->clk));
-	if (ended && d->ops.ended != NULL)
-		d->ops.ended(d->ops.ctx, b, doubts->len);
-	g_array_free(doubts, TRUE);
-	release_held(d, b);
+	if (crashed && d->ops.ended != NULL)
+		d->ops.ended(d->ops.ctx, b, suspects->len);
+	g_array_free(suspects, TRUE);
+	release_waiting(d, b);
 }
 
 /*
- * A question was answered, or was not.  One that was asked before the try
- * ended tells nothing, and is asked again.  A backend server that takes a
- * connection and breaks it off is full, and has not ended.
+ * Handles the result of a load query.  A query that was sent before the attempt
+ * ended shows nothing, and is repeated.  A backend server that accepts the
+ * connection and then closes it is overloaded, but has not crashed.
  */
 void
 disp_doubt_peeked(struct disp *d, struct pick_backend *b, bool answered)
@@ -113,16 +114,19 @@
 		disp_peek_after(d, b, 0, clk_ns(d->clk));
 }
 
-/* Did a trial of it break off at a backend server that may have ended? */
+/*
+ * Returns whether an isolated run of this request broke off at the backend
+ * server, and it is not known yet whether the server crashed.
+ */
 bool
-disp_doubt_waits(const struct pick_backend *b, struct fprint print)
+disp_doubt_waits(const struct pick_backend *b, struct fprint fingerprint)
 {
-	const struct disp_doubt *doubt;
+	const struct disp_doubt *suspect;
 	guint i;
 
 	for (i = 0; b->doubts != NULL && i < b->doubts->len; i++) {
-		doubt = &g_array_index(b->doubts, struct disp_doubt, i);
-		if (doubt->trial && fprint_same(doubt->print, print))
+		suspect = &g_array_index(b->doubts, struct disp_doubt, i);
+		if (suspect->trial && fprint_same(suspect->print, fingerprint))
 			return true;
 	}
 	return false;
--- a/disp_hold.c
+++ b/disp_hold.c
@@ -10,9 +10,8 @@
  */
 #include "libdisp.h"
 
-/* The queues of requests that wait for a slot, in time or late. */
+/* The queues of requests that wait for a slot. */
 
-/* Can it be answered before its target, if it starts now? */
 bool
 disp_is_in_time(const struct disp_req *r, int64_t now)
 {
@@ -20,8 +19,9 @@
 }
 
 /*
- * Requests that can be in time wait by the latest moment to start them; late
- * ones behind all of them, by their deadlines.
+ * Queues a request.  Within a rank, requests that can meet their targets are
+ * ordered by the latest time to start them; late ones wait in a queue of their
+ * own, which is served after these, ordered by deadline.
  */
 void
 disp_hold(struct disp *d, struct disp_req *r)
@@ -48,18 +48,19 @@
 }
 
 /*
- * A held request to which something applies.  Any of a queue may be it: by its
- * rank one stands behind others that have more time.
+ * Returns a queued request for which a condition holds, or NULL.  The whole
+ * queue is searched, as it is ordered by rank first: a request may be behind
+ * others that have more time left.
  */
 static struct disp_req *
 find(const struct disp *d, int queue,
-    bool (*applies)(const struct disp_req *, int64_t), int64_t now)
+    bool (*condition)(const struct disp_req *, int64_t), int64_t now)
 {
 	const struct queue *q = &d->queues[queue];
 	size_t i;
 
 	for (i = 0; i < q->n; i++)
-		if (applies(q->heap[i]->data, now))
+		if (condition(q->heap[i]->data, now))
 			return q->heap[i]->data;
 	return NULL;
 }
@@ -71,8 +72,8 @@
 }
 
 /*
- * What can no longer be in time makes way for what can, and is not held where
- * that would only end at its deadline.
+ * Moves requests that can no longer meet their targets to the queue of late
+ * ones, or refuses them where they would only wait until their deadlines.
  */
 void
 disp_sort_late(struct disp *d)
@@ -89,7 +90,10 @@
 	}
 }
 
-/* One that is late, or a suspect, cannot be answered in time any more. */
+/*
+ * Returns whether a late request, or one that waits for an isolated run, can no
+ * longer be answered before its deadline.
+ */
 static bool
 is_hopeless(const struct disp_req *r, int64_t now)
 {
@@ -104,8 +108,8 @@
 }
 
 /*
- * Those whose deadline has passed.  A late one is refused as soon as it
- * cannot be answered before its deadline any more: it has not run.
+ * A hopeless request is refused before its deadline, and its caller learns that
+ * it has not run.
  */
 void
 disp_expire(struct disp *d, int queue, int64_t now)
@@ -123,7 +127,7 @@
 	}
 }
 
-/* Nothing can be used any more: what is held need not wait for that. */
+/* Called when no backend server is usable; waiting would be useless then. */
 void
 disp_give_up_all(struct disp *d, int queue)
 {
--- a/disp_move.c
+++ b/disp_move.c
@@ -12,72 +12,76 @@
 #include "pace.h"
 
 /*
- * A try that sits in a slow spell is begun elsewhere where that changes what
- * the answer is worth: it would come after its target, or not at all, and
- * elsewhere it comes in time.
+ * Moves attempts away from slow backend servers.  An attempt that is slowed
+ * down is stopped and repeated at another server if it would miss its target or
+ * its deadline and the new attempt is expected to meet it.
  */
 
-/* A try that has taken so many times what was expected met a spell. */
-static const double OVERDUE = 2.0;
-/* Elsewhere it is reckoned with this much more than the work. */
-static const double RESERVE = 1.2;
+/* An attempt that took so many times the expected time met a slow period. */
+static const double OVERDUE_FACTOR = 2.0;
+/* Factor on the service time when the end of a new attempt is estimated. */
+static const double NEW_ATTEMPT_MARGIN = 1.2;
 
-enum { TRIES_MAX = 3 };
+enum { DEFAULT_MAX_ATTEMPTS = 3 };
 
-/* When the try under way is likely to end. */
+/* Returns the expected end of the current attempt. */
 static int64_t
-end_here(const struct disp *d, const struct disp_req *r, int64_t now)
+estimate_end(const struct disp *d, const struct disp_req *r, int64_t now)
 {
-	double own = r->at->factor > 0 ? r->at->factor : 1;
-	double work = (double)r->work * own * r->slowdown;
+	double ratio = r->at->factor > 0 ? r->at->factor : 1;
+	double work = (double)r->work * ratio * r->slowdown;
 	double expected = work * (r->told ? r->pace : 1);
 
 	if (pick_is_silent(r->at))
 		return INT64_MAX;
-	if ((double)(now - r->sent) > expected * OVERDUE)
+	if ((double)(now - r->sent) > expected * OVERDUE_FACTOR)
 		expected = work * MAX(d->slow_pace, r->pace);
 	return MAX(r->sent + (int64_t)expected, now);
 }
 
-/* Would an end at `there` be worth more than one at `here`? */
+/*
+ * Returns whether only the new attempt, which ends at `new_end`, meets the
+ * target or the deadline.
+ */
 static bool
-is_worth_more(const struct disp_req *r, int64_t here, int64_t there)
+is_better_end(const struct disp_req *r, int64_t current_end, int64_t new_end)
 {
-	if (here > r->target && there <= r->target)
+	if (current_end > r->target && new_end <= r->target)
 		return true;
-	return here > r->deadline && there <= r->deadline;
+	return current_end > r->deadline && new_end <= r->deadline;
 }
 
 static bool
-may_move(struct disp *d, const struct disp_req *r)
+is_movable(struct disp *d, const struct disp_req *r)
 {
-	int tries = r->attempts > 0 ? r->attempts : TRIES_MAX;
+	int max = r->attempts > 0 ? r->attempts : DEFAULT_MAX_ATTEMPTS;
 
 	return r->target != 0 && r->work != 0 && r->repeatable && !r->trial &&
-	    r->tries < tries && disp_retryable(d, r, DISP_SLOW);
+	    r->tries < max && disp_retryable(d, r, DISP_SLOW);
 }
 
 /*
- * True if the try should be moved now.  Where no good place is known, some
- * are asked, and their answers lead here again.
+ * Returns whether the attempt should be moved now.  If no fast server is known,
+ * sends load queries; the check is repeated when their answers arrive.
  */
 static bool
 should_move(struct disp *d, const struct disp_req *r, int64_t now)
 {
 	struct pick_set set = disp_set_of(d);
-	struct pick_want want = {r->cls, r->at, r->work};
-	int64_t here = end_here(d, r, now);
-	int64_t there = now + (int64_t)((double)r->work * RESERVE);
-	int at;
+	struct pick_want criteria = {r->cls, r->at, r->work};
+	int64_t current_end = estimate_end(d, r, now);
+	int64_t new_end = now + (int64_t)((double)r->work * NEW_ATTEMPT_MARGIN);
+	int chosen;
 
-	if (!is_worth_more(r, here, there))
+	if (!is_better_end(r, current_end, new_end))
 		return false;
-	at = d->params.policy->choose(&set, &want, now, d->rnd);
-	if (at == PICK_NONE || set.v[at] == r->at)
+	chosen = d->params.policy->choose(&set, &criteria, now, d->rnd);
+	if (chosen == PICK_NONE || set.v[chosen] == r->at)
 		return false;
-	if (pace_is_good(set.v[at], now)) {
-		there = now + pace_time(set.v[at], r->work, d->mean_pace, now);
-		return is_worth_more(r, here, there);
+	if (pace_is_good(set.v[chosen], now)) {
+		new_end =
+		    now + pace_time(set.v[chosen], r->work, d->mean_pace, now);
+		return is_better_end(r, current_end, new_end);
 	}
 	disp_peek_some(d, r->work, now);
 	return false;
@@ -87,17 +91,17 @@
 first_to_move(struct disp *d, int64_t now)
 {
 	struct disp_req *r;
-	GList *at;
+	GList *node;
 
-	for (at = d->out.head; at != NULL; at = at->next) {
-		r = at->data;
-		if (may_move(d, r) && should_move(d, r, now))
+	for (node = d->out.head; node != NULL; node = node->next) {
+		r = node->data;
+		if (is_movable(d, r) && should_move(d, r, now))
 			return r;
 	}
 	return NULL;
 }
 
-/* Each move changes the list, so it is looked through anew. */
+/* Each move changes the list, so the search starts again after it. */
 void
 disp_move(struct disp *d, int64_t now)
 {
--- a/disp_pace.c
+++ b/disp_pace.c
@@ -12,37 +12,39 @@
 #include "pace.h"
 
 /*
- * Arrivals under the policy that goes by pace: a request waits for a place
- * where it can be in time, goes to another hall, or is refused at once.
+ * Admission under the latency-aware policy: a request waits for a server where
+ * it can meet its target, is forwarded to another hall, or is refused at once.
  */
 
-/* A pass to another hall and back takes about so long. */
-#define PASS_COST_NS (5 * NS_MS)
+/* Approximate round trip of a request that is forwarded to another hall. */
+#define FORWARD_COST_NS (5 * NS_MS)
 
 enum {
-	WORK_GUESS = 4, /* of a target, where nothing is known of the work */
-	/* Parts of the time that a caller has left, to come back after. */
-	COME_BACK_FIRST = 4,
-	COME_BACK_LAST = 3
+	/* Share of the time to the target that is assumed as service time. */
+	WORK_DIVISOR = 4,
+	/* Shares of the caller's remaining time, as bounds of Retry-After. */
+	RETRY_AFTER_MIN_DIVISOR = 4,
+	RETRY_AFTER_MAX_DIVISOR = 3
 };
 
 /*
- * Is the request late at the best place here, and may be in time in another
- * hall that has room?
+ * Returns whether the request would be late at the best server of this hall and
+ * may be in time in another one.
  */
 bool
 disp_pace_better_elsewhere(const struct disp *d, const struct disp_req *r,
     const struct pick_backend *b, int64_t now)
 {
 	if (!d->params.policy->paced || !r->may_pass || r->target == 0 ||
-	    r->work == 0 || !disp_is_in_time(r, now + PASS_COST_NS))
+	    r->work == 0 || !disp_is_in_time(r, now + FORWARD_COST_NS))
 		return false;
 	return now + pace_time(b, r->work, d->mean_pace, now) > r->target;
 }
 
 /*
- * Even the best place here is in a slow spell, which passes sooner than the
- * work would be done in it; unless there is no time left to wait.
+ * Returns whether the request should wait because even the best server is in a
+ * slow period, and the answer comes sooner if the request starts after it.
+ * False if there is no time left to wait.
  */
 bool
 disp_pace_should_wait(struct disp *d, const struct disp_req *r,
@@ -60,32 +62,27 @@
 }
 
 /*
- * Those that are served before the request: the held ones of its rank and of
- * more urgent ones.
- *
- * Load pattern: three times the load that all slots can do in time, for three
- * seconds, by a kind of rank 1 and two of rank 2.  With all that are held
- * counted, urgent requests were refused for the sake of others: 95.1 in 100 of
- * them were in time, and 99.8 are (virtual time, four seeds; 57 and 75 in 1.7
- * times the load where backend servers tell no load).
+ * Counts the queued requests that are served before this one: those of its rank
+ * and of more urgent ranks.  Less urgent ones do not count, or an overload by
+ * them would get urgent requests refused.
  */
 static size_t
 count_ahead(const struct disp *d, const struct disp_req *r)
 {
 	const struct queue *q = &d->queues[CLASS_INTERACTIVE];
-	const struct disp_req *held;
+	const struct disp_req *other;
 	size_t i, n = 0;
 
 	for (i = 0; i < q->n; i++) {
-		held = q->heap[i]->data;
-		n += held->rank <= r->rank;
+		other = q->heap[i]->data;
+		n += other->rank <= r->rank;
 	}
 	return n;
 }
 
-/* The time until a slot is free for the request. */
+/* Estimates the time in ns until a slot is free for the request. */
 static int64_t
-paced_wait(const struct disp *d, const struct disp_req *r)
+queue_wait(const struct disp *d, const struct disp_req *r)
 {
 	size_t ahead = count_ahead(d, r);
 	double slots = disp_slots(d);
@@ -100,32 +97,31 @@
 }
 
 /*
- * When a request that is refused for want of time may come back: some time
- * between a quarter and a third of what its caller has left, which is as long
- * as callers wait.
+ * Returns the Retry-After in ns of a request that is refused for lack of time:
+ * a random time between a quarter and a third of the time that its caller has
+ * left.
  *
- * Load pattern: a surge that outlasts the targets, or all callers at once after
- * a loss of all boxes.  What is refused then will be late in any case, and its
- * caller tries a few times only.  Sent back after the wait of the queue it met
- * the same surge again: 7.1 in 100 were not served at all in a surge of three
- * times the load, and 4.1 after a loss of all boxes; spread over this time it
- * is 0.8 and none, and as many are in time (virtual time, four seeds).
+ * In a surge that lasts longer than the targets, or after a failure of all
+ * boxes, a refused request is late in any case, and its caller makes only a few
+ * attempts.  A Retry-After of just the queueing time would bring it back into
+ * the same surge, and its caller would give up without an answer.
  */
 static int64_t
-come_back(const struct disp *d, const struct disp_req *r, int64_t wait)
+retry_after(const struct disp *d, const struct disp_req *r, int64_t wait)
 {
 	int64_t left = r->deadline - clk_ns(d->clk) - r->work;
-	int64_t first = left / COME_BACK_FIRST, last = left / COME_BACK_LAST;
+	int64_t min = left / RETRY_AFTER_MIN_DIVISOR;
+	int64_t max = left / RETRY_AFTER_MAX_DIVISOR;
 
-	if (r->target == 0 || first <= COME_BACK_MIN_NS)
+	if (r->target == 0 || min <= COME_BACK_MIN_NS)
 		return CLAMP(wait, COME_BACK_MIN_NS, COME_BACK_NS);
-	return first + (int64_t)rnd_below(d->rnd, (uint64_t)(last - first));
+	return min + (int64_t)rnd_below(d->rnd, (uint64_t)(max - min));
 }
 
 void
 disp_pace_refuse(struct disp *d, struct disp_req *r, int64_t wait)
 {
-	disp_drop(d, r, ERR_BUSY, come_back(d, r, wait));
+	disp_drop(d, r, ERR_BUSY, retry_after(d, r, wait));
 }
 
 int64_t
@@ -135,18 +131,18 @@
 
 	if (!disp_word_wait(d, 0, &wait) || wait <= DISP_REFUSED_AGAIN_NS)
 		return DISP_REFUSED_AGAIN_NS;
-	return come_back(d, r, wait);
+	return retry_after(d, r, wait);
 }
 
 /*
- * May the request wait for a slot?  What would be late is refused at once,
- * with the time when to come back, while coming back can still be worth
- * something; it is worth more than a late answer, and spares the queue.
+ * Decides whether the request may wait for a slot.  One that would be late is
+ * refused at once with a Retry-After, while a retry can still be useful: that
+ * is better than a late answer, and keeps the queue short.
  */
 bool
 disp_pace_may_wait(struct disp *d, struct disp_req *r)
 {
-	int64_t now = clk_ns(d->clk), wait = paced_wait(d, r);
+	int64_t now = clk_ns(d->clk), wait = queue_wait(d, r);
 	int64_t end = now + wait + (int64_t)((double)r->work * d->begin_pace);
 
 	r->judged = true;
@@ -168,14 +164,14 @@
 
 	r->work = disp_work_of(d, r->kind);
 	if (r->work == 0 && r->target != 0)
-		r->work = MAX((r->target - now) / WORK_GUESS, 0);
+		r->work = MAX((r->target - now) / WORK_DIVISOR, 0);
 	if (disp_peek_first(d, r, now)) {
 		disp_hold(d, r);
 		return;
 	}
 	if (d->queues[r->cls].n == 0 && disp_start(d, r))
 		return;
-	if (disp_pass(d, r) || disp_pass_to_shorter(d, r, paced_wait(d, r)))
+	if (disp_pass(d, r) || disp_pass_to_shorter(d, r, queue_wait(d, r)))
 		return;
 	if (disp_cold_asks(d, now) || disp_pace_may_wait(d, r))
 		disp_hold(d, r);
--- a/disp_pass.c
+++ b/disp_pass.c
@@ -12,25 +12,25 @@
 #include "region.h"
 
 /*
- * Other halls: what their homes told of their room, and what is passed to
- * them.
+ * Other halls: the capacity that they reported, and the forwarding of requests
+ * to them.
  */
 
-/* Passing to another hall must spare at least this much waiting. */
-#define PASS_GAIN_NS (3 * NS_MS)
+/* Forwarding must save at least twice this much waiting. */
+#define FORWARD_GAIN_NS (3 * NS_MS)
 
-enum { REMOTE_SPARE = 1 }; /* slots left to the hall they are in */
+enum { RESERVED_SLOTS = 1 }; /* free slots that are left to the other hall */
 
 static struct disp_remote_hall *
-remote_of(struct disp *d, struct str hall)
+find_or_add(struct disp *d, struct str hall)
 {
-	struct disp_remote_hall *m, add = {0};
+	struct disp_remote_hall *h, add = {0};
 	guint i;
 
 	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
-		if (str_eq(m->hall, hall))
-			return m;
+		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
+		if (str_eq(h->hall, hall))
+			return h;
 	}
 	add.hall = str_dup(hall);
 	g_array_append_val(d->remotes, add);
@@ -38,88 +38,90 @@
 	    d->remotes, struct disp_remote_hall, d->remotes->len - 1);
 }
 
-/* Is there room in another hall, as far as its home has told lately? */
+/* Returns whether another hall recently reported free slots. */
 static bool
-has_room(const struct disp_remote_hall *m, int64_t now)
+has_free_slots(const struct disp_remote_hall *h, int64_t now)
 {
-	return m->told != 0 && now - m->told <= REMOTE_FRESH_NS &&
-	    m->room.waiting == 0 && m->room.free > REMOTE_SPARE;
+	return h->told != 0 && now - h->told <= REMOTE_FRESH_NS &&
+	    h->room.waiting == 0 && h->room.free > RESERVED_SLOTS;
 }
 
 void
 disp_pass_free(struct disp *d)
 {
-	struct disp_remote_hall *m;
+	struct disp_remote_hall *h;
 	guint i;
 
 	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
-		str_free(&m->hall);
-		str_free(&m->region);
+		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
+		str_free(&h->hall);
+		str_free(&h->region);
 	}
 	g_array_free(d->remotes, TRUE);
 }
 
-/* May the request be served there, as far as its rule and the hall go? */
+/* Returns whether the hall has slots and the request's rule allows its region.
+ */
 static bool
-may_serve(const struct disp_remote_hall *m, const struct disp_req *r)
+is_allowed(const struct disp_remote_hall *h, const struct disp_req *r)
 {
-	return m->slots > 0 && region_allows(r->regions, m->region);
+	return h->slots > 0 && region_allows(r->regions, h->region);
 }
 
-/* Can a backend server there be tried, as far as its home has told lately? */
+/* Returns whether the hall recently reported usable slots, free or not. */
 bool
 disp_pass_may_try(
-    const struct disp_remote_hall *m, const struct disp_req *r, int64_t now)
+    const struct disp_remote_hall *h, const struct disp_req *r, int64_t now)
 {
-	return may_serve(m, r) && m->told != 0 &&
-	    now - m->told <= REMOTE_FRESH_NS && m->room.slots > 0;
+	return is_allowed(h, r) && h->told != 0 &&
+	    now - h->told <= REMOTE_FRESH_NS && h->room.slots > 0;
 }
 
 bool
 disp_has_room_elsewhere(
     const struct disp *d, const struct disp_req *r, int64_t now)
 {
-	const struct disp_remote_hall *m;
+	const struct disp_remote_hall *h;
 	guint i;
 
 	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
-		if (may_serve(m, r) && has_room(m, now))
+		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
+		if (is_allowed(h, r) && has_free_slots(h, now))
 			return true;
 	}
 	return false;
 }
 
-/* Halls of our region go before others, and then the most free slots. */
+/* Prefers halls in the own region, then the one with the most free slots. */
 static bool
-is_better(const struct disp_remote_hall *m, const struct disp_remote_hall *best)
+is_better(const struct disp_remote_hall *h, const struct disp_remote_hall *best)
 {
-	if (best == NULL || m->far != best->far)
+	if (best == NULL || h->far != best->far)
 		return best == NULL || best->far;
-	return m->room.free > best->room.free;
+	return h->room.free > best->room.free;
 }
 
 /*
- * Pass to another hall whose home has room.  If nothing here can be used, a
- * hall that has slots will do, whatever its home said last.
+ * Forwards the request to another hall with free slots.  If this hall has no
+ * usable backend server, any hall that has slots by configuration is chosen,
+ * whatever it reported.
  */
 bool
 disp_pass(struct disp *d, struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk);
 	bool must = disp_usable(d) == 0;
-	struct disp_remote_hall *m, *best = NULL;
+	struct disp_remote_hall *h, *best = NULL;
 	guint i;
 
 	if (!r->may_pass || !d->params.policy->holds)
 		return false;
 	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
-		if (!may_serve(m, r) || (!must && !has_room(m, now)))
+		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
+		if (!is_allowed(h, r) || (!must && !has_free_slots(h, now)))
 			continue;
-		if (is_better(m, best))
-			best = m;
+		if (is_better(h, best))
+			best = h;
 	}
 	if (best == NULL)
 		return false;
@@ -129,30 +131,31 @@
 }
 
 /*
- * Where all halls of a region hold requests, a new one goes to a hall that
- * would take it much sooner, so that a surge ends everywhere at the same time.
+ * Forwards the request to a hall of the region where it would wait much less
+ * than `wait` ns.  Where all halls of a region have queues, this keeps them
+ * balanced, so that a surge ends everywhere at about the same time.
  */
 bool
 disp_pass_to_shorter(struct disp *d, struct disp_req *r, int64_t wait)
 {
-	int64_t now = clk_ns(d->clk), usual = disp_usual(d), there;
-	struct disp_remote_hall *m, *best = NULL;
-	int64_t best_wait = wait - 2 * PASS_GAIN_NS;
+	int64_t now = clk_ns(d->clk), usual = disp_usual(d), remote_wait;
+	struct disp_remote_hall *h, *best = NULL;
+	int64_t best_wait = wait - 2 * FORWARD_GAIN_NS;
 	guint i;
 
 	if (!r->may_pass || !d->params.policy->holds)
 		return false;
 	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
-		if (!may_serve(m, r) || m->far || m->told == 0 ||
-		    m->room.slots == 0 || now - m->told > REMOTE_FRESH_NS)
+		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
+		if (!is_allowed(h, r) || h->far || h->told == 0 ||
+		    h->room.slots == 0 || now - h->told > REMOTE_FRESH_NS)
 			continue;
-		there = (int64_t)((double)usual * (m->room.waiting + 1) /
-		    m->room.slots);
-		if (there >= best_wait)
+		remote_wait = (int64_t)((double)usual * (h->room.waiting + 1) /
+		    h->room.slots);
+		if (remote_wait >= best_wait)
 			continue;
-		best_wait = there;
-		best = m;
+		best_wait = remote_wait;
+		best = h;
 	}
 	if (best == NULL)
 		return false;
@@ -164,27 +167,28 @@
 void
 disp_hall(struct disp *d, struct str hall, int slots)
 {
-	remote_of(d, hall)->slots = slots;
+	find_or_add(d, hall)->slots = slots;
 }
 
 void
-disp_hall_region(struct disp *d, struct str hall, struct str region, bool near)
+disp_hall_region(
+    struct disp *d, struct str hall, struct str region, bool same_region)
 {
-	struct disp_remote_hall *m = remote_of(d, hall);
+	struct disp_remote_hall *h = find_or_add(d, hall);
 
-	m->far = !near;
-	if (str_eq(m->region, region))
+	h->far = !same_region;
+	if (str_eq(h->region, region))
 		return;
-	str_free(&m->region);
-	m->region = str_dup(region);
+	str_free(&h->region);
+	h->region = str_dup(region);
 }
 
 void
 disp_remote(struct disp *d, struct str hall, const struct disp_room *room)
 {
-	struct disp_remote_hall *m = remote_of(d, hall);
+	struct disp_remote_hall *h = find_or_add(d, hall);
 
-	m->room = *room;
-	m->told = clk_ns(d->clk);
+	h->room = *room;
+	h->told = clk_ns(d->clk);
 	disp_serve(d);
 }
--- a/disp_peek.c
+++ b/disp_peek.c
@@ -12,37 +12,38 @@
 #include "pace.h"
 
 /*
- * Questions.  What a backend server told is old after some tens of
- * milliseconds, and a request that begins in a slow spell is slow to its end.
- * So a request that has no freshly told good place has some backend servers
- * asked, and waits for a good one as long as it can be in time all the same.
+ * Load queries to backend servers.  A load report is outdated after some tens
+ * of milliseconds, and a request that starts in a slow period stays slow to its
+ * end.  So if no recent report shows a fast server, a request gets some servers
+ * queried, and waits for a fast one as long as it can still meet its target.
  */
 
-/* One backend server is asked no more often than this. */
-#define GAP_NS (10 * NS_MS)
-/* And one that answered nothing, no more often than this. */
-#define SILENT_GAP_NS (100 * NS_MS)
-/* A request without a target waits for the first answers only. */
-#define WAIT_NS (12 * NS_MS)
+/* Shortest interval of queries to one backend server. */
+#define QUERY_GAP_NS (10 * NS_MS)
+/* The same for one that left the last queries unanswered. */
+#define UNRESPONSIVE_GAP_NS (100 * NS_MS)
+/* Longest wait for query results of a request without a target. */
+#define QUERY_WAIT_NS (12 * NS_MS)
 
 enum {
-	FAN = 3, /* backend servers that are asked at once for a request */
-	IN_TURN_MAX = 32 /* questions out, of those that go by turns */
+	QUERY_FANOUT = 3, /* backend servers queried at once for a request */
+	ROUND_ROBIN_MAX = 32 /* outstanding queries of round-robin querying */
 };
 
-/* Of the work, kept in reserve at the latest start of a request. */
-static const double RESERVE = 0.35;
+/* Share of the service time that is kept as a margin before the target. */
+static const double START_MARGIN = 0.35;
 
 static bool
-may_ask(const struct disp *d, const struct pick_backend *b, int64_t now)
+can_query(const struct disp *d, const struct pick_backend *b, int64_t now)
 {
 	return d->ops.peek != NULL && !b->mute && !b->peeking &&
-	    now - b->peeked_at >= GAP_NS;
+	    now - b->peeked_at >= QUERY_GAP_NS;
 }
 
 /*
- * Ask one backend server, whether it tells a load or not; false if a question
- * is out, or was asked less than `gap` ago.
+ * Sends a query to a backend server, whether it reports its load or not.
+ * Returns false if a query is outstanding, or the last one was sent less than
+ * `gap` ns ago.
  */
 bool
 disp_peek_after(
@@ -57,16 +58,23 @@
 	return true;
 }
 
-/* Ask one for its load; false if it was asked just now, or tells none. */
+/*
+ * Queries the load of a backend server.  Returns false if that was done just
+ * now or the server does not report its load.
+ */
 bool
 disp_peek_one(struct disp *d, struct pick_backend *b, int64_t now)
 {
-	return !b->mute && disp_peek_after(d, b, GAP_NS, now);
+	return !b->mute && disp_peek_after(d, b, QUERY_GAP_NS, now);
 }
 
-/* The free one that may be asked and looks best by now. */
+/*
+ * Returns the backend server with the shortest expected service time among
+ * those that have a free slot, no recent report, and can be queried; NULL if
+ * none.
+ */
 static struct pick_backend *
-best_to_ask(const struct disp *d, int64_t work, int64_t now)
+best_to_query(const struct disp *d, int64_t work, int64_t now)
 {
 	struct pick_backend *b, *best = NULL;
 	int64_t t, least = INT64_MAX;
@@ -75,7 +83,7 @@
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
 		if (pick_free(b, now) == 0 || pace_is_fresh(b, now) ||
-		    !may_ask(d, b, now))
+		    !can_query(d, b, now))
 			continue;
 		t = pace_time(b, work, d->mean_pace, now);
 		if (t < least) {
@@ -86,15 +94,15 @@
 	return best;
 }
 
-/* Ask the best few of those that are free. */
+/* Queries the most promising servers with free slots. */
 void
 disp_peek_some(struct disp *d, int64_t work, int64_t now)
 {
 	struct pick_backend *b;
 	unsigned i;
 
-	for (i = 0; i < FAN; i++) {
-		b = best_to_ask(d, work, now);
+	for (i = 0; i < QUERY_FANOUT; i++) {
+		b = best_to_query(d, work, now);
 		if (b == NULL)
 			return;
 		disp_peek_one(d, b, now);
@@ -102,7 +110,7 @@
 }
 
 static unsigned
-count_out(const struct disp *d)
+count_outstanding(const struct disp *d)
 {
 	const struct pick_backend *b;
 	unsigned n = 0;
@@ -116,28 +124,30 @@
 }
 
 /*
- * Ask those of a kind in turn, with few questions out at once.  Each of 430
- * servers of a lost hall asked by itself meant 4,500 new connections a second
- * and 190 MB in the box that was home for them.
+ * Queries the servers for which a condition holds in turn, with a limit on
+ * outstanding queries.  Without the limit, queries to the 430 servers of a hall
+ * that had failed opened 4,500 connections a second and took 190 MB in the box
+ * that owned the shard.
  */
 void
 disp_peek_in_turn(struct disp *d,
-    bool (*is_asked)(const struct pick_backend *, int64_t now), int64_t gap,
+    bool (*condition)(const struct pick_backend *, int64_t now), int64_t gap,
     int64_t now)
 {
-	unsigned out = count_out(d);
+	unsigned outstanding = count_outstanding(d);
 	struct pick_backend *b;
 	guint i, n = d->backends->len;
 
-	for (i = 0; i < n && out < IN_TURN_MAX; i++) {
+	for (i = 0; i < n && outstanding < ROUND_ROBIN_MAX; i++) {
 		b = g_ptr_array_index(d->backends, (d->ask_from + i) % n);
-		out += is_asked(b, now) && disp_peek_after(d, b, gap, now);
+		outstanding +=
+		    condition(b, now) && disp_peek_after(d, b, gap, now);
 	}
 	d->ask_from = n == 0 ? 0 : (d->ask_from + i) % n;
 }
 
 static bool
-may_be_back(const struct pick_backend *b, int64_t now)
+needs_recovery_query(const struct pick_backend *b, int64_t now)
 {
 	(void)now;
 	return pick_is_silent(b) && !b->gone && !b->evacuated && !b->leaves &&
@@ -145,63 +155,66 @@
 }
 
 /*
- * Those that answered nothing get no requests, so only a question can tell that
- * they are back.
- *
- * Load pattern: all backend servers of a hall are dark for seconds under load,
- * and its boxes are not.  Their home took them for slots: it held what came
- * until its deadline, and refused it then, 1.98 s after it came; with them
- * taken for lost it is 0.28 s, and 97.1 in 100 are in time instead of 91.7
- * (virtual time, four seeds).
+ * Queries servers that left queries unanswered.  They get no requests, so only
+ * a query can show that they work again.  If servers that are unreachable
+ * counted as usable, the shard's owner would queue requests for them until
+ * their deadlines and refuse them only then.
  */
 void
 disp_peek_silent(struct disp *d, int64_t now)
 {
-	disp_peek_in_turn(d, may_be_back, SILENT_GAP_NS, now);
+	disp_peek_in_turn(d, needs_recovery_query, UNRESPONSIVE_GAP_NS, now);
 }
 
-/* How many are free and tell their load; is one of them good, or asked? */
+/*
+ * Returns how many servers have a free slot and report their load.  *fast is
+ * set if a recent report shows that one of them is fast, *queried if one of
+ * them has an outstanding query.
+ */
 static unsigned
-count_free(const struct disp *d, int64_t now, bool *good, bool *asked)
+count_free(const struct disp *d, int64_t now, bool *fast, bool *queried)
 {
 	const struct pick_backend *b;
 	unsigned n = 0;
 	guint i;
 
-	*good = *asked = false;
+	*fast = *queried = false;
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
 		if (pick_free(b, now) == 0 || b->mute)
 			continue;
 		n++;
-		*good = *good || pace_is_good(b, now);
-		*asked = *asked || b->peeking;
+		*fast = *fast || pace_is_good(b, now);
+		*queried = *queried || b->peeking;
 	}
 	return n;
 }
 
-/* The latest moment to begin, wherever that is then. */
+/* Returns the time at which the request is sent even without a fast server. */
 static int64_t
 latest_start(const struct disp_req *r, int64_t now)
 {
 	if (r->target == 0)
-		return r->asked ? 0 : now + WAIT_NS;
-	return r->target - (int64_t)((double)r->work * (1 + RESERVE));
+		return r->asked ? 0 : now + QUERY_WAIT_NS;
+	return r->target - (int64_t)((double)r->work * (1 + START_MARGIN));
 }
 
-/* True if the request should wait for a good place before it is sent. */
+/*
+ * Returns whether the request should wait for a fast server before it is sent;
+ * if so, servers have been queried.
+ */
 bool
 disp_peek_first(struct disp *d, struct disp_req *r, int64_t now)
 {
-	bool good, asked;
+	bool fast, queried;
 
 	if (!d->params.policy->paced || d->ops.peek == NULL || r->work == 0 ||
 	    now >= latest_start(r, now))
 		return false;
-	if (count_free(d, now, &good, &asked) == 0 || good)
+	if (count_free(d, now, &fast, &queried) == 0 || fast)
 		return false;
-	/* All that were asked here are slow: start() looks elsewhere. */
-	if (r->asked && !asked && r->may_pass &&
+	/* All queried servers are slow; the caller tries other halls. */
+	if (r->asked && !queried && r->may_pass &&
 	    disp_has_room_elsewhere(d, r, now))
 		return false;
 	disp_peek_some(d, r->work, now);
--- a/disp_roll.c
+++ b/disp_roll.c
@@ -13,28 +13,30 @@
 /*
  * Two versions of a service, while a roll-out replaces one by the other.
  *
- * Load pattern: the new version's servers start beside the old ones, empty and
- * quick to answer, and would draw most of the requests at once; or nobody asks
- * them how fast they are, and they get none.  So they may be chosen only while
- * the roll-out owes them a request, and are chosen first then; their room is
- * not counted on before they get all.
+ * The servers of the new version start beside the old ones.  As they are idle
+ * and answer fast they would get most of the requests at once; or they would
+ * get none, as their load is not known.  So they may be chosen only while the
+ * roll-out's share of requests for them is not used up, and are then preferred.
+ * Their capacity is not counted until they get all requests.
  */
 
 enum {
 	/*
-	 * Of so many there is a good one at each moment, for nearly all; where
-	 * there are fewer in all, these must do, or nothing would be learned.
+	 * Free servers of the new version that are needed to prefer it: among
+	 * so many one is nearly always fast.  If it has fewer usable servers,
+	 * all of them must be free, as nothing would be learned otherwise.
 	 */
-	FIRST_FREE_MIN = 3,
-	/* No more requests wait for a server of the new version. */
-	FIRST_HELD_MAX = 3
+	PREFER_FREE_MIN = 3,
+	/* With more queued requests the new version is not preferred. */
+	PREFER_QUEUED_MAX = 3
 };
 
-/* An answer that took so many times what was expected is slow. */
+/* An answer is slow if it took so many times the expected time, */
 static const double SLOW_FACTOR = 3;
-/* And so much more: servers that are new cost a connection each at first. */
-#define SLOW_LEAST_NS (10 * NS_MS)
+/* and so much longer: new servers first need a new connection each. */
+#define SLOW_MIN_EXCESS_NS (10 * NS_MS)
 
+/* Updates what the roll-out allows for a backend server. */
 static void
 mark(struct pick_backend *b, const struct disp *d)
 {
@@ -45,23 +47,23 @@
 	b->uncounted = roll != NULL && !roll_counts_on(roll, b->is_new);
 }
 
-/* Does the next request go to the new version, if that has a good server? */
+/* Returns whether servers of the new version are preferred now. */
 static bool
-is_new_first(const struct disp *d)
+should_prefer_new(const struct disp *d)
 {
 	int64_t now = clk_ns(d->clk);
 	const struct pick_backend *b;
 	unsigned all = 0, n = 0;
 	guint i;
 
-	if (d->queues[CLASS_INTERACTIVE].n > FIRST_HELD_MAX)
+	if (d->queues[CLASS_INTERACTIVE].n > PREFER_QUEUED_MAX)
 		return false;
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
 		all += b->is_new && pick_usable(b, now);
 		n += b->is_new && pick_free(b, now) > 0;
 	}
-	return n > 0 && n >= MIN(all, FIRST_FREE_MIN);
+	return n > 0 && n >= MIN(all, PREFER_FREE_MIN);
 }
 
 void
@@ -77,12 +79,12 @@
 		mark(g_ptr_array_index(d->backends, i), d);
 }
 
-/* A request is about to be placed. */
+/* Updates the marks if needed; called before a server is chosen. */
 void
 disp_roll_look(struct disp *d)
 {
 	const struct roll *roll = d->params.roll;
-	bool first;
+	bool prefer_new;
 	guint i;
 
 	if (roll == NULL)
@@ -90,10 +92,10 @@
 	if (d->new_may != roll_may_send(roll, true) ||
 	    d->old_may != roll_may_send(roll, false))
 		disp_roll_mark(d);
-	first = d->new_may && d->old_may && is_new_first(d);
-	if (first == d->new_first)
+	prefer_new = d->new_may && d->old_may && should_prefer_new(d);
+	if (prefer_new == d->new_first)
 		return;
-	d->new_first = first;
+	d->new_first = prefer_new;
 	for (i = 0; i < d->backends->len; i++)
 		mark(g_ptr_array_index(d->backends, i), d);
 }
@@ -107,7 +109,11 @@
 	disp_roll_look(d);
 }
 
-/* Where no pace was told, the time may be that of a slow spell. */
+/*
+ * Returns whether the attempt was slower than expected.  Without a recent load
+ * report from a server that sends them this is unknown, as the attempt may have
+ * met a slow period.
+ */
 static bool
 is_slow(const struct disp *d, const struct disp_req *r,
     const struct pick_backend *b)
@@ -119,11 +125,12 @@
 		return false;
 	if (r->told)
 		expected *= r->pace;
-	return took > SLOW_FACTOR * expected && took - expected > SLOW_LEAST_NS;
+	return took > SLOW_FACTOR * expected &&
+	    took - expected > SLOW_MIN_EXCESS_NS;
 }
 
 static enum verdict_answer
-answer_of(const struct disp *d, const struct disp_req *r,
+classify_answer(const struct disp *d, const struct disp_req *r,
     const struct pick_backend *b, enum disp_outcome outcome)
 {
 	switch (outcome) {
@@ -150,7 +157,7 @@
 
 	if (roll == NULL)
 		return;
-	roll_ended(roll, b->is_new, r->kind, answer_of(d, r, b, outcome));
+	roll_ended(roll, b->is_new, r->kind, classify_answer(d, r, b, outcome));
 	disp_roll_look(d);
 }
 
--- a/disp_set.c
+++ b/disp_set.c
@@ -13,12 +13,12 @@
 #include "libdisp.h"
 
 /*
- * The shard's backend servers, as configuration, probes and they themselves
- * tell.
+ * The backend servers of the shard, with what the configuration, health probes
+ * and their own reports show of them.
  */
 
-/* Those so many times as slow as the fastest say nothing of the rest. */
-enum { FAR_FACTOR = 4 };
+/* Servers so many times slower than the fastest are outliers. */
+enum { OUTLIER_FACTOR = 4 };
 
 struct pick_set
 disp_set_of(const struct disp *d)
@@ -66,20 +66,21 @@
 }
 
 /*
- * Has it another address, or started anew under its name?  Then it holds
- * nothing of what was there, and none of what we know of it holds.
+ * Returns whether a configured server has another address or start time than
+ * the known one of this name.  It is then a new instance, to which none of the
+ * state of the old one applies.
  */
 static bool
-is_another(const struct pick_backend *b, const struct disp_backend *conf)
+is_new_instance(const struct pick_backend *b, const struct disp_backend *conf)
 {
 	return !str_eq(b->address, conf->address) ||
 	    (b->born_ms != 0 && conf->born_ms != 0 &&
 		b->born_ms != conf->born_ms);
 }
 
-/* Go by what it said before, to this box or another. */
+/* Applies what the server has reported before, to this box or to another. */
 static void
-recall(struct disp *d, struct pick_backend *b)
+apply_reports(struct disp *d, struct pick_backend *b)
 {
 	const struct word *w = d->params.words == NULL
 	    ? NULL
@@ -98,30 +99,31 @@
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++)
-		recall(d, g_ptr_array_index(d->backends, i));
+		apply_reports(d, g_ptr_array_index(d->backends, i));
 	disp_serve(d);
 }
 
 /*
- * Known ones have served before we learned of them, and are warm.
+ * Adds or updates a backend server.  `assume_up` is set for servers that
+ * probably served requests before this dispatcher learned of them.
  */
 static void
-update(struct disp *d, const struct disp_backend *conf, bool known)
+update(struct disp *d, const struct disp_backend *conf, bool assume_up)
 {
 	struct pick_backend *b = disp_find(d, conf->name);
-	bool fresh;
+	bool added;
 
-	if (b != NULL && is_another(b, conf)) {
+	if (b != NULL && is_new_instance(b, conf)) {
 		b->gone = true;
 		b = NULL;
 	}
-	fresh = b == NULL;
-	if (fresh) {
+	added = b == NULL;
+	if (added) {
 		b = g_new0(struct pick_backend, 1);
 		b->name = str_dup(conf->name);
 		b->address = str_dup(conf->address);
 		b->state = (enum pick_state)chart_start(d->params.chart);
-		if (known)
+		if (assume_up)
 			b->state = PICK_UP;
 		b->heard_at = clk_ns(d->clk);
 		b->cold_bound = &d->params.cold;
@@ -131,8 +133,8 @@
 	b->slots = conf->slots;
 	b->is_new = conf->is_new;
 	b->born_ms = conf->born_ms;
-	if (fresh)
-		recall(d, b);
+	if (added)
+		apply_reports(d, b);
 	if (b->evacuated && !conf->evacuated)
 		disp_cold_suspect(d, b, conf->warm_ns);
 	pick_evacuate(b, d->params.chart, conf->evacuated);
@@ -142,7 +144,7 @@
 }
 
 static bool
-listed(const struct disp_backend *v, unsigned n, struct str name)
+is_listed(const struct disp_backend *v, unsigned n, struct str name)
 {
 	unsigned i;
 
@@ -153,9 +155,10 @@
 }
 
 /*
- * The first list of a gate that has just become home tells nothing of when its
- * backend servers started.  Taken for cold, they would get one request each
- * while all that came in an outage waits.
+ * The first list of a gate that has just become the shard's owner does not show
+ * when its backend servers started.  If they started in the chart's state for
+ * cold servers, each would get one request at a time while all requests that
+ * arrived during an outage wait.
  */
 void
 disp_backends(struct disp *d, const struct disp_backend *v, unsigned n)
@@ -166,7 +169,7 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (!listed(v, n, b->name))
+		if (!is_listed(v, n, b->name))
 			b->gone = true;
 	}
 	for (i = 0; i < n; i++)
@@ -178,7 +181,6 @@
 	disp_serve(d);
 }
 
-/* Free the backend servers that are gone and have answered all. */
 void
 disp_sweep(struct disp *d)
 {
@@ -195,8 +197,8 @@
 }
 
 /*
- * What a request usually takes here: the mean over the backend servers, but
- * for those that are far slower than the fastest.
+ * The mean over the backend servers, without those that are far slower than the
+ * fastest.
  */
 int64_t
 disp_usual(const struct disp *d)
@@ -212,7 +214,7 @@
 	}
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (b->usual == 0 || b->usual > least * FAR_FACTOR)
+		if (b->usual == 0 || b->usual > least * OUTLIER_FACTOR)
 			continue;
 		sum += b->usual;
 		n++;
@@ -221,8 +223,9 @@
 }
 
 /*
- * A drain that its object tells is not undone by a probe; one that the backend
- * server told itself is, as what it answers to a probe is its word, too.
+ * A probe result does not end a drain that is configured in the server's
+ * object. It ends one that the server reported itself, as the answer to a probe
+ * is a report of the server, too.
  */
 void
 disp_health(struct disp *d, struct str backend, bool down, bool drain)
@@ -242,20 +245,19 @@
 }
 
 void
-disp_load_told(
-    struct disp *d, struct pick_backend *b, int running, int waiting, int pace)
+disp_load_told(struct disp *d, struct pick_backend *b, int running, int waiting,
+    int percent)
 {
-	disp_work_told(d, pace);
+	disp_work_told(d, percent);
 	b->told_running = running;
 	b->told_waiting = waiting;
-	b->told_pace = pace;
+	b->told_pace = percent;
 	b->told_at = clk_ns(d->clk);
 }
 
-/* Two questions in a row without an answer speak against a backend server. */
 void
 disp_peeked(struct disp *d, struct str backend, bool answered, int running,
-    int waiting, int pace)
+    int waiting, int percent)
 {
 	struct pick_backend *b = disp_find(d, backend);
 
@@ -265,10 +267,10 @@
 	if (answered) {
 		b->silent = 0;
 		b->heard_at = clk_ns(d->clk);
-		b->mute = pace == 0;
+		b->mute = percent == 0;
 	}
 	if (answered && !b->mute) {
-		disp_load_told(d, b, running, waiting, pace);
+		disp_load_told(d, b, running, waiting, percent);
 	} else if (!answered) {
 		b->silent++;
 		disp_cold_suspect(d, b, 0);
@@ -294,36 +296,36 @@
 {
 	struct pick_backend *b = disp_find(d, backend);
 	int64_t now = clk_ns(d->clk);
-	bool knew;
+	bool was_confirmed;
 
 	if (b == NULL || d->params.cold.rate <= 0)
 		return false;
-	knew = cold_is(&b->cold, now) && !cold_in_doubt(&b->cold, now);
+	was_confirmed = cold_is(&b->cold, now) && !cold_in_doubt(&b->cold, now);
 	cold_told(&b->cold, ns, now);
-	return cold_is(&b->cold, now) != knew;
+	return cold_is(&b->cold, now) != was_confirmed;
 }
 
 /*
- * Its own word goes before its entry, which may be of before or cannot be
- * written: it holds for as long as it lives.
+ * The server's own report has priority over its configuration entry, which may
+ * be older or may not be writable now.  It holds until the process ends.
  */
 bool
 disp_leaves_told(struct pick_backend *b)
 {
-	bool news = !b->leaves;
+	bool changed = !b->leaves;
 
 	b->leaves = true;
-	return news;
+	return changed;
 }
 
 bool
 disp_rest_told(struct disp *d, struct pick_backend *b, int64_t ns)
 {
 	int64_t now = clk_ns(d->clk);
-	bool news = ns > 0 && b->rest_until <= now;
+	bool changed = ns > 0 && b->rest_until <= now;
 
 	b->rest_until = MAX(b->rest_until, now + ns);
-	return news;
+	return changed;
 }
 
 bool
@@ -338,7 +340,7 @@
 {
 	int64_t now = clk_ns(d->clk);
 	const struct pick_backend *b;
-	double slots = 0, bound = 0;
+	double slots = 0, limited_slots = 0;
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++) {
@@ -346,11 +348,11 @@
 		if (b->uncounted || !pick_usable(b, now))
 			continue;
 		if (b->quota.rate > 0)
-			bound += disp_word_slots(d, b);
+			limited_slots += disp_word_slots(d, b);
 		else
 			slots += disp_word_slots(d, b);
 	}
-	return ceil(slots) + bound;
+	return ceil(slots) + limited_slots;
 }
 
 struct disp_room
@@ -387,10 +389,10 @@
 }
 
 void
-disp_each(const struct disp *d, disp_visit_fn *visit, void *ctx)
+disp_each(const struct disp *d, disp_visit_fn *fn, void *ctx)
 {
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++)
-		visit(ctx, g_ptr_array_index(d->backends, i));
+		fn(ctx, g_ptr_array_index(d->backends, i));
 }
--- a/disp_stop.c
+++ b/disp_stop.c
@@ -11,59 +11,60 @@
 #include "libdisp.h"
 
 /*
- * Tries that are far too slow, under the policies that hold and do not go by
- * pace; disp_move.c has those of the policy that does.
+ * Attempts that are far too slow, under policies that queue requests but are
+ * not latency-aware; disp_move.c handles those of the latency-aware policy.
  */
 
-/* A try is stopped after so many times its usual length, and no sooner. */
+/* An attempt is not stopped before this time, */
 #define STOP_MIN_NS (40 * NS_MS)
 
-enum { STOP_FACTOR = 4 };
+enum { STOP_FACTOR = 4 }; /* nor before so many times the usual latency */
 
 /*
- * A try that takes far longer than usual is stopped and begun elsewhere,
- * once for each request and within the retry budget, where that can be done
- * at once.  Bulk takes the time it takes.
+ * Returns whether an attempt takes far longer than usual and should be stopped,
+ * to be repeated at another server.  This is done once for each request, within
+ * the retry budget, and only if another server has a free slot now.  Bulk
+ * requests are never stopped.
  */
 static bool
-is_stuck(struct disp *d, const struct disp_req *r, int64_t now)
+is_too_slow(struct disp *d, const struct disp_req *r, int64_t now)
 {
 	const struct pick_backend *b = r->at;
 	struct pick_set set = disp_set_of(d);
-	struct pick_want want = {r->cls, b, r->work};
+	struct pick_want criteria = {r->cls, b, r->work};
 	int64_t limit = MAX(disp_usual(d) * STOP_FACTOR, STOP_MIN_NS);
-	int at;
+	int chosen;
 
 	if (now - r->sent <= limit || r->stopped || r->trial ||
 	    r->cls != CLASS_INTERACTIVE || !disp_retryable(d, r, DISP_SLOW))
 		return false;
-	at = d->params.policy->choose(&set, &want, now, d->rnd);
-	return at != PICK_NONE && set.v[at] != b;
+	chosen = d->params.policy->choose(&set, &criteria, now, d->rnd);
+	return chosen != PICK_NONE && set.v[chosen] != b;
 }
 
 static struct disp_req *
-first_stuck(struct disp *d, int64_t now)
+first_too_slow(struct disp *d, int64_t now)
 {
 	struct disp_req *r;
-	GList *at;
+	GList *node;
 
-	for (at = d->out.head; at != NULL; at = at->next) {
-		r = at->data;
+	for (node = d->out.head; node != NULL; node = node->next) {
+		r = node->data;
 		if (now - r->sent <= STOP_MIN_NS)
 			return NULL;
-		if (is_stuck(d, r, now))
+		if (is_too_slow(d, r, now))
 			return r;
 	}
 	return NULL;
 }
 
-/* Each stop changes the list, so it is looked through anew. */
+/* Each stop changes the list, so the search starts again after it. */
 void
 disp_stop_stuck(struct disp *d, int64_t now)
 {
 	struct disp_req *r;
 
-	while ((r = first_stuck(d, now)) != NULL) {
+	while ((r = first_too_slow(d, now)) != NULL) {
 		r->stopped = true;
 		d->ops.stop(d->ops.ctx, r);
 	}
--- a/disp_trial.c
+++ b/disp_trial.c
@@ -13,24 +13,22 @@
 #include "libdisp.h"
 
 /*
- * Requests under which a backend server ended: poison.h.
+ * Isolated runs, called trials, of requests that may crash backend servers:
+ * poison.h.
  *
- * A suspect is sent to a backend server where nothing else runs, and nothing
- * else is sent there meanwhile: if that ends too, nobody else is to blame or
- * is harmed.  All halls bring a suspect to one of them, and that one runs one
- * trial of it at a time, so that a request of which many copies come at once
- * ends one backend server and not one for each hall or copy.
- *
- * Load pattern: a request that ends what runs it comes twelve times, with three
- * others each time, to six backend servers.  Each arrival began anew: all six
- * ended, and 28 of 36 others were not served; now three end, and all others
- * are served (real processes, three runs each).
+ * A request is a suspect if it was in flight when a backend server crashed.  It
+ * is sent to an idle backend server, which gets no other request meanwhile: if
+ * that server crashes too, the suspect is the cause, and no other request is
+ * lost.  All halls forward a suspect to the same hall, which runs one trial of
+ * it at a time.  So a request of which many copies arrive at once crashes one
+ * backend server, and not one for each hall or copy.  If each arrival were
+ * judged anew, the copies of one request would crash all servers of a service.
  */
 
 /*
- * Of the backend servers that may be used, one in so many may have a trial at
- * a time: after a loss of many there are many suspects, and the others' room
- * must not go to them.
+ * Only one in so many usable backend servers may run a trial at a time.  After
+ * a crash of many servers there are many suspects, and these must not use up
+ * the capacity for other requests.
  */
 enum { TRIAL_SHARE = 3 };
 
@@ -41,7 +39,7 @@
 	    poison_look(d->params.poison, r->print) == POISON_SUSPECT;
 }
 
-/* Where a request has to wait for a trial. */
+/* Returns whether a request has to wait for a trial. */
 bool
 disp_trial_holds(const struct disp *d, const struct disp_req *r)
 {
@@ -55,53 +53,55 @@
 }
 
 static void
-drop_proved(struct disp *d, struct disp_req *r)
+refuse_proved(struct disp *d, struct disp_req *r)
 {
 	disp_drop(d, r, ERR_POISON,
 	    poison_until(d->params.poison, r->print) - clk_ns(d->clk));
 }
 
+/* The weight of a hall in rendezvous hashing of a fingerprint. */
 static uint64_t
-weight(struct str hall, struct fprint print)
+hall_weight(struct str hall, struct fprint fingerprint)
 {
-	return XXH3_64bits_withSeed(hall.p, hall.n, print.lo);
+	return XXH3_64bits_withSeed(hall.p, hall.n, fingerprint.lo);
 }
 
-/* The hall where a suspect has its trials; empty: ours. */
+/* Returns the hall that runs the trials of a suspect; empty: this one. */
 static struct str
 trial_hall(const struct disp *d, const struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk);
-	uint64_t best_w = weight(d->params.hall, r->print), w;
+	uint64_t best_weight = hall_weight(d->params.hall, r->print), weight;
 	struct str best = str_c(NULL);
-	const struct disp_remote_hall *m;
+	const struct disp_remote_hall *h;
 	guint i;
 
 	if (disp_usable(d) == 0)
-		best_w = 0;
+		best_weight = 0;
 	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
-		if (!disp_pass_may_try(m, r, now))
+		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
+		if (!disp_pass_may_try(h, r, now))
 			continue;
-		w = weight(m->hall, r->print);
-		if (w < best_w)
+		weight = hall_weight(h->hall, r->print);
+		if (weight < best_weight)
 			continue;
-		best_w = w;
-		best = m->hall;
+		best_weight = weight;
+		best = h->hall;
 	}
 	return best;
 }
 
-/* Is a trial of it under way, or is its outcome not known yet? */
+/* Returns whether a trial of the request is running or its result is unknown.
+ */
 static bool
-is_on_trial(const struct disp *d, const struct disp_req *r)
+is_trial_running(const struct disp *d, const struct disp_req *r)
 {
 	const struct disp_req *other;
-	const GList *at;
+	const GList *node;
 	guint i;
 
-	for (at = d->out.head; at != NULL; at = at->next) {
-		other = at->data;
+	for (node = d->out.head; node != NULL; node = node->next) {
+		other = node->data;
 		if (other->trial && fprint_same(other->print, r->print))
 			return true;
 	}
@@ -126,18 +126,21 @@
 	return n;
 }
 
-/* Give back the backend server that was being emptied. */
+/* Releases the backend server that was reserved for the next trial. */
 static void
-let_go(struct disp *d)
+release_reserved(struct disp *d)
 {
 	if (d->emptied != NULL)
 		d->emptied->alone = false;
 	d->emptied = NULL;
 }
 
-/* Nothing new goes to the one that will be empty first, as far as is known. */
+/*
+ * Reserves the backend server with the fewest requests in flight for the next
+ * trial.  It gets no new requests until it is idle.
+ */
 static void
-empty_one(struct disp *d)
+reserve_backend(struct disp *d)
 {
 	int64_t now = clk_ns(d->clk);
 	struct pick_backend *b, *best = NULL;
@@ -145,7 +148,7 @@
 
 	if (d->emptied != NULL && pick_usable(d->emptied, now))
 		return;
-	let_go(d);
+	release_reserved(d);
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
 		if (b->alone || !pick_usable(b, now) || pick_is_silent(b))
@@ -159,33 +162,34 @@
 	d->emptied = best;
 }
 
-/* The best of those where nothing runs; NULL if there is none. */
+/* Returns the best idle backend server, or NULL if there is none. */
 static struct pick_backend *
-choose_empty(struct disp *d, const struct disp_req *r)
+choose_idle(struct disp *d, const struct disp_req *r)
 {
-	GPtrArray *empty = g_ptr_array_new();
+	GPtrArray *idle = g_ptr_array_new();
 	struct pick_set set = disp_set_of(d);
-	struct pick_want want = {r->cls, r->avoid, r->work};
+	struct pick_want criteria = {r->cls, r->avoid, r->work};
 	struct pick_backend *b = NULL;
 	guint i;
-	int at;
+	int chosen;
 
 	if (d->emptied != NULL && d->emptied->inflight == 0)
-		let_go(d);
+		release_reserved(d);
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
 		if (b->inflight == 0)
-			g_ptr_array_add(empty, b);
+			g_ptr_array_add(idle, b);
 	}
-	set.v = (struct pick_backend **)empty->pdata;
-	set.n = empty->len;
-	at = d->params.policy->choose(&set, &want, clk_ns(d->clk), d->rnd);
-	b = at == PICK_NONE ? NULL : set.v[at];
-	g_ptr_array_free(empty, TRUE);
+	set.v = (struct pick_backend **)idle->pdata;
+	set.n = idle->len;
+	chosen =
+	    d->params.policy->choose(&set, &criteria, clk_ns(d->clk), d->rnd);
+	b = chosen == PICK_NONE ? NULL : set.v[chosen];
+	g_ptr_array_free(idle, TRUE);
 	return b;
 }
 
-/* Start a trial if there is a place; otherwise one is made. */
+/* Starts a trial, or reserves a backend server for one if none is idle. */
 static bool
 start_trial(struct disp *d, struct disp_req *r)
 {
@@ -193,9 +197,9 @@
 
 	if (count_trials(d) >= MAX(disp_usable(d) / TRIAL_SHARE, 1))
 		return false;
-	b = choose_empty(d, r);
+	b = choose_idle(d, r);
 	if (b == NULL) {
-		empty_one(d);
+		reserve_backend(d);
 		return false;
 	}
 	disp_unhold(d, r);
@@ -205,15 +209,15 @@
 	return true;
 }
 
-/* What came of a look at a held request. */
-enum served {
-	SERVED, /* it was started, passed on, refused or held elsewhere */
-	WAITS, /* for an answer, or for another trial of its kind */
-	WANTS_PLACE
+/* Result of an attempt to serve a suspect from the queue. */
+enum serve_result {
+	SERVED, /* it was sent, forwarded, refused or put in another queue */
+	WAITS, /* for a load query, or for another trial of the same request */
+	NEEDS_BACKEND
 };
 
-static enum served
-serve_one(struct disp *d, struct disp_req *r)
+static enum serve_result
+serve_suspect(struct disp *d, struct disp_req *r)
 {
 	struct str hall;
 
@@ -221,7 +225,7 @@
 		return WAITS;
 	if (is_proved(d, r)) {
 		disp_unhold(d, r);
-		drop_proved(d, r);
+		refuse_proved(d, r);
 		return SERVED;
 	}
 	if (!is_suspect(d, r)) {
@@ -235,45 +239,48 @@
 		d->ops.pass(d->ops.ctx, r, hall);
 		return SERVED;
 	}
-	if (is_on_trial(d, r))
+	if (is_trial_running(d, r))
 		return WAITS;
-	return start_trial(d, r) ? SERVED : WANTS_PLACE;
+	return start_trial(d, r) ? SERVED : NEEDS_BACKEND;
 }
 
-/* Whatever is done may change the queue, so it is looked through anew. */
+/* Serving a request may change the queue, so the loop starts again after it. */
 void
 disp_trial_serve(struct disp *d)
 {
 	const struct queue *q = &d->queues[QUEUE_TRIAL];
-	bool wanted = false;
-	enum served served;
+	bool needed = false;
+	enum serve_result result;
 	size_t i = 0;
 
 	while (i < q->n) {
-		served = serve_one(d, q->heap[i]->data);
-		wanted = served != SERVED && (wanted || served == WANTS_PLACE);
-		i = served == SERVED ? 0 : i + 1;
+		result = serve_suspect(d, q->heap[i]->data);
+		needed =
+		    result != SERVED && (needed || result == NEEDS_BACKEND);
+		i = result == SERVED ? 0 : i + 1;
 	}
-	if (!wanted)
-		let_go(d);
+	if (!needed)
+		release_reserved(d);
 }
 
 /*
- * How long a suspect would wait: for those before it, as many at a time as
- * there may be trials.
+ * Estimates the time in ns until the trial of a new suspect ends: the suspects
+ * before it run in parallel, up to the limit of trials.
  */
 static int64_t
 trial_wait(const struct disp *d)
 {
-	unsigned places = MAX(disp_usable(d) / TRIAL_SHARE, 1);
-	double one = (double)d->mean_work * d->begin_pace;
+	unsigned parallel = MAX(disp_usable(d) / TRIAL_SHARE, 1);
+	double duration = (double)d->mean_work * d->begin_pace;
 
-	return (int64_t)((double)(d->queues[QUEUE_TRIAL].n + 1) * one / places);
+	return (int64_t)((double)(d->queues[QUEUE_TRIAL].n + 1) * duration /
+	    parallel);
 }
 
 /*
- * A request arrives.  True if it was taken: poison is refused at once, and a
- * suspect waits for its trial, or is refused if that would come too late.
+ * Checks a new request.  Returns true if it was handled here: one that is
+ * proved to crash servers is refused at once, and a suspect is queued for a
+ * trial, or refused if the trial would end after the deadline.
  */
 bool
 disp_trial_arrive(struct disp *d, struct disp_req *r)
@@ -284,7 +291,7 @@
 	if (d->params.poison == NULL)
 		return false;
 	if (is_proved(d, r)) {
-		drop_proved(d, r);
+		refuse_proved(d, r);
 		return true;
 	}
 	if (!is_suspect(d, r))
@@ -301,7 +308,10 @@
 	return true;
 }
 
-/* Some requests that are held have become suspects, or poison. */
+/*
+ * Checks a queued request again before it is sent, as it may have become a
+ * suspect or proved to be poison since.  Returns true if it was handled here.
+ */
 bool
 disp_trial_takes(struct disp *d, struct disp_req *r)
 {
@@ -309,7 +319,7 @@
 		return false;
 	if (is_proved(d, r)) {
 		disp_unhold(d, r);
-		drop_proved(d, r);
+		refuse_proved(d, r);
 		return true;
 	}
 	if (!is_suspect(d, r))
@@ -319,7 +329,7 @@
 	return true;
 }
 
-/* A try has ended: the backend server of a trial takes others again. */
+/* Handles the end of an attempt; releases the backend server of a trial. */
 void
 disp_trial_done(struct disp *d, struct disp_req *r, struct pick_backend *b,
     enum disp_outcome outcome)
--- a/disp_word.c
+++ b/disp_word.c
@@ -11,19 +11,19 @@
 #include "libdisp.h"
 
 /*
- * Backend servers that say what they take: how many requests a second, or that
- * they want none for a while.  What that is worth when waits are reckoned.
+ * Estimates of queueing times where backend servers have reported limits: a
+ * rate limit in requests per second, or a pause (Retry-After).
  */
 
-/* Waits are not looked for beyond this. */
+/* Upper bound of estimates. */
 #define WAIT_MAX_NS (10 * NS_S)
 
-/* A wait is known this well. */
+/* Precision of estimates. */
 #define WAIT_STEP_NS NS_MS
 
-/* What a request takes now, in seconds; 0: not known. */
+/* Returns the current service time in seconds; 0: unknown. */
 static double
-work_s(const struct disp *d)
+service_time_s(const struct disp *d)
 {
 	return (double)d->mean_work * d->begin_pace / NS_S;
 }
@@ -37,61 +37,65 @@
 		return 0;
 	if (b->quota.rate == 0)
 		return disp_cold_slots(d, b, now);
-	return MIN(b->quota.rate * work_s(d), pick_slots(b));
+	return MIN(b->quota.rate * service_time_s(d), pick_slots(b));
 }
 
 static bool
-is_limited(const struct pick_backend *b, int64_t now)
+has_rate_limit(const struct pick_backend *b, int64_t now)
 {
 	(void)now;
 	return b->quota.rate > 0;
 }
 
 static bool
-is_bound(const struct pick_backend *b, int64_t now)
+has_limit_or_pause(const struct pick_backend *b, int64_t now)
 {
-	return is_limited(b, now) || now < b->rest_until;
+	return has_rate_limit(b, now) || now < b->rest_until;
 }
 
-/* Are there some that may be used, and is each of them so? */
+/*
+ * Returns whether there are usable backend servers and the condition holds for
+ * all of them.
+ */
 static bool
-all_are(const struct disp *d, int64_t now,
-    bool (*is)(const struct pick_backend *, int64_t))
+all_usable(const struct disp *d, int64_t now,
+    bool (*condition)(const struct pick_backend *, int64_t))
 {
 	const struct pick_backend *b;
-	bool some = false;
+	bool any = false;
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
 		if (!pick_usable(b, now))
 			continue;
-		if (!is(b, now))
+		if (!condition(b, now))
 			return false;
-		some = true;
+		any = true;
 	}
-	return some;
+	return any;
 }
 
-/* How many requests one takes from now to a later time. */
+/* Estimates how many requests a server accepts between two times. */
 static double
-takes_by(const struct disp *d, const struct pick_backend *b, int64_t now,
-    int64_t then)
+accepted_by(const struct disp *d, const struct pick_backend *b, int64_t now,
+    int64_t end)
 {
 	int64_t from = MAX(now, b->rest_until);
 
-	if (then < from)
+	if (end < from)
 		return 0;
 	if (b->quota.rate > 0)
-		return quota_by(&b->quota, from, then);
-	if (work_s(d) <= 0)
+		return quota_by(&b->quota, from, end);
+	if (service_time_s(d) <= 0)
 		return pick_slots(b);
-	return pick_slots(b) * (1 + (double)(then - from) / NS_S / work_s(d));
+	return pick_slots(b) *
+	    (1 + (double)(end - from) / NS_S / service_time_s(d));
 }
 
-/* The same of all that may be used. */
+/* The same for all usable backend servers together. */
 static double
-all_take_by(const struct disp *d, int64_t now, int64_t then)
+total_accepted_by(const struct disp *d, int64_t now, int64_t end)
 {
 	const struct pick_backend *b;
 	double n = 0;
@@ -100,32 +104,33 @@
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
 		if (pick_usable(b, now))
-			n += takes_by(d, b, now, then);
+			n += accepted_by(d, b, now, end);
 	}
 	return n;
 }
 
+/* Bisects for the time by which more than `ahead` requests are accepted. */
 bool
 disp_word_wait(const struct disp *d, size_t ahead, int64_t *wait)
 {
-	int64_t now = clk_ns(d->clk), least = 0, most = WAIT_MAX_NS, half;
+	int64_t now = clk_ns(d->clk), low = 0, high = WAIT_MAX_NS, middle;
 
-	if (!all_are(d, now, is_bound))
+	if (!all_usable(d, now, has_limit_or_pause))
 		return false;
-	while (most - least > WAIT_STEP_NS) {
-		half = least + (most - least) / 2;
-		if (all_take_by(d, now, now + half) > (double)ahead)
-			most = half;
+	while (high - low > WAIT_STEP_NS) {
+		middle = low + (high - low) / 2;
+		if (total_accepted_by(d, now, now + middle) > (double)ahead)
+			high = middle;
 		else
-			least = half;
+			low = middle;
 	}
-	*wait = most;
+	*wait = high;
 	return true;
 }
 
 /*
- * With a limit on all of them new requests go before a late one up to its
- * deadline; after a rest it may still be served.
+ * If all servers have rate limits, new requests are served before a late one
+ * until its deadline, so it is refused.  After a pause it may still be served.
  */
 bool
 disp_word_refuses_late(const struct disp *d, const struct disp_req *r)
@@ -135,6 +140,6 @@
 
 	if (!disp_word_wait(d, ahead, &wait))
 		return false;
-	return all_are(d, now, is_limited) ||
+	return all_usable(d, now, has_rate_limit) ||
 	    now + wait + r->work > r->deadline;
 }
--- a/disp_work.c
+++ b/disp_work.c
@@ -12,23 +12,28 @@
 #include "pace.h"
 
 /*
- * What requests take.  The work of a kind is learned in ns at the usual pace:
- * the time that a request took, over the pace at which it began.
+ * Estimates of service times.  The service time of a kind is learned in ns at
+ * the usual speed: the duration of an attempt, divided by the latency factor
+ * that the server had at its start.
  */
 
 enum {
-	MEAN_WEIGHT = 16, /* of the past against one request */
-	FACTOR_WEIGHT = 8,
-	PACE_WEIGHT = 64,
-	MEAN_PACE_WEIGHT = 10, /* of the past against one look at all */
+	/* Weights of the past against one sample in moving averages. */
+	MEAN_WEIGHT = 16, /* service time of all requests */
+	RATIO_WEIGHT = 8, /* service time ratio of a server */
+	FACTOR_WEIGHT = 64, /* latency factors of attempts and reports */
+	MEAN_FACTOR_WEIGHT = 10, /* mean latency factor of all servers */
 	PERCENT = 100,
-	SLOW_PACE = 150 /* percent; above, it counts as a slow spell */
+	SLOW_PERCENT = 150 /* latency factor above which a period is slow */
 };
 
-/* Beyond so many times the work a request met a spell that nobody told. */
-static const double ODD = 2.5;
-/* A backend server's own factor stays within these. */
-static const double FACTOR_MIN = 0.5, FACTOR_MAX = 8;
+/*
+ * An attempt that took so many times the expected time without a recent load
+ * report met a slow period that was not reported.
+ */
+static const double OUTLIER_FACTOR = 2.5;
+/* Bounds of the service time ratio of a server. */
+static const double RATIO_MIN = 0.5, RATIO_MAX = 8;
 
 static struct disp_work *
 find(const struct disp *d, unsigned kind)
@@ -44,7 +49,6 @@
 	return NULL;
 }
 
-/* 0 where nothing is known of the kind. */
 int64_t
 disp_work_of(const struct disp *d, unsigned kind)
 {
@@ -59,22 +63,22 @@
 	r->work = disp_work_of(d, r->kind);
 	r->pace = pace_now(r->at, d->mean_pace, r->sent);
 	r->told = pace_is_fresh(r->at, r->sent);
-	d->begin_pace += (r->pace - d->begin_pace) / PACE_WEIGHT;
+	d->begin_pace += (r->pace - d->begin_pace) / FACTOR_WEIGHT;
 }
 
 void
-disp_work_told(struct disp *d, int pace)
+disp_work_told(struct disp *d, int percent)
 {
-	double p = (double)pace / PERCENT;
+	double factor = (double)percent / PERCENT;
 
-	if (pace > SLOW_PACE)
-		d->slow_pace += (p - d->slow_pace) / PACE_WEIGHT;
+	if (percent > SLOW_PERCENT)
+		d->slow_pace += (factor - d->slow_pace) / FACTOR_WEIGHT;
 }
 
 /*
- * The mean pace is that of the backend servers, each with what it told last.
- * By the words themselves it would be that of slow ones: these stay free, and
- * are asked again and again.
+ * The mean is taken over the backend servers, with the last report of each.  A
+ * mean over all reports would be too high: slow servers keep free slots and are
+ * queried more often.
  */
 void
 disp_work_mean_pace(struct disp *d)
@@ -91,16 +95,16 @@
 		n++;
 	}
 	if (n > 0)
-		d->mean_pace += (sum / n - d->mean_pace) / MEAN_PACE_WEIGHT;
+		d->mean_pace += (sum / n - d->mean_pace) / MEAN_FACTOR_WEIGHT;
 }
 
 static void
-learn_factor(struct pick_backend *b, double ratio)
+learn_ratio(struct pick_backend *b, double ratio)
 {
 	if (b->factor == 0)
 		b->factor = 1;
-	b->factor += (ratio - b->factor) / FACTOR_WEIGHT;
-	b->factor = CLAMP(b->factor, FACTOR_MIN, FACTOR_MAX);
+	b->factor += (ratio - b->factor) / RATIO_WEIGHT;
+	b->factor = CLAMP(b->factor, RATIO_MIN, RATIO_MAX);
 }
 
 static struct disp_work *
@@ -123,10 +127,11 @@
 }
 
 /*
- * A request was answered: learn from it.  One that took far longer than its
- * like, where no pace was told, met a spell and shows nothing of the work.
- * What the backend servers have in common is learned without their factors:
- * learned from each other, both would drift apart without end.
+ * An attempt that took far longer than others of its kind, without a recent
+ * load report, met a slow period, and is not used for the service time of the
+ * kind. That service time is learned without dividing by the ratio of the
+ * server: if each of the two were learned from the other, both could drift
+ * without bound.
  */
 void
 disp_work_done(struct disp *d, const struct disp_req *r, struct pick_backend *b,
@@ -134,13 +139,14 @@
 {
 	struct disp_work *w = find_or_add(d, r->kind);
 	double usual = conc_usual(&w->times),
-	       own = b->factor > 0 ? b->factor : 1;
+	       ratio = b->factor > 0 ? b->factor : 1;
 	double ns = (double)(now - r->sent) / (r->told ? r->pace : 1);
 
-	/* One that tells nothing is known by its answers alone. */
+	/* Without load reports only the durations show how fast it is. */
 	if (usual > 0 && (r->told || b->mute))
-		learn_factor(b, ns / (usual * r->slowdown));
-	if (usual > 0 && !r->told && ns > ODD * own * usual * r->slowdown)
+		learn_ratio(b, ns / (usual * r->slowdown));
+	if (usual > 0 && !r->told &&
+	    ns > OUTLIER_FACTOR * ratio * usual * r->slowdown)
 		return;
 	conc_learn(&w->times, r->beside, b->slots, ns, now);
 	learn_mean(&d->mean_work, ns);
