--- a/cold.c
+++ b/cold.c
@@ -12,26 +12,29 @@
 
 #include "cold.h"
 
-/* What was sent before we knew of it counts as if all had been. */
+/*
+ * Starts the bucket empty: the requests that were sent before, by this gate or
+ * another, are unknown, so all tokens are presumed used.
+ */
 static void
-begin(struct cold *c, int64_t now)
+start_bucket(struct cold *c, int64_t now)
 {
 	if (c->bucket.filled == 0)
 		c->bucket.filled = now;
 }
 
 void
-cold_suspect(struct cold *c, int64_t lasts, int64_t now)
+cold_suspect(struct cold *c, int64_t duration, int64_t now)
 {
-	begin(c, now);
-	c->until = MAX(c->until, now + lasts);
+	start_bucket(c, now);
+	c->until = MAX(c->until, now + duration);
 	c->told = false;
 }
 
 void
 cold_told(struct cold *c, int64_t ns, int64_t now)
 {
-	begin(c, now);
+	start_bucket(c, now);
 	c->until = ns > 0 ? now + ns : 0;
 	c->told = true;
 }
@@ -49,15 +52,18 @@
 }
 
 bool
-cold_may(const struct cold *c, const struct cold_bound *bound, int64_t now)
+cold_may(const struct cold *c, const struct cold_bound *limit, int64_t now)
 {
-	return bound->rate <= 0 || !cold_is(c, now) ||
-	    bucket_holds(&c->bucket, bound->rate, bound->burst, now) >= 1;
+	return limit->rate <= 0 || !cold_is(c, now) ||
+	    bucket_holds(&c->bucket, limit->rate, limit->burst, now) >= 1;
 }
 
-/* A warm one may get any number; then nothing is saved when it turns cold. */
+/*
+ * Requests to a warm server use up tokens, too, so that none are saved up when
+ * it restarts and is cold again.
+ */
 void
-cold_sent(struct cold *c, const struct cold_bound *bound, int64_t now)
+cold_sent(struct cold *c, const struct cold_bound *limit, int64_t now)
 {
-	bucket_take(&c->bucket, bound->rate, bound->burst, now);
+	bucket_take(&c->bucket, limit->rate, limit->burst, now);
 }
--- a/cold.h
+++ b/cold.h
@@ -17,47 +17,52 @@
 #include "limit.h"
 
 /*
- * A backend server that has just started is cold: it bears few requests a
- * second and falls over at many more.  Pure: a token bucket, with the times
- * handed in.
+ * Slow start: a backend server that has just started is cold.  It can process
+ * only few requests per second, and fails under many more, so a token bucket
+ * limits its requests.  These functions do no I/O; the time is passed in.
  *
- * Load pattern: a hall or a fleet that returns with all its servers cold into
- * the load that waited for it, tries that are reset and sent again at once, and
- * a home that takes another's place.  Two homes for a moment do not know of
- * each other's sends.  So a bucket begins empty, and holds no more than half of
- * what a server bears at once: the old home's burst and the new one's rate
- * together stay below what it bears.
+ * The limit matters when a hall or a whole fleet returns with cold servers to
+ * the load that has built up, when connections are reset and the requests are
+ * sent again at once, and when a shard gets a new owner.  In the last case two
+ * owners may send for a moment without knowing of each other's requests.  The
+ * bucket therefore starts empty and should hold no more than half of what a
+ * server can process at once: the old owner's burst and the new owner's rate
+ * together then stay below what it can process.
  */
 
-/* What one bears while it is cold. */
+/* The configured limit of cold backend servers of a service. */
 struct cold_bound {
-	double rate; /* requests a second; 0: it is not bounded */
-	double burst; /* requests beyond, at once */
-	int64_t lasts; /* ns that it takes to warm up, at most */
+	double rate; /* requests per second; 0: no limit */
+	double burst; /* size of the token bucket, requests */
+	int64_t lasts; /* longest time to warm up, ns */
 };
 
-/* Whether one is cold, as far as is known, and what it got. */
+/* Whether a backend server is cold, and the tokens that it has left. */
 struct cold {
-	int64_t until; /* monotonic ns; it is cold before that, or may be */
-	bool told; /* by itself; otherwise it is suspected */
-	struct bucket bucket; /* requests that it may get; filled 0: unused */
+	int64_t until; /* end of the slow start, monotonic ns */
+	bool told; /* reported by the server; otherwise presumed */
+	struct bucket bucket; /* a fill time of 0 means unused */
 };
 
-/* It has started, or may have: cold for so many ns unless it says better. */
-void cold_suspect(struct cold *, int64_t lasts, int64_t now);
+/*
+ * Records that the server has started, or may have: it is presumed cold for
+ * `duration` ns unless it reports otherwise.
+ */
+void cold_suspect(struct cold *, int64_t duration, int64_t now);
 
-/* It says itself that it is cold for so many ns more; 0: it is warm. */
+/* Records its report that it is cold for `ns` more; 0: it is warm. */
 void cold_told(struct cold *, int64_t ns, int64_t now);
 
+/* Returns whether it is cold, by its report or presumably. */
 bool cold_is(const struct cold *, int64_t now);
 
-/* Is it suspected, so that asking it would tell? */
+/* Returns whether it is only presumed to be cold. */
 bool cold_in_doubt(const struct cold *, int64_t now);
 
-/* May it get a request now? */
+/* Returns whether it may get a request now. */
 bool cold_may(const struct cold *, const struct cold_bound *, int64_t now);
 
-/* It gets one, cold or not. */
+/* Records that it gets a request, cold or warm. */
 void cold_sent(struct cold *, const struct cold_bound *, int64_t now);
 
 #endif
--- a/conc.c
+++ b/conc.c
@@ -16,37 +16,39 @@
 #include "conc.h"
 
 /*
- * With k requests at once that each take slowdown(k) times as long, k /
- * slowdown(k) are done in the time of one.  The limit is where this is
- * greatest, though a little throughput is not worth much time: what waits at
- * us can still be sent anywhere.  Up to half of the slots work is taken not to
- * slow other work, and no limit is below that: so the usual time is the mean
- * of many samples, and noise does not close slots that are needed.
+ * If k concurrent requests each take slowdown(k) times as long, the throughput
+ * is proportional to k / slowdown(k).  The limit is near the maximum of this,
+ * with some preference for short service times over the last bit of throughput,
+ * as a request that waits in the dispatcher can still be sent to any server. Up
+ * to half of the slots requests are presumed not to slow each other, and the
+ * limit is never lower than that.  The base time is therefore a mean of many
+ * samples, and noise does not close slots that are needed.
  */
 
-/* After so long without a sample the past counts as one sample. */
+/* After this time without a sample all older samples count as one. */
 #define OLD_NS (3 * NS_S)
 
 enum {
-	KNOWN_SAMPLES = 4, /* the mean is within a sixth for a spread of 0.3 */
-	WEIGHT = 32, /* of the past against one sample, some seconds of load */
+	/* Samples for a usable mean: error 1/6 at a deviation of 0.3. */
+	MIN_SAMPLES = 4,
+	MAX_WEIGHT = 32, /* of the past against one sample; some seconds */
 	HALF_STEP = CONC_STEPS / 2 - 1
 };
 
-/* Throughput counts once, and the time that work takes a quarter of that. */
-static const double TIME_WEIGHT = 1.25;
-/* A lower limit must bring so much more, as the means are noisy. */
-static const double GAIN = 1.05;
-/* One sample counts for no more than this against what is known so far. */
-static const double SAMPLE_MAX = 2;
+/* Weight of the slowdown in the power of a limit; 1: throughput alone. */
+static const double SLOWDOWN_WEIGHT = 1.25;
+/* A lower limit must be better by this factor, as the means are noisy. */
+static const double MIN_GAIN = 1.05;
+/* A sample is clamped to this factor above and below the mean so far. */
+static const double SAMPLE_CLAMP = 2;
 
-/* The step that `running` requests on so many slots come to. */
+/* Returns the step for this many running requests. */
 static int
 step_of(int running, int slots)
 {
-	int at = (running * CONC_STEPS + slots - 1) / slots - 1;
+	int step = (running * CONC_STEPS + slots - 1) / slots - 1;
 
-	return CLAMP(at, 0, CONC_STEPS - 1);
+	return CLAMP(step, 0, CONC_STEPS - 1);
 }
 
 static int
@@ -58,28 +60,29 @@
 static bool
 is_known(const struct conc_step *s)
 {
-	return s->samples >= KNOWN_SAMPLES;
+	return s->samples >= MIN_SAMPLES;
 }
 
 void
-conc_learn(struct conc *c, int beside, int slots, double time, int64_t now)
+conc_learn(struct conc *c, int concurrent, int slots, double time, int64_t now)
 {
 	struct conc_step *s;
 
 	if (slots <= 0)
 		return;
-	s = &c->steps[step_of(beside + 1, slots)];
+	s = &c->steps[step_of(concurrent + 1, slots)];
 	if (s->samples > 0)
-		time = CLAMP(time, s->time / SAMPLE_MAX, s->time * SAMPLE_MAX);
+		time =
+		    CLAMP(time, s->time / SAMPLE_CLAMP, s->time * SAMPLE_CLAMP);
 	if (now - s->learned >= OLD_NS)
 		s->lately = MIN(s->samples, 1);
-	s->samples = MIN(s->samples + 1, WEIGHT);
-	s->lately = MIN(s->lately + 1, WEIGHT);
+	s->samples = MIN(s->samples + 1, MAX_WEIGHT);
+	s->lately = MIN(s->lately + 1, MAX_WEIGHT);
 	s->time += (time - s->time) / s->lately;
 	s->learned = now;
 }
 
-/* The mean of all samples up to a step. */
+/* Returns the mean of all samples up to a step; 0: none. */
 static double
 mean_time(const struct conc *c, int last)
 {
@@ -123,7 +126,7 @@
 	}
 }
 
-/* The time at a step or, where it is not known, at the nearest below. */
+/* Returns the time at a step or, if unknown, at the nearest known one below. */
 static double
 time_at(const struct conc *c, int step)
 {
@@ -136,23 +139,23 @@
 }
 
 double
-conc_slowdown(const struct conc *c, int beside, int slots)
+conc_slowdown(const struct conc *c, int concurrent, int slots)
 {
 	double usual = conc_usual(c);
 	int step;
 
 	if (slots <= 0 || usual == 0)
 		return 1;
-	step = step_of(beside + 1, slots);
+	step = step_of(concurrent + 1, slots);
 	return step <= HALF_STEP ? 1 : MAX(time_at(c, step) / usual, 1);
 }
 
 /*
- * Until more is known two thirds of the slots are used: a limit that is too
- * high is learned from many requests, and makes each of them slow.
+ * Until more is known, two thirds of the slots are used: with a limit that is
+ * too high, many requests would be slow until that is learned.
  */
 static int
-first_limit(int slots)
+initial_limit(int slots)
 {
 	return (2 * slots + 2) / 3;
 }
@@ -164,11 +167,12 @@
 	double power, best_power = 0;
 
 	for (k = slots; k >= half_of(slots); k--) {
-		if (k > first_limit(slots) &&
+		if (k > initial_limit(slots) &&
 		    !is_known(&c->steps[step_of(k, slots)]))
 			continue;
-		power = k / pow(conc_slowdown(c, k - 1, slots), TIME_WEIGHT);
-		if (power <= best_power * GAIN)
+		power =
+		    k / pow(conc_slowdown(c, k - 1, slots), SLOWDOWN_WEIGHT);
+		if (power <= best_power * MIN_GAIN)
 			continue;
 		best_power = power;
 		best = k;
@@ -176,16 +180,17 @@
 	return best;
 }
 
-/* Is what is known of a step what the backend servers do now? */
+/* Returns whether a step has enough recent samples. */
 static bool
 is_current(const struct conc_step *s, int64_t now)
 {
-	return s->lately > KNOWN_SAMPLES && now - s->learned < OLD_NS;
+	return s->lately > MIN_SAMPLES && now - s->learned < OLD_NS;
 }
 
 /*
- * First whether all slots can be used, and what half of them do; then what
- * shows whether the limit should move: its neighbours.
+ * All slots and half of the slots are explored first.  After that the
+ * neighbours of the limit are kept up to date, which shows whether it should
+ * move.
  */
 int
 conc_to_try(const struct conc *c, int slots, int64_t now)
--- a/conc.h
+++ b/conc.h
@@ -14,19 +14,20 @@
 #include <stdint.h>
 
 /*
- * How long work takes on a backend server that already works on other
- * requests, learned from answers, and how many requests at once serve the
- * most there.  What is learned goes by the share of slots in use, so that
- * backend servers of one service teach each other whatever their size.  Pure.
+ * Learns from the durations of requests how service times depend on the number
+ * of concurrent requests at a backend server, and which concurrency limit is
+ * best.  The samples are indexed by the share of slots in use, so that they are
+ * shared by all backend servers of a service whatever their numbers of slots.
+ * These functions do no I/O; the time is passed in.
  */
 
-/* Shares of slots in use are told apart in so many steps. */
+/* Number of steps into which the share of slots in use is divided. */
 enum { CONC_STEPS = 16 };
 
 struct conc_step {
-	double time; /* that work takes; 0: unknown */
+	double time; /* mean service time; 0: unknown */
 	unsigned samples;
-	unsigned lately; /* of these, since there were none for long */
+	unsigned lately; /* of these, since the last long gap */
 	int64_t learned; /* monotonic ns of the last sample */
 };
 
@@ -34,27 +35,31 @@
 	struct conc_step steps[CONC_STEPS];
 };
 
-/* A request that began beside `beside` others took so long. */
-void conc_learn(struct conc *, int beside, int slots, double time, int64_t now);
+/*
+ * Adds the duration of a request that started with `concurrent` other requests
+ * in flight at the backend server.
+ */
+void
+conc_learn(struct conc *, int concurrent, int slots, double time, int64_t now);
 
-/* What work takes that other work does not slow; 0: unknown. */
+/* Returns the service time without slowdown by other requests; 0: unknown. */
 double conc_usual(const struct conc *);
 
 /*
- * Add what is known of another kind of work.  A sum tells nothing of times,
- * but how they compare.
+ * Adds the samples of another kind of request, relative to its base time. After
+ * that only ratios of times are meaningful.
  */
 void conc_add(struct conc *, const struct conc *);
 
-/* How many times longer work takes that begins beside so many others; >= 1. */
-double conc_slowdown(const struct conc *, int beside, int slots);
+/* Returns the slowdown, >= 1, of a request beside so many other requests. */
+double conc_slowdown(const struct conc *, int concurrent, int slots);
 
-/* How many requests at once serve the most; from 1 to `slots`. */
+/* Returns the best concurrency limit, from half of the slots to all of them. */
 int conc_limit(const struct conc *, int slots);
 
 /*
- * The number of requests at once that should be tried next to learn whether
- * the limit holds; 0 if all that matters was learned lately.
+ * Returns the limit that should be explored next to learn whether conc_limit()
+ * is still right; 0 if there are enough recent samples.
  */
 int conc_to_try(const struct conc *, int slots, int64_t now);
 
--- a/pace.c
+++ b/pace.c
@@ -12,24 +12,27 @@
 
 #include "pace.h"
 
-/* Below this age asking again is not worth a probe. */
+/* A load report of up to this age is recent: a new query is not worthwhile. */
 #define FRESH_NS (6 * NS_MS)
 
-/* Up to so many percent of the usual time counts as usual. */
-enum { GOOD_PACE = 150, PERCENT = 100 };
-/* Spreads work over backend servers that look alike. */
+/* A latency factor of up to so many percent counts as usual speed. */
+enum { USUAL_MAX_PERCENT = 150, PERCENT = 100 };
+/*
+ * Factor on the service time per share of slots in use; spreads requests over
+ * backend servers that are otherwise equal.
+ */
 static const double SPREAD = 0.1;
 
 double
 pace_now(const struct pick_backend *b, double mean, int64_t now)
 {
-	double told = (double)b->told_pace / PERCENT;
-	double left;
+	double reported = (double)b->told_pace / PERCENT;
+	double weight;
 
 	if (b->told_at == 0)
 		return mean;
-	left = exp(-(double)(now - b->told_at) / PACE_MEMORY_NS);
-	return mean + (told - mean) * left;
+	weight = exp(-(double)(now - b->told_at) / PACE_MEMORY_NS);
+	return mean + (reported - mean) * weight;
 }
 
 double
@@ -43,11 +46,11 @@
 int64_t
 pace_time(const struct pick_backend *b, int64_t work, double mean, int64_t now)
 {
-	double full = b->slots > 0 ? (double)b->inflight / b->slots : 0;
-	double own = b->factor > 0 ? b->factor : 1;
+	double used = b->slots > 0 ? (double)b->inflight / b->slots : 0;
+	double ratio = b->factor > 0 ? b->factor : 1;
 
-	return (int64_t)((double)work * own * pace_now(b, mean, now) *
-	    pace_slowdown(b) * (1 + SPREAD * full));
+	return (int64_t)((double)work * ratio * pace_now(b, mean, now) *
+	    pace_slowdown(b) * (1 + SPREAD * used));
 }
 
 bool
@@ -57,21 +60,22 @@
 }
 
 /*
- * In a wait of t the pace falls from p towards the mean m as (p - m) e^(-t/T),
- * so the end of the work comes sooner with t as long as work (p - m) > T.
+ * While the request waits for a time t, the latency factor p decays towards the
+ * mean m as m + (p - m) e^(-t/T).  A longer wait makes the request end sooner
+ * as long as service_time * (p - m) > T.
  */
 bool
 pace_passes(
     const struct pick_backend *b, int64_t work, double mean, int64_t now)
 {
-	double over = (double)b->told_pace / PERCENT - mean;
+	double excess = (double)b->told_pace / PERCENT - mean;
 
 	return b->told_at != 0 && now - b->told_at < PACE_MEMORY_NS &&
-	    (double)work * over > PACE_MEMORY_NS;
+	    (double)work * excess > PACE_MEMORY_NS;
 }
 
 bool
 pace_is_good(const struct pick_backend *b, int64_t now)
 {
-	return pace_is_fresh(b, now) && b->told_pace <= GOOD_PACE;
+	return pace_is_fresh(b, now) && b->told_pace <= USUAL_MAX_PERCENT;
 }
--- a/pace.h
+++ b/pace.h
@@ -17,40 +17,45 @@
 #include "pick.h"
 
 /*
- * How fast a backend server works now, and how long a piece of work will take
- * there.  A pace is the time that work takes against the usual: 1 is as
- * usual, 5 is five times slower.  A request keeps the pace at which it began.
- * What a backend server told is the better the fresher it is; with age the
- * estimate goes over to the mean of all.  Pure.
+ * Estimates how fast a backend server is now, and how long a request will take
+ * there.  A latency factor is the current service time divided by the usual
+ * one: 1 is the usual speed, 5 is five times slower.  A request keeps the
+ * factor that the server had when the request started.  As a load report grows
+ * older, the estimate moves from the reported factor to the mean of all
+ * servers.  These functions do no I/O; the time is passed in.
  */
 
 /*
- * What a backend server told loses its worth with this time constant, as its
- * pace changes several times a second.
+ * Time constant of the decay of load reports.  It is short, as the latency
+ * factor of a server changes several times a second.
  */
 #define PACE_MEMORY_NS (100 * NS_MS)
 
-/* The pace that is expected of a request that begins now. */
+/* Returns the latency factor expected for a request that starts now. */
 double pace_now(const struct pick_backend *, double mean, int64_t now);
 
-/* How many times longer work takes there beside what is in flight. */
+/* Returns the slowdown, >= 1, by the requests in flight at the server. */
 double pace_slowdown(const struct pick_backend *);
 
-/* The time that `work`, in ns at the usual pace, takes if it begins now. */
+/*
+ * Returns the expected service time in ns of a request that starts now; `work`
+ * is the service time at the usual speed.
+ */
 int64_t
 pace_time(const struct pick_backend *, int64_t work, double mean, int64_t now);
 
 /*
- * Is such work done sooner if it waits until the backend server, which told
- * just now that it is slow, is as usual again?
+ * Returns whether the request ends sooner if it waits until a server that
+ * recently reported to be slow has come closer to the mean speed.
  */
 bool pace_passes(
     const struct pick_backend *, int64_t work, double mean, int64_t now);
 
-/* Is what it told so fresh that asking again would bring nothing? */
+/* Returns whether the last report is so recent that a query would be useless.
+ */
 bool pace_is_fresh(const struct pick_backend *, int64_t now);
 
-/* Did it tell freshly that it works about as usual? */
+/* Returns whether a recent report shows about the usual speed or better. */
 bool pace_is_good(const struct pick_backend *, int64_t now);
 
 #endif
--- a/pick.c
+++ b/pick.c
@@ -13,29 +13,32 @@
 #include "pick.h"
 
 /*
- * What answers, refusals and time make of a backend server, and how many slots
- * of it are free.
+ * The state of backend servers: updates by answers, refusals and time, and the
+ * number of free slots.
  */
 
-#define EJECT_FIRST_NS (1 * NS_S)
-#define EJECT_LAST_NS (30 * NS_S)
+/* Length of the first ejection; it doubles with each consecutive one. */
+#define EJECT_MIN_NS (1 * NS_S)
+#define EJECT_MAX_NS (30 * NS_S)
 /*
- * Without an answer for so long, and asked since, one is lost.  Two questions
- * alone are no ground: a box that has just started gets its answers too late,
- * and gave up servers that were well.
+ * A server with unanswered queries is presumed down after this time without any
+ * answer.  Two unanswered queries alone are not enough: a box that has just
+ * started gets its answers too late, and would stop using healthy servers.
  */
-#define LOST_NS (500 * NS_MS)
-/* A backend server that refused has no slot for this long, then doubled. */
-#define FULL_NS (5 * NS_MS)
+#define PRESUMED_DOWN_NS (500 * NS_MS)
+/* Time without requests after a refusal; doubles with each consecutive one. */
+#define REFUSAL_BACKOFF_NS (5 * NS_MS)
 
 enum {
-	BAD_ROW_LIMIT = 3, /* bad answers in a row that eject */
-	WARM_ROW = 3, /* good answers in a row that warm up */
-	USUAL_WEIGHT = 8, /* of the past against one sample */
-	FAILING_WEIGHT = 8,
+	EJECT_FAILURES = 3, /* consecutive failures that cause an ejection */
+	WARM_SUCCESSES = 3, /* consecutive successes that end the warm-up */
+	/* Weights of the past against one sample in moving averages. */
+	LATENCY_WEIGHT = 8,
+	FAILURE_WEIGHT = 8,
+	/* Limits of the doubling of ejections and refusal backoffs. */
 	EJECTIONS_MAX = 6,
-	REFUSED_ROW_MAX = 6,
-	SILENT_ROW = 2 /* questions without an answer */
+	REFUSALS_MAX = 6,
+	UNRESPONSIVE_QUERIES = 2 /* consecutive unanswered queries */
 };
 
 static const char *const state_names[] = {
@@ -46,7 +49,7 @@
 const struct chart_names pick_chart_names = {
     "backend", state_names, PICK_STATE_MAX, event_names, PICK_EVENT_MAX};
 
-static unsigned count_in_use(const struct pick_set *, int64_t);
+static unsigned count_usable(const struct pick_set *, int64_t);
 static void step(struct pick_backend *, const struct chart *, enum pick_event);
 
 static void
@@ -58,24 +61,24 @@
 bool
 pick_is_silent(const struct pick_backend *b)
 {
-	return b->silent >= SILENT_ROW;
+	return b->silent >= UNRESPONSIVE_QUERIES;
 }
 
 bool
 pick_is_lost(const struct pick_backend *b, int64_t now)
 {
-	return pick_is_silent(b) && now - b->heard_at >= LOST_NS;
+	return pick_is_silent(b) && now - b->heard_at >= PRESUMED_DOWN_NS;
 }
 
 /*
- * Where nothing runs is where a trial goes, and nothing runs on one that has
- * just ended: requests beside the first end were sent there, and lost.
+ * Without this, a server that has just crashed would look idle, and suspects
+ * would be sent there for their isolated runs, and lost.
  */
 void
 pick_ended(struct pick_backend *b, int64_t now)
 {
-	b->silent = MAX(b->silent, SILENT_ROW);
-	b->heard_at = MIN(b->heard_at, now - LOST_NS);
+	b->silent = MAX(b->silent, UNRESPONSIVE_QUERIES);
+	b->heard_at = MIN(b->heard_at, now - PRESUMED_DOWN_NS);
 }
 
 bool
@@ -93,8 +96,9 @@
 }
 
 /*
- * A cold or tried one gets one request at a time, and one that says what it
- * takes gets no more: it may answer each and fall behind all the same.
+ * A server that warms up or is in trial after an ejection gets one request at a
+ * time.  One that reported a rate limit gets no more than that, even if it
+ * answers all requests, as it may still fall behind.
  */
 int
 pick_free(const struct pick_backend *b, int64_t now)
@@ -117,15 +121,15 @@
 	if (b->usual == 0)
 		b->usual = took;
 	else
-		b->usual += (took - b->usual) / USUAL_WEIGHT;
+		b->usual += (took - b->usual) / LATENCY_WEIGHT;
 	b->bad_row = 0;
 	b->refused_row = 0;
 	b->silent = 0;
 	b->heard_at = now;
-	b->failing -= b->failing / FAILING_WEIGHT;
+	b->failing -= b->failing / FAILURE_WEIGHT;
 	b->good_row++;
 	step(b, chart, PICK_EV_OK);
-	if (b->good_row < WARM_ROW)
+	if (b->good_row < WARM_SUCCESSES)
 		return;
 	b->ejections = 0;
 	step(b, chart, PICK_EV_WARM);
@@ -134,11 +138,12 @@
 void
 pick_refused(struct pick_backend *b, int64_t now, const struct rnd *rnd)
 {
-	b->full_until = now + rnd_jitter(rnd, FULL_NS << b->refused_row);
-	b->refused_row = MIN(b->refused_row + 1, REFUSED_ROW_MAX);
+	b->full_until =
+	    now + rnd_jitter(rnd, REFUSAL_BACKOFF_NS << b->refused_row);
+	b->refused_row = MIN(b->refused_row + 1, REFUSALS_MAX);
 }
 
-/* The true time is not known, but it is no less than this. */
+/* The full latency is unknown, but it is at least `age`. */
 void
 pick_slow(struct pick_backend *b, int64_t age)
 {
@@ -147,7 +152,7 @@
 }
 
 static unsigned
-count_in_use(const struct pick_set *set, int64_t now)
+count_usable(const struct pick_set *set, int64_t now)
 {
 	unsigned i, n = 0;
 
@@ -163,15 +168,15 @@
 	int64_t wait;
 
 	b->good_row = 0;
-	b->failing += (1 - b->failing) / FAILING_WEIGHT;
+	b->failing += (1 - b->failing) / FAILURE_WEIGHT;
 	b->bad_row++;
-	if (b->bad_row < BAD_ROW_LIMIT && b->state != PICK_TRIAL)
+	if (b->bad_row < EJECT_FAILURES && b->state != PICK_TRIAL)
 		return;
-	if (!pick_usable(b, now) || count_in_use(set, now) * 2 <= set->n)
+	if (!pick_usable(b, now) || count_usable(set, now) * 2 <= set->n)
 		return;
 	b->bad_row = 0;
 	b->ejections = MIN(b->ejections + 1, EJECTIONS_MAX);
-	wait = MIN(EJECT_FIRST_NS << (b->ejections - 1), EJECT_LAST_NS);
+	wait = MIN(EJECT_MIN_NS << (b->ejections - 1), EJECT_MAX_NS);
 	b->eject_until = now + rnd_jitter(rnd, wait);
 	step(b, chart, PICK_EV_FAILING);
 }
--- a/pick.h
+++ b/pick.h
@@ -24,26 +24,26 @@
 #include "str.h"
 
 /*
- * Choosing a backend server for a request.  Pure: the state of the backend
- * servers comes in as an array, time and random numbers are passed in, and
- * the choice is the only thing that goes out.
+ * The choice of a backend server for a request, and the health state of backend
+ * servers (outlier ejection, warm-up, draining).  There is no I/O and no global
+ * state: time and random numbers are passed in.
  */
 
-/* States and events of a backend server, as charts/backend.toml has them. */
+/* States and events of a backend server, as in charts/backend.toml. */
 enum pick_state {
 	PICK_COLD, /* new or back: warming up, one request at a time */
 	PICK_UP,
-	PICK_EJECTED, /* too slow or failing: nothing is sent */
-	PICK_TRIAL, /* ejection over: one request decides */
-	PICK_DRAINING, /* leaving: nothing new is sent */
+	PICK_EJECTED, /* failing: gets no requests */
+	PICK_TRIAL, /* after an ejection: the result of one request decides */
+	PICK_DRAINING, /* gets no new requests */
 	PICK_STATE_MAX
 };
 
 enum pick_event {
 	PICK_EV_OK,
-	PICK_EV_WARM, /* enough good answers in a row */
-	PICK_EV_FAILING, /* too many bad answers in a row */
-	PICK_EV_TIMER, /* the ejection is over */
+	PICK_EV_WARM, /* enough consecutive successes */
+	PICK_EV_FAILING, /* too many consecutive failures */
+	PICK_EV_TIMER, /* the ejection time is over */
 	PICK_EV_DRAIN,
 	PICK_EV_UNDRAIN,
 	PICK_EVENT_MAX
@@ -51,57 +51,58 @@
 
 extern const struct chart_names pick_chart_names;
 
-/* One backend server as its home sees it. */
+/*
+ * One backend server as the owner of its shard sees it.  All times that are not
+ * said to be in ms are monotonic ns.
+ */
 struct pick_backend {
 	struct str name;
 	struct str address;
-	int slots;
-	int64_t born_ms; /* its start, ms since 1970; 0: unsaid */
-	int limit; /* of requests at once, as learned; 0: all slots */
-	const struct conc *conc; /* how others slow it; NULL: not known */
+	int slots; /* concurrent requests that it is configured for */
+	int64_t born_ms; /* start time, ms since 1970; 0: unknown */
+	int limit; /* learned concurrency limit; 0: all slots */
+	const struct conc *conc; /* slowdown by concurrency; NULL: unknown */
 	struct cold cold;
 	const struct cold_bound *cold_bound; /* NULL: none */
-	struct quota quota; /* what it takes in a second, by its own word */
-	bool leaves; /* it said so itself, in an answer */
-	int64_t rest_until; /* it asked us for nothing more before this */
-	bool malformed; /* it said something that cannot be read */
+	struct quota quota; /* the rate limit that it reported */
+	bool leaves; /* it reported that it is shutting down */
+	int64_t rest_until; /* end of the pause that it asked for */
+	bool malformed; /* it sent a report that could not be parsed */
 	int inflight; /* sent and not finished */
 	int inflight_bulk; /* of these, class bulk */
 	enum pick_state state;
-	bool drain_told; /* by its object */
-	bool evacuated; /* its hall is to get nothing new */
-	bool is_new; /* of the version that a roll-out brings in */
-	bool excluded; /* its version gets nothing now */
-	bool passed_over; /* the next request is owed to the other version */
-	bool uncounted; /* nor is its room counted on */
-	bool probe_down; /* probes say that it does not work */
-	int64_t usual; /* ns an answer usually takes; 0: not known */
+	bool drain_told; /* its object says that it drains */
+	bool evacuated; /* its hall must get no new requests */
+	bool is_new; /* of the new version of a roll-out */
+	bool excluded; /* the roll-out allows its version no requests now */
+	bool passed_over; /* the roll-out prefers the other version now */
+	bool uncounted; /* its slots do not count as capacity */
+	bool probe_down; /* health probes fail */
+	int64_t usual; /* moving average in ns; 0: unknown */
 	int64_t oldest; /* start of the oldest in flight; 0: none */
-	int64_t full_until; /* it refused for want of a slot */
+	int64_t full_until; /* no requests before, as it refused one */
 	int64_t eject_until;
-	/* What it told of itself last; told_at 0: nothing yet. */
+	/* Its last load report; the time is 0 before the first one. */
 	int told_running, told_waiting;
-	int told_pace; /* percent of the usual time that work takes */
+	int told_pace; /* latency factor; 100: as fast as usual */
 	int64_t told_at;
-	double factor; /* its own time for work against that of all; 0: 1 */
-	double failing; /* share of bad answers lately */
-	/* A question for its load is out; the last one; unanswered in a row. */
-	bool peeking;
-	bool mute; /* it answered without telling a load */
-	int64_t peeked_at;
-	int silent;
-	int64_t heard_at; /* the last answer of any kind, or when we met it */
-	int ejections; /* in a row, for the length of the next */
-	int bad_row, good_row, refused_row;
-	bool gone; /* no longer selected; waits for its last answer */
-	bool alone; /* nothing new: a request runs by itself, or will */
-	/* Requests that were there when connections broke: struct disp_doubt.
-	 */
-	GArray *doubts;
-	int64_t doubted_at; /* when the last one did */
-	bool reached; /* the last question got a connection */
+	double factor; /* service time relative to the other servers'; 0: 1 */
+	double failing; /* recent share of failures, 0 to 1 */
+	bool peeking; /* a load query is outstanding */
+	bool mute; /* it answered a load query without a load report */
+	int64_t peeked_at; /* time of the last load query */
+	int silent; /* consecutive ones */
+	int64_t heard_at; /* last answer of any kind, or time of its adding */
+	int ejections; /* consecutive; sets the length of the next one */
+	int bad_row, good_row, refused_row; /* consecutive answers */
+	bool gone; /* no longer configured; freed after its last answer */
+	bool alone; /* for an isolated run: gets no other requests */
+	GArray
+	    *doubts; /* struct disp_doubt, in flight when connections broke */
+	int64_t doubted_at; /* time of the last one */
+	bool reached; /* the last load query got a connection */
 	uint64_t turns; /* requests sent, for round robin */
-	void *data; /* the owner's */
+	void *data; /* for the dispatcher's owner */
 };
 
 /* The backend servers of one service in one hall. */
@@ -109,86 +110,91 @@
 	struct pick_backend **v;
 	unsigned n;
 	int bulk_percent;
-	double mean_pace; /* of all backend servers over time: pace.h */
+	double mean_pace; /* moving average of all backend servers: pace.h */
 };
 
-/* What is looked for. */
+/* Properties of the request that a backend server is chosen for. */
 struct pick_want {
 	enum obj_class cls;
-	const struct pick_backend *avoid;
-	int64_t work; /* ns that it takes at the usual speed; 0: not known */
+	const struct pick_backend *avoid; /* last resort; or NULL */
+	int64_t work; /* at the usual speed, ns; 0: unknown */
 };
 
-/* What a policy chooses: an index, or PICK_NONE to hold the request. */
+/* A policy chooses an index, or PICK_NONE if the request has to wait. */
 enum { PICK_NONE = -1 };
 
 struct pick_policy {
 	const char *name;
 	int (*choose)(const struct pick_set *, const struct pick_want *,
 	    int64_t now, const struct rnd *);
-	bool holds; /* waits for a free slot instead of queueing there */
-	bool paced; /* goes by how fast backend servers say they are now */
+	bool holds; /* queues requests until a backend server has a free slot */
+	bool paced; /* uses the latency factors that backend servers report */
 };
 
-/* By free slots, usual time and the age of what is in flight. */
+/* By free slots, usual latency and the age of requests in flight. */
 extern const struct pick_policy pick_fern;
 
-/* By the time that the work would take at the speed told last. */
+/* Latency-aware: by the expected service time at the last reported speed. */
 extern const struct pick_policy pick_pace;
 
-/* Round robin without any knowledge: the baseline. */
+/* Round robin without regard to state: the baseline for comparisons. */
 extern const struct pick_policy pick_naive;
 
+/* Returns the policy with this name, or NULL. */
 const struct pick_policy *pick_by_name(struct str);
 
-/* Were the last questions not answered? */
+/* Returns whether the last load queries were not answered. */
 bool pick_is_silent(const struct pick_backend *);
 
 /*
- * Has nothing answered there for so long that it is taken for gone?  A box that
- * has just started, or is slow for a moment, gets some answers too late.
+ * Returns whether it has answered nothing for so long that it is presumed down.
+ * Unanswered queries alone are not enough: a box that has just started, or is
+ * slow for a moment, gets some answers too late.
  */
 bool pick_is_lost(const struct pick_backend *, int64_t now);
 
-/* May anything new be sent there? */
+/* Returns whether it may get new requests at all, now or when a slot is free.
+ */
 bool pick_usable(const struct pick_backend *, int64_t now);
 
-/* The slots that are worth using at once. */
+/* Returns how many requests it may get at once. */
 int pick_slots(const struct pick_backend *);
 
-/* How many requests one may get now, 0 if nothing new may be sent. */
+/* Returns how many more requests it may get now. */
 int pick_free(const struct pick_backend *, int64_t now);
 
 /*
- * A good or bad answer has come; moves the chart.  Ejection is bounded: it
- * is left out when fewer than half of the set would remain in use.
+ * Records a success that took so many ns, or a failure, and updates the chart
+ * state.  A server is not ejected unless more than half of the set is usable.
  */
 void pick_good(
     struct pick_backend *, const struct chart *, int64_t now, int64_t took);
 void pick_bad(struct pick_backend *, const struct pick_set *,
     const struct chart *, int64_t now, const struct rnd *);
 
-/*
- * It has ended, as far as is known: it is lost until it answers a question.
- */
+/* Records a crash: it is presumed down until it answers a load query. */
 void pick_ended(struct pick_backend *, int64_t now);
 
-/* It refused without running: it is full, or does not want any. */
+/*
+ * Records that it refused a request without running it.  It gets no requests
+ * for a random time that grows with each consecutive refusal.
+ */
 void pick_refused(struct pick_backend *, int64_t now, const struct rnd *);
 
-/* A request there was stopped after `age` ns, as it took far too long. */
+/* Records that an attempt was stopped after `age` ns, as it was too slow. */
 void pick_slow(struct pick_backend *, int64_t age);
 
-/* Let ejections end whose time has come. */
+/* Ends the ejections whose time is over. */
 void pick_tick(const struct pick_set *, const struct chart *, int64_t now);
 
 /*
- * Its hall is evacuated, or is not any more.  Then it begins as one that has
- * just started: what it was before says nothing of it now.
+ * Sets whether the hall of the server is evacuated.  At the end of an
+ * evacuation the server starts again in the chart's initial state, as its
+ * former state may no longer apply.
  */
 void pick_evacuate(struct pick_backend *, const struct chart *, bool evacuated);
 
-/* Drain begins or ends, in whichever way it was told. */
+/* Starts or ends a drain. */
 void pick_drain(struct pick_backend *, const struct chart *, bool drain);
 
 #endif
--- a/pick_fern.c
+++ b/pick_fern.c
@@ -13,14 +13,15 @@
 #include "pick.h"
 
 /*
- * A backend server whose oldest request has been out for so many times its
- * usual time is taken to be in a slow spell, and is taken last.
+ * A backend server whose oldest request has been in flight for so many times
+ * the usual latency, and at least AGE_MIN_NS, is presumed to be in a slow
+ * period, and is avoided.
  */
 enum { AGE_FACTOR = 4 };
 /*
- * One that would take so many times as long as the best of all is not used
- * beyond one request at a time, even if the others have no slot: they will
- * have one sooner.
+ * A server that would take so many times as long as the best one gets only one
+ * request at a time, even if the others have no free slot: they will have one
+ * sooner than it answers.
  */
 enum { SLOW_FACTOR = 4 };
 #define AGE_MIN_NS (30 * NS_MS)
@@ -29,12 +30,12 @@
 static int choose(const struct pick_set *, const struct pick_want *, int64_t,
     const struct rnd *);
 static int64_t cost(const struct pick_backend *, int64_t);
-static bool bulk_may(const struct pick_set *, int64_t);
+static bool bulk_allowed(const struct pick_set *, int64_t);
 static bool bulk_fits(const struct pick_set *, const struct pick_backend *);
 
 const struct pick_policy pick_fern = {"fern", choose, true, false};
 
-/* The time that one more request is likely to take there. */
+/* Estimates the latency of one more request at a backend server, in ns. */
 static int64_t
 cost(const struct pick_backend *b, int64_t now)
 {
@@ -47,7 +48,7 @@
 	return ns;
 }
 
-/* The least cost of all that can be used, with or without a free slot. */
+/* The least cost over usable servers with known latency, free slot or not. */
 static int64_t
 least_cost(const struct pick_set *set, int64_t now)
 {
@@ -65,14 +66,14 @@
 }
 
 /*
- * Bulk takes at most its share of all slots, and leaves one free slot, so
- * that the next interactive request need not wait for a bulk answer.  Where
- * nothing at all is under way it may begin.
+ * Bulk requests get at most their share of all slots, and leave one slot free,
+ * so that the next interactive request does not have to wait for a bulk answer.
+ * A first bulk request is always allowed if nothing is in flight.
  */
 static bool
-bulk_may(const struct pick_set *set, int64_t now)
+bulk_allowed(const struct pick_set *set, int64_t now)
 {
-	int slots = 0, bulk = 0, left = 0, inflight = 0;
+	int slots = 0, bulk = 0, free_slots = 0, inflight = 0;
 	unsigned i;
 
 	for (i = 0; i < set->n; i++) {
@@ -81,14 +82,15 @@
 		slots += set->v[i]->slots;
 		bulk += set->v[i]->inflight_bulk;
 		inflight += set->v[i]->inflight;
-		left += pick_free(set->v[i], now);
+		free_slots += pick_free(set->v[i], now);
 	}
 	if (inflight == 0)
 		return true;
-	return left > 1 &&
+	return free_slots > 1 &&
 	    (bulk == 0 || (bulk + 1) * 100 <= slots * set->bulk_percent);
 }
 
+/* The share of bulk requests also holds for each backend server. */
 static bool
 bulk_fits(const struct pick_set *set, const struct pick_backend *b)
 {
@@ -97,35 +99,35 @@
 }
 
 static int
-choose(const struct pick_set *set, const struct pick_want *want, int64_t now,
-    const struct rnd *rnd)
+choose(const struct pick_set *set, const struct pick_want *criteria,
+    int64_t now, const struct rnd *rnd)
 {
-	enum obj_class cls = want->cls;
+	enum obj_class cls = criteria->cls;
 	const struct pick_backend *b;
 	int64_t c, best_cost = INT64_MAX, least = least_cost(set, now);
-	unsigned i, at, from;
+	unsigned i, index, start;
 	int best = PICK_NONE;
 
-	if (set->n == 0 || (cls == CLASS_BULK && !bulk_may(set, now)))
+	if (set->n == 0 || (cls == CLASS_BULK && !bulk_allowed(set, now)))
 		return PICK_NONE;
-	from = (unsigned)rnd_below(rnd, set->n);
+	start = (unsigned)rnd_below(rnd, set->n);
 	for (i = 0; i < set->n; i++) {
-		at = (from + i) % set->n;
-		b = set->v[at];
+		index = (start + i) % set->n;
+		b = set->v[index];
 		if (pick_free(b, now) == 0 ||
 		    (cls == CLASS_BULK && !bulk_fits(set, b)))
 			continue;
 		c = cost(b, now);
-		/* What is not known yet is tried, or it never would be. */
+		/* An idle server of unknown latency is tried first. */
 		if (b->usual == 0 && b->inflight == 0)
 			c = 0;
 		if (b->inflight > 0 && c > least * SLOW_FACTOR)
 			continue;
-		if (b == want->avoid)
+		if (b == criteria->avoid)
 			c = INT64_MAX - 1;
 		if (c < best_cost) {
 			best_cost = c;
-			best = (int)at;
+			best = (int)index;
 		}
 	}
 	return best;
--- a/pick_naive.c
+++ b/pick_naive.c
@@ -10,22 +10,22 @@
  */
 #include "pick.h"
 
-/* Round robin, to compare with. */
+/* Round robin, as a baseline for comparisons. */
 
 static int choose(const struct pick_set *, const struct pick_want *, int64_t,
     const struct rnd *);
 
 const struct pick_policy pick_naive = {"naive", choose, false, false};
 
-/* Round robin: the one that has had the fewest turns comes next. */
+/* Chooses the backend server that was sent the fewest requests so far. */
 static int
-choose(const struct pick_set *set, const struct pick_want *want, int64_t now,
-    const struct rnd *rnd)
+choose(const struct pick_set *set, const struct pick_want *criteria,
+    int64_t now, const struct rnd *rnd)
 {
 	int best = PICK_NONE;
 	unsigned i;
 
-	(void)want;
+	(void)criteria;
 	(void)now;
 	(void)rnd;
 	for (i = 0; i < set->n; i++) {
--- a/pick_name.c
+++ b/pick_name.c
@@ -12,7 +12,7 @@
 
 #include "pick.h"
 
-/* The policies by their names; it knows them all, and none knows it. */
+/* Lookup of policies by name. */
 
 static const struct pick_policy *const policies[] = {
     &pick_fern, &pick_pace, &pick_naive};
--- a/pick_pace.c
+++ b/pick_pace.c
@@ -13,52 +13,54 @@
 #include "pace.h"
 
 /*
- * The choice among backend servers that tell how fast they are at a moment:
- * the one where the work will be done first.
+ * The latency-aware policy, for backend servers that report how fast they are:
+ * chooses the one where the request is expected to end first.
  */
 
-/* A request that fails costs about so many times its own time. */
-static const double FAILING_COST = 4;
-/* What is looked for where its work is not known yet. */
-#define WORK_UNKNOWN_NS (50 * NS_MS)
+/* A failed request costs about so many times its service time. */
+static const double FAILURE_COST = 4;
+/* Assumed service time of a request whose service time is unknown. */
+#define DEFAULT_SERVICE_TIME_NS (50 * NS_MS)
 
 static int choose(const struct pick_set *, const struct pick_want *, int64_t,
     const struct rnd *);
 
 const struct pick_policy pick_pace = {"pace", choose, true, true};
 
+/* The expected service time in ns, with penalties for failures. */
 static double
 cost(const struct pick_set *set, const struct pick_backend *b, int64_t work,
     int64_t now)
 {
 	double ns = (double)pace_time(b, work, set->mean_pace, now);
 
-	ns *= 1 + FAILING_COST * b->failing;
+	ns *= 1 + FAILURE_COST * b->failing;
 	return ns * (1 + b->silent);
 }
 
 static int
-choose(const struct pick_set *set, const struct pick_want *want, int64_t now,
-    const struct rnd *rnd)
+choose(const struct pick_set *set, const struct pick_want *criteria,
+    int64_t now, const struct rnd *rnd)
 {
-	int64_t work = want->work > 0 ? want->work : WORK_UNKNOWN_NS;
+	int64_t work =
+	    criteria->work > 0 ? criteria->work : DEFAULT_SERVICE_TIME_NS;
 	double c, best_cost = G_MAXDOUBLE;
-	unsigned i, at, from;
+	unsigned i, index, start;
 	int best = PICK_NONE;
 
 	if (set->n == 0)
 		return PICK_NONE;
-	from = (unsigned)rnd_below(rnd, set->n);
+	start = (unsigned)rnd_below(rnd, set->n);
 	for (i = 0; i < set->n; i++) {
-		at = (from + i) % set->n;
-		if (pick_free(set->v[at], now) == 0)
+		index = (start + i) % set->n;
+		if (pick_free(set->v[index], now) == 0)
 			continue;
-		c = cost(set, set->v[at], work, now);
-		if (set->v[at] == want->avoid)
+		c = cost(set, set->v[index], work, now);
+		if (set->v[index] == criteria->avoid)
 			c = G_MAXDOUBLE / 2;
 		if (c < best_cost) {
 			best_cost = c;
-			best = (int)at;
+			best = (int)index;
 		}
 	}
 	return best;
