--- a/caller.c
+++ b/caller.c
@@ -12,30 +12,30 @@
 
 #include "caller.h"
 
-/* The values that are seen most often stay in a small table. */
+/* A small table keeps the most frequent values. */
 
-enum { MEMORY = 500 }; /* requests that count */
+enum { DECAY_AT = 500 }; /* all weights are halved at this total */
 
-/* A value that so many in all send is that of first attempts. */
-static const double COMMON = 0.1;
-/* Enough to tell common values from others. */
-static const double ENOUGH = 20;
+/* A value with this share of all requests is that of first attempts. */
+static const double COMMON_SHARE = 0.1;
+/* Total weight from which common values can be recognized. */
+static const double MIN_TOTAL = 20;
 
 static void
-forget(struct callers *c)
+decay(struct callers *c)
 {
 	int i;
 
-	if (c->all < MEMORY)
+	if (c->all < DECAY_AT)
 		return;
 	for (i = 0; i < CALLER_VALUES; i++)
 		c->values[i].seen /= 2;
 	c->all /= 2;
 }
 
-/* The value's place; a new one takes that of the rarest. */
+/* Counts a value; a new one replaces the rarest. */
 static void
-count(struct callers *c, int64_t left_ms)
+count(struct callers *c, int64_t remaining_ms)
 {
 	struct caller_value *v, *rarest = &c->values[0];
 	int i;
@@ -43,37 +43,38 @@
 	c->all++;
 	for (i = 0; i < CALLER_VALUES; i++) {
 		v = &c->values[i];
-		if (v->left_ms == left_ms) {
+		if (v->left_ms == remaining_ms) {
 			v->seen++;
 			return;
 		}
 		if (v->seen < rarest->seen)
 			rarest = v;
 	}
-	/* Halved, so that rare values do not add up in one place. */
+	/* Halved, so that the weights of rare values do not add up. */
 	rarest->seen = rarest->seen / 2 + 1;
-	rarest->left_ms = left_ms;
+	rarest->left_ms = remaining_ms;
 }
 
 int64_t
-callers_waited(struct callers *c, int64_t left_ms)
+callers_waited(struct callers *c, int64_t remaining_ms)
 {
 	const struct caller_value *v;
-	int64_t waited = 0;
+	int64_t elapsed = 0;
 	int i;
 
-	forget(c);
-	count(c, left_ms);
-	if (c->all < ENOUGH)
+	decay(c);
+	count(c, remaining_ms);
+	if (c->all < MIN_TOTAL)
 		return 0;
 	for (i = 0; i < CALLER_VALUES; i++) {
 		v = &c->values[i];
-		if (v->seen < COMMON * c->all || v->left_ms < left_ms)
+		if (v->seen < COMMON_SHARE * c->all ||
+		    v->left_ms < remaining_ms)
 			continue;
-		if (waited == 0 || v->left_ms - left_ms < waited)
-			waited = v->left_ms - left_ms;
-		if (v->left_ms == left_ms)
+		if (elapsed == 0 || v->left_ms - remaining_ms < elapsed)
+			elapsed = v->left_ms - remaining_ms;
+		if (v->left_ms == remaining_ms)
 			return 0;
 	}
-	return waited;
+	return elapsed;
 }
--- a/caller.h
+++ b/caller.h
@@ -14,17 +14,19 @@
 #include <stdint.h>
 
 /*
- * How long callers have waited before they came to us.  Most send the same
- * deadline with their first attempt, and what is left of it with the next; so
- * what is missing to a value that many send has passed already.  Where no
- * value is common, nothing is known.  Pure.
+ * Estimates how long a caller has waited before its request arrived.  Most
+ * callers send the same timeout with each first attempt, and the rest of it
+ * with a retry.  The difference between a value and the next larger common one
+ * is therefore the time that has elapsed.  Without common values nothing is
+ * known. There is no I/O.
  */
 
+/* Number of values that are tracked. */
 enum { CALLER_VALUES = 8 };
 
 struct caller_value {
-	int64_t left_ms;
-	double seen; /* how often, the older the less */
+	int64_t left_ms; /* remaining time that requests carried */
+	double seen; /* number of these requests, older ones count less */
 };
 
 /* The callers of one rule. */
@@ -34,9 +36,9 @@
 };
 
 /*
- * A caller says that it waits `left_ms` more.  How many ms it has waited, 0
- * where that is not known.
+ * Records a request whose caller waits for another `remaining_ms`.  Returns the
+ * time in ms that the caller has waited; 0: none, or unknown.
  */
-int64_t callers_waited(struct callers *, int64_t left_ms);
+int64_t callers_waited(struct callers *, int64_t remaining_ms);
 
 #endif
--- a/limit.c
+++ b/limit.c
@@ -12,31 +12,31 @@
 
 #include "limit.h"
 
-static const double NS_A_SECOND = 1e9;
-/* What a quiet budget may save up, and what a new one begins with. */
+static const double NS_PER_SECOND = 1e9;
+/* Default size of a retry budget in tokens, and the share it starts with. */
 static const double BUDGET_MAX = 20.0;
-static const double BUDGET_START_SHARE = 0.25;
-/* What is kept for those who have no other chance. */
-static const double BUDGET_KEPT_SHARE = 0.5;
+static const double BUDGET_INITIAL_SHARE = 0.25;
+/* Share reserved by retry_budget_has_spare(). */
+static const double BUDGET_RESERVED_SHARE = 0.5;
 
-struct slot {
+struct entry {
 	struct limit limit;
 	char *key;
-	GList *link; /* in the order of use */
+	GList *link; /* in limit_table.lru */
 };
 
 struct limit_table {
-	GHashTable *slots;
-	GQueue order; /* struct slot *, the latest used first */
+	GHashTable *entries; /* struct entry * by key */
+	GQueue lru; /* struct entry *, most recently used first */
 	unsigned max;
 };
 
-static void slot_free(void *);
+static void entry_free(void *);
 
 bool
 limit_take(struct limit *l, double rate, int64_t now)
 {
-	double burst = rate * (double)LIMIT_BURST_NS / NS_A_SECOND;
+	double burst = rate * (double)LIMIT_BURST_NS / NS_PER_SECOND;
 
 	if (rate <= 0)
 		return true;
@@ -45,7 +45,7 @@
 	if (l->last == 0)
 		l->tokens = burst;
 	else
-		l->tokens += rate * (double)(now - l->last) / NS_A_SECOND;
+		l->tokens += rate * (double)(now - l->last) / NS_PER_SECOND;
 	l->last = now;
 	if (l->tokens > burst)
 		l->tokens = burst;
@@ -58,9 +58,9 @@
 double
 bucket_holds(const struct bucket *b, double rate, double burst, int64_t now)
 {
-	double since = (double)(now - b->filled) / NS_A_SECOND;
+	double seconds = (double)(now - b->filled) / NS_PER_SECOND;
 
-	return MIN(b->saved + rate * since, burst);
+	return MIN(b->saved + rate * seconds, burst);
 }
 
 void
@@ -71,28 +71,28 @@
 }
 
 bool
-bucket_lend(struct bucket *b, double rate, double burst, int64_t most,
+bucket_lend(struct bucket *b, double rate, double burst, int64_t max_wait,
     int64_t now, int64_t *wait)
 {
-	double holds = bucket_holds(b, rate, burst, now);
+	double tokens = bucket_holds(b, rate, burst, now);
 
 	*wait = 0;
-	if (holds < 1)
-		*wait = (int64_t)((1 - holds) / rate * NS_A_SECOND);
-	if (*wait > most)
+	if (tokens < 1)
+		*wait = (int64_t)((1 - tokens) / rate * NS_PER_SECOND);
+	if (*wait > max_wait)
 		return false;
-	b->saved = holds - 1;
+	b->saved = tokens - 1;
 	b->filled = now;
 	return true;
 }
 
 static void
-slot_free(void *p)
+entry_free(void *p)
 {
-	struct slot *s = p;
+	struct entry *e = p;
 
-	g_free(s->key);
-	g_free(s);
+	g_free(e->key);
+	g_free(e);
 }
 
 struct limit_table *
@@ -100,9 +100,9 @@
 {
 	struct limit_table *t = g_new0(struct limit_table, 1);
 
-	t->slots =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, slot_free);
-	g_queue_init(&t->order);
+	t->entries =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
+	g_queue_init(&t->lru);
 	t->max = max;
 	return t;
 }
@@ -110,8 +110,8 @@
 void
 limit_table_free(struct limit_table *t)
 {
-	g_hash_table_destroy(t->slots);
-	g_queue_clear(&t->order);
+	g_hash_table_destroy(t->entries);
+	g_queue_clear(&t->lru);
 	g_free(t);
 }
 
@@ -120,25 +120,25 @@
     struct limit_table *t, struct str key, double rate, int64_t now)
 {
 	char *text = g_strndup(key.p, key.n);
-	struct slot *s = g_hash_table_lookup(t->slots, text);
-	struct slot *old;
-
-	if (s == NULL) {
-		s = g_new0(struct slot, 1);
-		s->key = g_strdup(text);
-		g_queue_push_head(&t->order, s);
-		s->link = t->order.head;
-		g_hash_table_insert(t->slots, s->key, s);
+	struct entry *e = g_hash_table_lookup(t->entries, text);
+	struct entry *oldest;
+
+	if (e == NULL) {
+		e = g_new0(struct entry, 1);
+		e->key = g_strdup(text);
+		g_queue_push_head(&t->lru, e);
+		e->link = t->lru.head;
+		g_hash_table_insert(t->entries, e->key, e);
 	} else {
-		g_queue_unlink(&t->order, s->link);
-		g_queue_push_head_link(&t->order, s->link);
+		g_queue_unlink(&t->lru, e->link);
+		g_queue_push_head_link(&t->lru, e->link);
 	}
 	g_free(text);
-	if (t->order.length > t->max) {
-		old = g_queue_pop_tail(&t->order);
-		g_hash_table_remove(t->slots, old->key);
+	if (t->lru.length > t->max) {
+		oldest = g_queue_pop_tail(&t->lru);
+		g_hash_table_remove(t->entries, oldest->key);
 	}
-	return limit_take(&s->limit, rate, now);
+	return limit_take(&e->limit, rate, now);
 }
 
 static double
@@ -147,19 +147,19 @@
 	return b->max > 0 ? b->max : BUDGET_MAX;
 }
 
-/* A new budget begins with a part of what it may save up. */
+/* A new budget starts with a share of its size. */
 static void
-budget_begin(struct retry_budget *b)
+budget_init(struct retry_budget *b)
 {
 	if (!b->begun)
-		b->saved = budget_max(b) * BUDGET_START_SHARE;
+		b->saved = budget_max(b) * BUDGET_INITIAL_SHARE;
 	b->begun = true;
 }
 
 void
 retry_budget_pay(struct retry_budget *b, int64_t percent)
 {
-	budget_begin(b);
+	budget_init(b);
 	b->saved += (double)percent / 100;
 	if (b->saved > budget_max(b))
 		b->saved = budget_max(b);
@@ -168,15 +168,15 @@
 bool
 retry_budget_has(struct retry_budget *b)
 {
-	budget_begin(b);
+	budget_init(b);
 	return b->saved >= 1;
 }
 
 bool
 retry_budget_has_spare(struct retry_budget *b)
 {
-	budget_begin(b);
-	return b->saved >= budget_max(b) * BUDGET_KEPT_SHARE;
+	budget_init(b);
+	return b->saved >= budget_max(b) * BUDGET_RESERVED_SHARE;
 }
 
 void
--- a/limit.h
+++ b/limit.h
@@ -17,8 +17,9 @@
 #include "str.h"
 
 /*
- * Limits as token buckets, pure functions of the times handed in.  A limit
- * that is meant for the fleet is divided over the places that enforce it.
+ * Rate limits as token buckets.  These functions do no I/O; the time is passed
+ * in.  A limit for the whole fleet must be divided by the caller among the
+ * processes that enforce it.
  */
 struct limit {
 	double tokens;
@@ -26,52 +27,62 @@
 };
 
 /*
- * Take one token of a bucket that fills at `rate` a second and holds
- * LIMIT_BURST_NS worth of it, at least one.  A rate of 0 is no limit.
+ * Consumes one token of a bucket that is filled with `rate` tokens per second
+ * and holds those of LIMIT_BURST_NS, but at least one.  Returns false if there
+ * is no token.  A rate of 0 means no limit.
  */
 bool limit_take(struct limit *, double rate, int64_t now);
 
 #define LIMIT_BURST_NS (INT64_C(200) * 1000 * 1000)
 
-/* A bucket of whole tokens whose rate and size its owner knows. */
+/* A token bucket whose rate and size are passed in with each call. */
 struct bucket {
-	double saved; /* tokens that it held */
-	int64_t filled; /* at this time; monotonic ns */
+	double saved; /* tokens at the time below */
+	int64_t filled; /* last update, monotonic ns */
 };
 
-/* What it holds by now, at `rate` tokens a second and `burst` at most. */
+/* Returns the current tokens, at `rate` tokens per second and up to `burst`. */
 double
 bucket_holds(const struct bucket *, double rate, double burst, int64_t now);
 
-/* Take one token, or the part of one that is there. */
+/* Consumes one token, or the fraction of one that there is. */
 void bucket_take(struct bucket *, double rate, double burst, int64_t now);
 
 /*
- * Take one token, which may be there only after a while; *wait is that time, in
- * ns.  False if it would be more than `most`; nothing is taken then.
+ * Reserves one token, which may become available later: sets *wait to the time
+ * until then in ns.  Returns false, and reserves nothing, if that is more than
+ * `max_wait`.
  */
-bool bucket_lend(struct bucket *, double rate, double burst, int64_t most,
+bool bucket_lend(struct bucket *, double rate, double burst, int64_t max_wait,
     int64_t now, int64_t *wait);
 
-/* Buckets for many callers; the least lately used goes when it is full. */
+/*
+ * A table of rate limits by key, for up to `max` keys; the least recently used
+ * key is evicted.  The caller frees it with limit_table_free().
+ */
 struct limit_table;
 struct limit_table *limit_table_new(unsigned max);
 void limit_table_free(struct limit_table *);
+/* Does the same as limit_take(), with the limit of this key. */
 bool limit_table_take(
     struct limit_table *, struct str key, double rate, int64_t now);
 
 /*
- * A budget for retries as a share of requests: each request pays in
- * `percent` hundredths, each retry takes a whole one out.
+ * A retry budget that limits retries to a share of requests.  Each request adds
+ * `percent` hundredths of a token, and each retry consumes one token.
  */
 struct retry_budget {
 	double saved;
-	double max; /* what may be saved up; 0: the default */
+	double max; /* size in tokens; 0: the default */
 	bool begun;
 };
 void retry_budget_pay(struct retry_budget *, int64_t percent);
+/* Returns whether there is a token for a retry. */
 bool retry_budget_has(struct retry_budget *);
-/* The same for one who has other chances: a half is left to those without. */
+/*
+ * The same for a request that has other chances: half of the budget is reserved
+ * for requests that have none.
+ */
 bool retry_budget_has_spare(struct retry_budget *);
 void retry_budget_take(struct retry_budget *);
 
--- a/queue.c
+++ b/queue.c
@@ -12,7 +12,7 @@
 
 #include "queue.h"
 
-static bool before(const struct queue_item *, const struct queue_item *);
+static bool is_before(const struct queue_item *, const struct queue_item *);
 static void put(struct queue *, size_t, struct queue_item *);
 static void sift_up(struct queue *, size_t);
 static void sift_down(struct queue *, size_t);
@@ -31,7 +31,7 @@
 }
 
 static bool
-before(const struct queue_item *a, const struct queue_item *b)
+is_before(const struct queue_item *a, const struct queue_item *b)
 {
 	if (a->rank != b->rank)
 		return a->rank < b->rank;
@@ -41,47 +41,47 @@
 }
 
 static void
-put(struct queue *q, size_t at, struct queue_item *item)
+put(struct queue *q, size_t index, struct queue_item *item)
 {
-	q->heap[at] = item;
-	item->at = at;
+	q->heap[index] = item;
+	item->at = index;
 }
 
 static void
-sift_up(struct queue *q, size_t at)
+sift_up(struct queue *q, size_t index)
 {
-	struct queue_item *item = q->heap[at];
+	struct queue_item *item = q->heap[index];
 	size_t parent;
 
-	while (at > 0) {
-		parent = (at - 1) / 2;
-		if (!before(item, q->heap[parent]))
+	while (index > 0) {
+		parent = (index - 1) / 2;
+		if (!is_before(item, q->heap[parent]))
 			break;
-		put(q, at, q->heap[parent]);
-		at = parent;
+		put(q, index, q->heap[parent]);
+		index = parent;
 	}
-	put(q, at, item);
+	put(q, index, item);
 }
 
 static void
-sift_down(struct queue *q, size_t at)
+sift_down(struct queue *q, size_t index)
 {
-	struct queue_item *item = q->heap[at];
+	struct queue_item *item = q->heap[index];
 	size_t child;
 
 	for (;;) {
-		child = 2 * at + 1;
+		child = 2 * index + 1;
 		if (child >= q->n)
 			break;
 		if (child + 1 < q->n &&
-		    before(q->heap[child + 1], q->heap[child]))
+		    is_before(q->heap[child + 1], q->heap[child]))
 			child++;
-		if (!before(q->heap[child], item))
+		if (!is_before(q->heap[child], item))
 			break;
-		put(q, at, q->heap[child]);
-		at = child;
+		put(q, index, q->heap[child]);
+		index = child;
 	}
-	put(q, at, item);
+	put(q, index, item);
 }
 
 void
@@ -115,12 +115,12 @@
 void
 queue_remove(struct queue *q, struct queue_item *item)
 {
-	size_t at = item->at;
+	size_t index = item->at;
 	struct queue_item *last = q->heap[--q->n];
 
 	if (last == item)
 		return;
-	put(q, at, last);
-	sift_up(q, at);
+	put(q, index, last);
+	sift_up(q, index);
 	sift_down(q, last->at);
 }
--- a/queue.h
+++ b/queue.h
@@ -16,15 +16,16 @@
 #include <stdint.h>
 
 /*
- * Requests held until a slot is free, ordered by rank and then by deadline: a
- * binary heap that holds pointers and can take one out of its middle.
+ * A priority queue of requests, ordered by rank, then by deadline, then by
+ * insertion.  It is a binary heap of pointers from which any item can be
+ * removed.  The items belong to the caller and are not copied.
  */
 struct queue_item {
-	int rank; /* the lower, the sooner; 0 where all are alike */
+	int rank; /* lower is served first */
 	int64_t deadline; /* monotonic ns */
-	uint64_t order; /* ties go to the earlier */
-	size_t at; /* place in the heap, for queue_remove() */
-	void *data;
+	uint64_t order; /* number of the insertion, set by queue_push() */
+	size_t at; /* index in the heap, for queue_remove() */
+	void *data; /* the caller's */
 };
 
 struct queue {
@@ -34,10 +35,14 @@
 };
 
 void queue_init(struct queue *);
+/* Removes all items and frees the heap. */
 void queue_clear(struct queue *);
 void queue_push(struct queue *, struct queue_item *);
+/* Returns the first item and keeps it in the queue; NULL: empty. */
 struct queue_item *queue_first(const struct queue *);
+/* Removes and returns the first item; NULL: empty. */
 struct queue_item *queue_pop(struct queue *);
+/* Removes an item, which must be in the queue. */
 void queue_remove(struct queue *, struct queue_item *);
 
 #endif
--- a/returns.c
+++ b/returns.c
@@ -13,18 +13,20 @@
 #include "clk.h"
 #include "returns.h"
 
-struct refused {
-	struct fprint print;
-	int64_t first, at; /* sent first, refused last */
-	GList *link; /* in the order of refusals */
+/* A refused request. */
+struct refusal {
+	struct fprint fingerprint;
+	int64_t first_sent, refused_at; /* monotonic ns */
+	GList *link; /* in returns.order */
 };
 
-enum { USUAL_WEIGHT = 8 }; /* of the past against one */
+enum { MEAN_WEIGHT = 8 }; /* of the past against one sample */
 
 struct returns {
-	int64_t usual, usual_at; /* time waited; when one came back last */
-	GHashTable *known; /* struct fprint * in a struct refused to that */
-	GQueue order; /* struct refused *, the latest first */
+	int64_t mean_wait; /* moving average, ns; 0: none yet */
+	int64_t last_return; /* monotonic ns */
+	GHashTable *refusals; /* by &refusal.fingerprint */
+	GQueue order; /* struct refusal *, latest first */
 	unsigned max;
 };
 
@@ -49,7 +51,7 @@
 {
 	struct returns *r = g_new0(struct returns, 1);
 
-	r->known = g_hash_table_new_full(hash, equal, NULL, g_free);
+	r->refusals = g_hash_table_new_full(hash, equal, NULL, g_free);
 	g_queue_init(&r->order);
 	r->max = max;
 	return r;
@@ -58,65 +60,65 @@
 void
 returns_free(struct returns *r)
 {
-	g_hash_table_destroy(r->known);
+	g_hash_table_destroy(r->refusals);
 	g_queue_clear(&r->order);
 	g_free(r);
 }
 
 static void
-forget(struct returns *r, struct refused *e)
+remove_refusal(struct returns *r, struct refusal *e)
 {
 	g_queue_delete_link(&r->order, e->link);
-	g_hash_table_remove(r->known, &e->print);
+	g_hash_table_remove(r->refusals, &e->fingerprint);
 }
 
 void
-returns_refused(
-    struct returns *r, struct fprint print, int64_t first, int64_t now)
+returns_refused(struct returns *r, struct fprint fingerprint,
+    int64_t first_sent, int64_t now)
 {
-	struct refused *e = g_hash_table_lookup(r->known, &print);
+	struct refusal *e = g_hash_table_lookup(r->refusals, &fingerprint);
 
-	if (fprint_is_none(print))
+	if (fprint_is_none(fingerprint))
 		return;
 	if (e != NULL)
-		forget(r, e);
+		remove_refusal(r, e);
 	if (r->order.length >= r->max)
-		forget(r, g_queue_peek_tail(&r->order));
-	e = g_new0(struct refused, 1);
-	e->print = print;
-	e->first = first;
-	e->at = now;
+		remove_refusal(r, g_queue_peek_tail(&r->order));
+	e = g_new0(struct refusal, 1);
+	e->fingerprint = fingerprint;
+	e->first_sent = first_sent;
+	e->refused_at = now;
 	g_queue_push_head(&r->order, e);
 	e->link = r->order.head;
-	g_hash_table_insert(r->known, &e->print, e);
+	g_hash_table_insert(r->refusals, &e->fingerprint, e);
 }
 
 static void
-learn(struct returns *r, int64_t waited, int64_t now)
+update_mean(struct returns *r, int64_t waited, int64_t now)
 {
-	if (r->usual == 0 || now - r->usual_at > RETURNS_KEPT_NS)
-		r->usual = waited;
-	r->usual += (waited - r->usual) / USUAL_WEIGHT;
-	r->usual_at = now;
+	if (r->mean_wait == 0 || now - r->last_return > RETURNS_KEPT_NS)
+		r->mean_wait = waited;
+	r->mean_wait += (waited - r->mean_wait) / MEAN_WEIGHT;
+	r->last_return = now;
 }
 
 int64_t
-returns_take(struct returns *r, struct fprint print, int64_t now)
+returns_take(struct returns *r, struct fprint fingerprint, int64_t now)
 {
-	struct refused *e = g_hash_table_lookup(r->known, &print);
-	int64_t first;
+	struct refusal *e = g_hash_table_lookup(r->refusals, &fingerprint);
+	int64_t first_sent;
 
 	if (e == NULL)
 		return 0;
-	first = now - e->at <= RETURNS_KEPT_NS ? e->first : 0;
-	forget(r, e);
-	if (first > 0)
-		learn(r, now - first, now);
-	return first;
+	first_sent = now - e->refused_at <= RETURNS_KEPT_NS ? e->first_sent : 0;
+	remove_refusal(r, e);
+	if (first_sent > 0)
+		update_mean(r, now - first_sent, now);
+	return first_sent;
 }
 
 int64_t
 returns_usual(const struct returns *r, int64_t now)
 {
-	return now - r->usual_at <= RETURNS_KEPT_NS ? r->usual : 0;
+	return now - r->last_return <= RETURNS_KEPT_NS ? r->mean_wait : 0;
 }
--- a/returns.h
+++ b/returns.h
@@ -17,40 +17,44 @@
 #include "fprint.h"
 
 /*
- * Requests that were refused as not run, and when their callers sent them
- * first.  Pure.
+ * Requests that were refused without being run, and the times when their
+ * callers first sent them, to recognize retries.  There is no I/O; the time is
+ * passed in.
  *
- * Load pattern: servers turn requests away while they have room, and callers
- * come back within milliseconds.  What a caller says of its deadline does not
- * tell how long it has waited, as some wait shorter the second time: taken for
- * late, it stood behind all others.  That it is the same request again, from
- * the same caller, tells it.  In a large fleet it comes to another box each
- * time, and to the same home.
+ * Servers may refuse requests although they have free slots, and callers then
+ * retry within milliseconds.  The remaining time that a caller sends does not
+ * show how long it has waited, as some use a shorter timeout for a retry; such
+ * a request would be presumed late and queued behind all others.  The
+ * fingerprint shows that it is the same request of the same caller.  In a large
+ * fleet a retry usually reaches another box, but the same owner of the shard.
  */
 struct returns;
 
-/* At most `max` requests are kept, the latest refused ones. */
+/*
+ * Keeps up to `max` requests, the ones refused last.  The caller frees the
+ * structure with returns_free().
+ */
 struct returns *returns_new(unsigned max);
 void returns_free(struct returns *);
 
-/* A request was refused that its caller sent at `first`, monotonic ns. */
-void
-returns_refused(struct returns *, struct fprint, int64_t first, int64_t now);
+/* Records a refused request that its caller sent at `first_sent`. */
+void returns_refused(
+    struct returns *, struct fprint, int64_t first_sent, int64_t now);
 
 /*
- * One arrives: when was it sent first, if it was refused within
- * RETURNS_KEPT_NS? 0: it was not.  It is forgotten, and refused again where it
- * is.
+ * Looks up a request that arrives, and removes it.  Returns the time at which
+ * it was first sent, monotonic ns, or 0 if it was not refused within
+ * RETURNS_KEPT_NS.  If it is refused again, it must be recorded again.
  */
 int64_t returns_take(struct returns *, struct fprint, int64_t now);
 
 /*
- * How long those who came back lately had waited, ns; 0: nobody did.  One that
- * was refused by another home may be thought to have waited as long.
+ * Returns the mean time in ns that recently retried requests had waited; 0: no
+ * recent retry.  It is an estimate for requests that another owner refused.
  */
 int64_t returns_usual(const struct returns *, int64_t now);
 
-/* Callers who come back do so within this time. */
+/* Callers are expected to retry within this time, if at all. */
 #define RETURNS_KEPT_NS (5 * NS_S)
 
 #endif
