--- a/disp.h
+++ b/disp.h
@@ -58,15 +58,15 @@
 	AGAINST_MAX
 };
 
-/* One request, embedded in the caller's own request structure. */
+/* One request, embedded in the gate's own structure for it. */
 struct disp_req {
 	enum obj_class cls;
-	bool repeatable;
+	bool repeatable; /* may be sent again although it may have run */
 	bool may_pass; /* may be forwarded to another hall */
 	bool may_retry; /* no part of an answer was sent to the caller yet */
 	int64_t deadline; /* monotonic ns */
 	int64_t sent; /* start of the current attempt; monotonic ns */
-	int tries;
+	int tries; /* attempts so far, including the current one */
 	int attempts; /* limit of attempts; 0: the default */
 	int rank; /* priority; lower is more urgent */
 	int64_t target; /* wanted time of the answer, monotonic ns; 0: none */
@@ -75,7 +75,7 @@
 	struct fprint print; /* identifies retries of the same request */
 	/* The members below are private to the dispatcher. */
 	int64_t work; /* estimated service time at the usual speed, ns */
-	double pace; /* expected at the start of the current attempt */
+	double pace; /* expected at the start of the attempt: pace.h */
 	int beside; /* other requests in flight there at that time */
 	double slowdown; /* expected from these; factor >= 1 */
 	bool told; /* the latency factor came from a recent load report */
@@ -136,16 +136,16 @@
 struct disp_params {
 	const struct pick_policy *policy;
 	const struct chart *chart;
-	int64_t queue_max;
-	int bulk_percent;
-	int64_t retry_percent;
+	int64_t queue_max; /* longest queue of a class, requests */
+	int bulk_percent; /* largest share of slots for class bulk */
+	int64_t retry_percent; /* retries allowed, percent of requests */
 	double retry_max; /* size of the retry budget; 0: the default */
 	struct cold_bound cold;
 	struct poison *poison; /* shared by all shards; NULL: no check */
 	const struct words *words; /* of all shards; NULL: none */
 	struct str hall; /* of the shard; must outlive the dispatcher */
 	struct roll *roll; /* of the service; NULL: none */
-	double rate; /* limit, requests per second in this shard; 0: none */
+	double rate; /* limit of the shard, requests per second; 0: none */
 };
 
 /* A backend server as the configuration describes it. */
@@ -153,7 +153,7 @@
 	struct str name;
 	struct str address;
 	int slots;
-	bool drain;
+	bool drain; /* gets no new requests */
 	bool evacuated; /* its hall must get no new requests */
 	int64_t warm_ns; /* duration of its slow start */
 	int64_t born_ms; /* start time, ms since 1970; 0: unknown */
@@ -200,7 +200,7 @@
 
 /*
  * Reports the end of an attempt.  Returns true if the request is retried by the
- * dispatcher; otherwise the caller has to answer it.
+ * dispatcher; otherwise the gate has to answer it.
  */
 bool disp_done(struct disp *, struct disp_req *, enum disp_outcome);
 
--- a/disp_peek.c
+++ b/disp_peek.c
@@ -213,7 +213,7 @@
 		return false;
 	if (count_free(d, now, &fast, &queried) == 0 || fast)
 		return false;
-	/* All queried servers are slow; the caller tries other halls. */
+	/* All queried servers are slow; another hall has free slots. */
 	if (r->asked && !queried && r->may_pass &&
 	    disp_has_room_elsewhere(d, r, now))
 		return false;
--- a/pick.h
+++ b/pick.h
@@ -102,7 +102,7 @@
 	int64_t doubted_at; /* time of the last one */
 	bool reached; /* the last load query got a connection */
 	uint64_t turns; /* requests sent, for round robin */
-	void *data; /* for the dispatcher's owner */
+	void *data; /* for the gate */
 };
 
 /* The backend servers of one service in one hall. */
