--- a/caller.c
+++ b/caller.c
@@ -26,11 +26,11 @@
 {
 	int i;
 
-	if (c->all < DECAY_AT)
+	if (c->total_weight < DECAY_AT)
 		return;
 	for (i = 0; i < CALLER_VALUES; i++)
-		c->values[i].seen /= 2;
-	c->all /= 2;
+		c->values[i].weight /= 2;
+	c->total_weight /= 2;
 }
 
 /* Counts a value; a new one replaces the rarest. */
@@ -40,23 +40,23 @@
 	struct caller_value *v, *rarest = &c->values[0];
 	int i;
 
-	c->all++;
+	c->total_weight++;
 	for (i = 0; i < CALLER_VALUES; i++) {
 		v = &c->values[i];
-		if (v->left_ms == remaining_ms) {
-			v->seen++;
+		if (v->remaining_ms == remaining_ms) {
+			v->weight++;
 			return;
 		}
-		if (v->seen < rarest->seen)
+		if (v->weight < rarest->weight)
 			rarest = v;
 	}
 	/* Halved, so that the weights of rare values do not add up. */
-	rarest->seen = rarest->seen / 2 + 1;
-	rarest->left_ms = remaining_ms;
+	rarest->weight = rarest->weight / 2 + 1;
+	rarest->remaining_ms = remaining_ms;
 }
 
 int64_t
-callers_waited(struct callers *c, int64_t remaining_ms)
+callers_elapsed_ms(struct callers *c, int64_t remaining_ms)
 {
 	const struct caller_value *v;
 	int64_t elapsed = 0;
@@ -64,16 +64,16 @@
 
 	decay(c);
 	count(c, remaining_ms);
-	if (c->all < MIN_TOTAL)
+	if (c->total_weight < MIN_TOTAL)
 		return 0;
 	for (i = 0; i < CALLER_VALUES; i++) {
 		v = &c->values[i];
-		if (v->seen < COMMON_SHARE * c->all ||
-		    v->left_ms < remaining_ms)
+		if (v->weight < COMMON_SHARE * c->total_weight ||
+		    v->remaining_ms < remaining_ms)
 			continue;
-		if (elapsed == 0 || v->left_ms - remaining_ms < elapsed)
-			elapsed = v->left_ms - remaining_ms;
-		if (v->left_ms == remaining_ms)
+		if (elapsed == 0 || v->remaining_ms - remaining_ms < elapsed)
+			elapsed = v->remaining_ms - remaining_ms;
+		if (v->remaining_ms == remaining_ms)
 			return 0;
 	}
 	return elapsed;
--- a/caller.h
+++ b/caller.h
@@ -25,20 +25,20 @@
 enum { CALLER_VALUES = 8 };
 
 struct caller_value {
-	int64_t left_ms; /* remaining time that requests carried */
-	double seen; /* number of these requests, older ones count less */
+	int64_t remaining_ms; /* remaining time that requests carried */
+	double weight; /* number of these requests, older ones count less */
 };
 
 /* The callers of one rule. */
 struct callers {
 	struct caller_value values[CALLER_VALUES];
-	double all;
+	double total_weight;
 };
 
 /*
  * Records a request whose caller waits for another `remaining_ms`.  Returns the
  * time in ms that the caller has waited; 0: none, or unknown.
  */
-int64_t callers_waited(struct callers *, int64_t remaining_ms);
+int64_t callers_elapsed_ms(struct callers *, int64_t remaining_ms);
 
 #endif
--- a/cold.c
+++ b/cold.c
@@ -19,43 +19,43 @@
 static void
 start_bucket(struct cold *c, int64_t now)
 {
-	if (c->bucket.filled == 0)
-		c->bucket.filled = now;
+	if (c->bucket.updated_at == 0)
+		c->bucket.updated_at = now;
 }
 
 void
-cold_suspect(struct cold *c, int64_t duration, int64_t now)
+cold_set_suspected(struct cold *c, int64_t duration, int64_t now)
 {
 	start_bucket(c, now);
-	c->until = MAX(c->until, now + duration);
-	c->told = false;
+	c->cold_until = MAX(c->cold_until, now + duration);
+	c->reported = false;
 }
 
 void
-cold_told(struct cold *c, int64_t ns, int64_t now)
+cold_set_reported(struct cold *c, int64_t ns, int64_t now)
 {
 	start_bucket(c, now);
-	c->until = ns > 0 ? now + ns : 0;
-	c->told = true;
+	c->cold_until = ns > 0 ? now + ns : 0;
+	c->reported = true;
 }
 
 bool
-cold_is(const struct cold *c, int64_t now)
+cold_is_cold(const struct cold *c, int64_t now)
 {
-	return now < c->until;
+	return now < c->cold_until;
 }
 
 bool
-cold_in_doubt(const struct cold *c, int64_t now)
+cold_is_unconfirmed(const struct cold *c, int64_t now)
 {
-	return cold_is(c, now) && !c->told;
+	return cold_is_cold(c, now) && !c->reported;
 }
 
 bool
-cold_may(const struct cold *c, const struct cold_bound *limit, int64_t now)
+cold_can_send(const struct cold *c, const struct cold_limit *limit, int64_t now)
 {
-	return limit->rate <= 0 || !cold_is(c, now) ||
-	    bucket_holds(&c->bucket, limit->rate, limit->burst, now) >= 1;
+	return limit->rate <= 0 || !cold_is_cold(c, now) ||
+	    bucket_tokens(&c->bucket, limit->rate, limit->burst, now) >= 1;
 }
 
 /*
@@ -63,7 +63,7 @@
  * it restarts and is cold again.
  */
 void
-cold_sent(struct cold *c, const struct cold_bound *limit, int64_t now)
+cold_record_send(struct cold *c, const struct cold_limit *limit, int64_t now)
 {
-	bucket_take(&c->bucket, limit->rate, limit->burst, now);
+	bucket_consume(&c->bucket, limit->rate, limit->burst, now);
 }
--- a/cold.h
+++ b/cold.h
@@ -31,16 +31,16 @@
  */
 
 /* The configured limit of cold backend servers of a service. */
-struct cold_bound {
+struct cold_limit {
 	double rate; /* requests per second; 0: no limit */
 	double burst; /* size of the token bucket, requests */
-	int64_t lasts; /* longest time to warm up, ns */
+	int64_t duration; /* longest time to warm up, ns */
 };
 
 /* Whether a backend server is cold, and the tokens that it has left. */
 struct cold {
-	int64_t until; /* end of the slow start, monotonic ns */
-	bool told; /* reported by the server; otherwise presumed */
+	int64_t cold_until; /* end of the slow start, monotonic ns */
+	bool reported; /* reported by the server; otherwise presumed */
 	struct bucket bucket; /* a fill time of 0 means unused */
 };
 
@@ -48,21 +48,21 @@
  * Records that the server has started, or may have: it is presumed cold for
  * `duration` ns unless it reports otherwise.
  */
-void cold_suspect(struct cold *, int64_t duration, int64_t now);
+void cold_set_suspected(struct cold *, int64_t duration, int64_t now);
 
 /* Records its report that it is cold for `ns` more; 0: it is warm. */
-void cold_told(struct cold *, int64_t ns, int64_t now);
+void cold_set_reported(struct cold *, int64_t ns, int64_t now);
 
 /* Returns whether it is cold, by its report or presumably. */
-bool cold_is(const struct cold *, int64_t now);
+bool cold_is_cold(const struct cold *, int64_t now);
 
 /* Returns whether it is only presumed to be cold. */
-bool cold_in_doubt(const struct cold *, int64_t now);
+bool cold_is_unconfirmed(const struct cold *, int64_t now);
 
 /* Returns whether it may get a request now. */
-bool cold_may(const struct cold *, const struct cold_bound *, int64_t now);
+bool cold_can_send(const struct cold *, const struct cold_limit *, int64_t now);
 
 /* Records that it gets a request, cold or warm. */
-void cold_sent(struct cold *, const struct cold_bound *, int64_t now);
+void cold_record_send(struct cold *, const struct cold_limit *, int64_t now);
 
 #endif
--- a/conc.h
+++ b/conc.h
@@ -25,10 +25,10 @@
 enum { CONC_STEPS = 16 };
 
 struct conc_step {
-	double time; /* mean service time; 0: unknown */
+	double mean_time; /* mean service time; 0: unknown */
 	unsigned samples;
-	unsigned lately; /* of these, since the last long gap */
-	int64_t learned; /* monotonic ns of the last sample */
+	unsigned recent_samples; /* of these, since the last long gap */
+	int64_t updated_at; /* monotonic ns of the last sample */
 };
 
 struct conc {
@@ -39,17 +39,17 @@
  * Adds the duration of a request that started with `concurrent` other requests
  * in flight at the backend server.
  */
-void
-conc_learn(struct conc *, int concurrent, int slots, double time, int64_t now);
+void conc_add_sample(
+    struct conc *, int concurrent, int slots, double time, int64_t now);
 
 /* Returns the service time without slowdown by other requests; 0: unknown. */
-double conc_usual(const struct conc *);
+double conc_base_time(const struct conc *);
 
 /*
  * Adds the samples of another kind of request, relative to its base time. After
  * that only ratios of times are meaningful.
  */
-void conc_add(struct conc *, const struct conc *);
+void conc_merge(struct conc *, const struct conc *);
 
 /* Returns the slowdown, >= 1, of a request beside so many other requests. */
 double conc_slowdown(const struct conc *, int concurrent, int slots);
@@ -61,6 +61,6 @@
  * Returns the limit that should be explored next to learn whether conc_limit()
  * is still right; 0 if there are enough recent samples.
  */
-int conc_to_try(const struct conc *, int slots, int64_t now);
+int conc_next_to_explore(const struct conc *, int slots, int64_t now);
 
 #endif
--- a/disp.h
+++ b/disp.h
@@ -39,81 +39,87 @@
 enum disp_outcome {
 	DISP_OK, /* complete answer */
 	DISP_REFUSED, /* the backend server reported that it did not run it */
-	DISP_CONNECT, /* no connection, nothing was sent */
-	DISP_FAILED, /* answer with a 5xx status */
-	DISP_CUT, /* the connection broke; the request may have run */
-	DISP_LATE, /* the deadline passed before the answer */
-	DISP_GONE, /* the caller disconnected before the answer */
-	DISP_SLOW, /* stopped, as it took far longer than usual */
-	DISP_MOVED, /* another backend server has the address now */
+	DISP_CONNECT_FAILED, /* no connection, nothing was sent */
+	DISP_SERVER_ERROR, /* answer with a 5xx status */
+	DISP_CONN_BROKEN, /* the connection broke; the request may have run */
+	DISP_TIMED_OUT, /* the deadline passed before the answer */
+	DISP_CANCELED, /* the caller disconnected before the answer */
+	DISP_STOPPED_SLOW, /* stopped, as it took far longer than usual */
+	DISP_WRONG_INSTANCE, /* another backend server has the address now */
 	DISP_OUTCOME_MAX
 };
 
 /* Which limit reported by the backend server an attempt violates. */
-enum disp_against {
-	AGAINST_NOTHING,
-	AGAINST_QUOTA, /* its limit of requests per second */
-	AGAINST_REST, /* its Retry-After pause */
-	AGAINST_LEAVING, /* it reported that it is shutting down */
-	AGAINST_MAX
+enum disp_violation {
+	VIOLATION_NONE,
+	VIOLATION_QUOTA, /* its limit of requests per second */
+	VIOLATION_PAUSE, /* its Retry-After pause */
+	VIOLATION_LEAVING, /* it reported that it is shutting down */
+	VIOLATION_MAX
 };
 
 /* One request, embedded in the gate's own structure for it. */
 struct disp_req {
 	enum obj_class cls;
 	bool repeatable; /* may be sent again although it may have run */
-	bool may_pass; /* may be forwarded to another hall */
-	bool may_retry; /* no part of an answer was sent to the caller yet */
+	bool can_forward; /* may be forwarded to another hall */
+	bool can_retry; /* no part of an answer was sent to the caller yet */
 	int64_t deadline; /* monotonic ns */
-	int64_t sent; /* start of the current attempt; monotonic ns */
-	int tries; /* attempts so far, including the current one */
-	int attempts; /* limit of attempts; 0: the default */
+	int64_t sent_at; /* start of the current attempt; monotonic ns */
+	int attempt_count; /* attempts so far, including the current one */
+	int max_attempts; /* limit of attempts; 0: the default */
 	int rank; /* priority; lower is more urgent */
 	int64_t target; /* wanted time of the answer, monotonic ns; 0: none */
 	unsigned kind; /* requests of one kind have similar service times */
-	struct str regions; /* where it may be served: region.h */
-	struct fprint print; /* identifies retries of the same request */
+	struct str allowed_regions; /* where it may be served: region.h */
+	struct fprint fingerprint; /* identifies retries of the same request */
 	/* The members below are private to the dispatcher. */
-	int64_t work; /* estimated service time at the usual speed, ns */
-	double pace; /* expected at the start of the attempt: pace.h */
-	int beside; /* other requests in flight there at that time */
+	int64_t
+	    service_time; /* estimated service time at the usual speed, ns */
+	double
+	    latency_factor; /* expected at the start of the attempt: pace.h */
+	int concurrent; /* other requests in flight there at that time */
 	double slowdown; /* expected from these; factor >= 1 */
-	bool told; /* the latency factor came from a recent load report */
-	enum disp_against against; /* of the current attempt */
-	bool asked; /* load queries were sent for it */
-	bool paid; /* its attempts so far were charged to a retry budget */
-	bool judged; /* whether it may wait was decided */
+	bool load_report_fresh; /* the latency factor came from a recent load
+				   report */
+	enum disp_violation violation; /* of the current attempt */
+	bool queried; /* load queries were sent for it */
+	bool budget_charged; /* its attempts so far were charged to a retry
+				budget */
+	bool wait_decided; /* whether it may wait was decided */
 	int queue; /* index of the queue that it waits in */
-	struct pick_backend *at; /* current one; NULL: queued or done */
+	struct pick_backend *backend; /* current one; NULL: queued or done */
 	struct pick_backend *avoid; /* the one of the last attempt */
 	/* Its connection broke, and it may have crashed; NULL: none. */
-	const struct pick_backend *doubted;
-	bool held;
-	bool trial; /* runs isolated from other requests: poison.h */
+	const struct pick_backend *maybe_crashed;
+	bool queued;
+	bool in_trial; /* runs isolated from other requests: poison.h */
 	bool stopped; /* an attempt was stopped as too slow */
-	bool retried; /* its sender marked it as a retry */
-	bool came_back; /* its caller retries it after a refusal */
+	bool is_retry; /* its sender marked it as a retry */
+	bool previously_refused; /* its caller retries it after a refusal */
 	struct queue_item item;
-	GList link; /* in the list of requests in flight, by start time */
+	GList inflight_link; /* in the list of requests in flight, by start time
+			      */
 };
 
 struct disp_ops {
 	/* Send the request to a backend server. */
 	void (*send)(void *, struct disp_req *, struct pick_backend *);
 	/* Forward the request to the shard's owner in another hall. */
-	void (*pass)(void *, struct disp_req *, struct str hall);
+	void (*forward)(void *, struct disp_req *, struct str hall);
 	/* Answer the request with an error; retry_after in ns, 0: none. */
-	void (*give_up)(
+	void (*fail)(
 	    void *, struct disp_req *, enum err_kind, int64_t retry_after);
 	/*
 	 * Stop the current attempt, which is far too slow, and then call
-	 * disp_done() with DISP_SLOW.
+	 * disp_attempt_done() with DISP_STOPPED_SLOW.
 	 */
 	void (*stop)(void *, struct disp_req *);
-	/* Query the load of a backend server, then call disp_peeked(). */
-	void (*peek)(void *, struct pick_backend *);
+	/* Query the load of a backend server, then call disp_load_query_done().
+	 */
+	void (*query_load)(void *, struct pick_backend *);
 	/* A backend server crashed with this many requests in flight. */
-	void (*ended)(void *, const struct pick_backend *, unsigned);
+	void (*crashed)(void *, const struct pick_backend *, unsigned);
 	/* A backend server is no longer used and is freed after the call. */
 	void (*release)(void *, struct pick_backend *);
 	void *ctx;
@@ -126,11 +132,11 @@
  * be sent, all the time.
  */
 enum { SLOT_TENTHS = 10 };
-struct disp_room {
+struct disp_capacity {
 	/* Of all usable backend servers, occupied or free. */
 	double slots;
-	int free; /* free slots */
-	int waiting; /* queued requests */
+	int free_slots; /* free slots */
+	int queued; /* queued requests */
 };
 
 struct disp_params {
@@ -139,25 +145,25 @@
 	int64_t queue_max; /* longest queue of a class, requests */
 	int bulk_percent; /* largest share of slots for class bulk */
 	int64_t retry_percent; /* retries allowed, percent of requests */
-	double retry_max; /* size of the retry budget; 0: the default */
-	struct cold_bound cold;
+	double retry_budget_max; /* size of the retry budget; 0: the default */
+	struct cold_limit cold;
 	struct poison *poison; /* shared by all shards; NULL: no check */
-	const struct words *words; /* of all shards; NULL: none */
+	const struct backend_reports *reports; /* of all shards; NULL: none */
 	struct str hall; /* of the shard; must outlive the dispatcher */
-	struct roll *roll; /* of the service; NULL: none */
+	struct roll *rollout; /* of the service; NULL: none */
 	double rate; /* limit of the shard, requests per second; 0: none */
 };
 
 /* A backend server as the configuration describes it. */
-struct disp_backend {
+struct disp_backend_conf {
 	struct str name;
 	struct str address;
 	int slots;
 	bool drain; /* gets no new requests */
 	bool evacuated; /* its hall must get no new requests */
-	int64_t warm_ns; /* duration of its slow start */
-	int64_t born_ms; /* start time, ms since 1970; 0: unknown */
-	bool is_new; /* of the new version of a roll-out */
+	int64_t slow_start_ns; /* duration of its slow start */
+	int64_t started_ms; /* start time, ms since 1970; 0: unknown */
+	bool is_new_version; /* of the new version of a roll-out */
 };
 
 /*
@@ -167,7 +173,7 @@
  * be late.  Backend servers that are full report that beforehand, and get no
  * requests.
  */
-#define DISP_REFUSED_AGAIN_NS (10 * NS_MS)
+#define DISP_REFUSED_RETRY_NS (10 * NS_MS)
 
 struct disp;
 
@@ -184,35 +190,36 @@
  * Replaces the list of backend servers.  The state of those that are in the old
  * and in the new list is kept.
  */
-void disp_backends(struct disp *, const struct disp_backend *, unsigned);
+void
+disp_set_backends(struct disp *, const struct disp_backend_conf *, unsigned);
 
 /*
  * Accepts a new request.  One of the operations send, pass and give_up is
  * called for it, during this call or later.
  */
-void disp_arrive(struct disp *, struct disp_req *);
+void disp_submit(struct disp *, struct disp_req *);
 
 /*
- * Returns whether disp_done() would queue the request for a retry after an
- * attempt with this outcome.
+ * Returns whether disp_attempt_done() would queue the request for a retry after
+ * an attempt with this outcome.
  */
-bool disp_retryable(struct disp *, const struct disp_req *, enum disp_outcome);
+bool disp_can_retry(struct disp *, const struct disp_req *, enum disp_outcome);
 
 /*
  * Reports the end of an attempt.  Returns true if the request is retried by the
  * dispatcher; otherwise the gate has to answer it.
  */
-bool disp_done(struct disp *, struct disp_req *, enum disp_outcome);
+bool disp_attempt_done(struct disp *, struct disp_req *, enum disp_outcome);
 
 /*
  * Returns the Retry-After in ns for a request that backend servers refused:
- * DISP_REFUSED_AGAIN_NS, or a longer time where the limits that all of them
+ * DISP_REFUSED_RETRY_NS, or a longer time where the limits that all of them
  * reported show that they can accept it only later.
  */
-int64_t disp_refused_again(struct disp *, const struct disp_req *);
+int64_t disp_refused_retry_after(struct disp *, const struct disp_req *);
 
 /* Removes a queued request whose caller disconnected. */
-void disp_forget(struct disp *, struct disp_req *);
+void disp_cancel(struct disp *, struct disp_req *);
 
 /* Handles deadlines of queued requests, ends of ejections and other timers. */
 void disp_tick(struct disp *);
@@ -222,82 +229,84 @@
  * requests that it processes, the number that wait in it, and its latency
  * factor in percent (100: as fast as usual).
  */
-void disp_load_told(struct disp *, struct pick_backend *, int running,
+void disp_load_reported(struct disp *, struct pick_backend *, int running,
     int waiting, int percent);
 
 /*
  * Applies the reports of backend servers in params.words, after reports from
  * other boxes were merged into them.
  */
-void disp_words_told(struct disp *);
+void disp_apply_reports(struct disp *);
 
 /* Returns the backend server with this name, or NULL. */
-struct pick_backend *disp_find(const struct disp *, struct str backend);
+struct pick_backend *disp_find_backend(const struct disp *, struct str backend);
 
 /*
  * The next three functions record what a backend server reported with an answer
  * to a request or to a load query; for a load query, they must be called before
- * disp_peeked().  They return true if the report changed the state.
+ * disp_load_query_done().  They return true if the report changed the state.
  */
 /* It is shutting down. */
-bool disp_leaves_told(struct pick_backend *);
+bool disp_leaving_reported(struct pick_backend *);
 /* It asks this gate for a pause of this many ns (Retry-After). */
-bool disp_rest_told(struct disp *, struct pick_backend *, int64_t ns);
+bool disp_pause_reported(struct disp *, struct pick_backend *, int64_t ns);
 /*
  * It accepts this many requests per second from all boxes together; 0: no
  * limit.  `sent` is the time at which the answered request was sent.
  */
-bool disp_quota_told(
+bool disp_quota_reported(
     struct disp *, struct pick_backend *, double rate, int64_t sent);
 
 /*
  * Reports the result of a load query that peek() sent.  A `percent` of 0 means
  * the backend server does not report its load.
  */
-void disp_peeked(struct disp *, struct str backend, bool answered, int running,
-    int waiting, int percent);
+void disp_load_query_done(struct disp *, struct str backend, bool answered,
+    int running, int waiting, int percent);
 
 /*
  * Reports that the connection for a load query was established, which means
  * that the backend server's process is running.  Must be called before
- * disp_peeked().
+ * disp_load_query_done().
  */
-void disp_reached(struct disp *, struct str backend);
+void disp_load_query_connected(struct disp *, struct str backend);
 
 /*
  * Records the remaining slow start in ns, as the answer to a load query reports
- * it; 0: the backend server is warm.  Must be called before disp_peeked().
- * Returns true if that changed the state.
+ * it; 0: the backend server is warm.  Must be called before
+ * disp_load_query_done(). Returns true if that changed the state.
  */
-bool disp_cold_told(struct disp *, struct str backend, int64_t ns);
+bool disp_cold_reported(struct disp *, struct str backend, int64_t ns);
 
 /* Records the result of health probes of a backend server. */
-void disp_health(struct disp *, struct str backend, bool down, bool drain);
+void
+disp_probe_result(struct disp *, struct str backend, bool down, bool drain);
 
 /* Sets how many slots the service has in another hall by configuration. */
-void disp_hall(struct disp *, struct str hall, int slots);
+void disp_set_hall_slots(struct disp *, struct str hall, int slots);
 
 /* Sets the region of another hall, and whether it is the region of this one. */
-void disp_hall_region(
+void disp_set_hall_region(
     struct disp *, struct str hall, struct str region, bool same_region);
 
 /* Records the capacity that the shard's owner in another hall reported. */
-void disp_remote(struct disp *, struct str hall, const struct disp_room *);
+void disp_set_hall_capacity(
+    struct disp *, struct str hall, const struct disp_capacity *);
 
 /* Returns the capacity of this shard, for the owners in other halls. */
-struct disp_room disp_room_of(const struct disp *);
+struct disp_capacity disp_capacity_of(const struct disp *);
 
 /* Returns the number of requests in flight. */
 unsigned disp_inflight(const struct disp *);
 
 /* Returns the number in flight at servers of a roll-out's old version. */
-unsigned disp_old_inflight(const struct disp *);
+unsigned disp_old_version_inflight(const struct disp *);
 
 /* Returns the number of backend servers that may get new requests. */
-unsigned disp_usable(const struct disp *);
+unsigned disp_usable_backends(const struct disp *);
 
 /* Calls a function for each backend server. */
-typedef void disp_visit_fn(void *, const struct pick_backend *);
-void disp_each(const struct disp *, disp_visit_fn *, void *);
+typedef void disp_backend_fn(void *, const struct pick_backend *);
+void disp_foreach_backend(const struct disp *, disp_backend_fn *, void *);
 
 #endif
--- a/disp_doubt.c
+++ b/disp_doubt.c
@@ -29,12 +29,12 @@
 may_have_ended(const struct disp_req *r, const struct pick_backend *b,
     enum disp_outcome outcome)
 {
-	if (outcome == DISP_CUT)
+	if (outcome == DISP_CONN_BROKEN)
 		return true;
-	if (outcome == DISP_GONE)
-		return pick_is_silent(b);
-	return (outcome == DISP_LATE || outcome == DISP_SLOW) &&
-	    b->heard_at <= r->sent;
+	if (outcome == DISP_CANCELED)
+		return pick_is_unresponsive(b);
+	return (outcome == DISP_TIMED_OUT || outcome == DISP_STOPPED_SLOW) &&
+	    b->last_answer_at <= r->sent_at;
 }
 
 /*
@@ -43,21 +43,21 @@
  * result, which takes about a millisecond.
  */
 void
-disp_doubt_done(struct disp *d, struct disp_req *r, struct pick_backend *b,
-    enum disp_outcome outcome)
+disp_crash_attempt_done(struct disp *d, struct disp_req *r,
+    struct pick_backend *b, enum disp_outcome outcome)
 {
-	struct disp_doubt suspect = {r->print, r->trial};
+	struct disp_crash_suspect suspect = {r->fingerprint, r->in_trial};
 
-	if (d->params.poison == NULL || fprint_is_none(r->print) ||
-	    d->ops.peek == NULL || !may_have_ended(r, b, outcome))
+	if (d->params.poison == NULL || fprint_is_none(r->fingerprint) ||
+	    d->ops.query_load == NULL || !may_have_ended(r, b, outcome))
 		return;
-	if (b->doubts == NULL)
-		b->doubts = g_array_new(FALSE, FALSE, sizeof(suspect));
-	if (b->doubts->len < SUSPECTS_MAX)
-		g_array_append_val(b->doubts, suspect);
-	b->doubted_at = clk_ns(d->clk);
-	r->doubted = b;
-	disp_peek_after(d, b, 0, b->doubted_at);
+	if (b->crash_suspects == NULL)
+		b->crash_suspects = g_array_new(FALSE, FALSE, sizeof(suspect));
+	if (b->crash_suspects->len < SUSPECTS_MAX)
+		g_array_append_val(b->crash_suspects, suspect);
+	b->crash_suspected_at = clk_ns(d->clk);
+	r->maybe_crashed = b;
+	disp_query_after_gap(d, b, 0, b->crash_suspected_at);
 }
 
 /* Lets requests continue that wait to learn whether the server crashed. */
@@ -70,30 +70,32 @@
 
 	for (i = 0; i < q->n; i++) {
 		r = q->heap[i]->data;
-		if (r->doubted == b)
-			r->doubted = NULL;
+		if (r->maybe_crashed == b)
+			r->maybe_crashed = NULL;
 	}
 }
 
 /* Handles the decision whether a backend server has crashed. */
 void
-disp_doubt_settle(struct disp *d, struct pick_backend *b, bool crashed)
+disp_crash_resolve(struct disp *d, struct pick_backend *b, bool crashed)
 {
-	GArray *suspects = b->doubts;
-	const struct disp_doubt *suspect;
+	GArray *suspects = b->crash_suspects;
+	const struct disp_crash_suspect *suspect;
 	guint i;
 
 	if (suspects == NULL)
 		return;
-	b->doubts = NULL;
+	b->crash_suspects = NULL;
 	for (i = 0; crashed && i < suspects->len; i++) {
-		suspect = &g_array_index(suspects, struct disp_doubt, i);
-		poison_ended(d->params.poison, suspect->print, suspect->trial);
+		suspect =
+		    &g_array_index(suspects, struct disp_crash_suspect, i);
+		poison_record_crash(
+		    d->params.poison, suspect->fingerprint, suspect->in_trial);
 	}
 	if (crashed)
-		pick_ended(b, clk_ns(d->clk));
-	if (crashed && d->ops.ended != NULL)
-		d->ops.ended(d->ops.ctx, b, suspects->len);
+		pick_mark_crashed(b, clk_ns(d->clk));
+	if (crashed && d->ops.crashed != NULL)
+		d->ops.crashed(d->ops.ctx, b, suspects->len);
 	g_array_free(suspects, TRUE);
 	release_waiting(d, b);
 }
@@ -104,14 +106,14 @@
  * connection and then closes it is overloaded, but has not crashed.
  */
 void
-disp_doubt_peeked(struct disp *d, struct pick_backend *b, bool answered)
+disp_crash_query_done(struct disp *d, struct pick_backend *b, bool answered)
 {
-	if (b->doubts == NULL)
+	if (b->crash_suspects == NULL)
 		return;
-	if (b->peeked_at >= b->doubted_at)
-		disp_doubt_settle(d, b, !answered && !b->reached);
+	if (b->queried_at >= b->crash_suspected_at)
+		disp_crash_resolve(d, b, !answered && !b->query_connected);
 	else
-		disp_peek_after(d, b, 0, clk_ns(d->clk));
+		disp_query_after_gap(d, b, 0, clk_ns(d->clk));
 }
 
 /*
@@ -119,14 +121,18 @@
  * server, and it is not known yet whether the server crashed.
  */
 bool
-disp_doubt_waits(const struct pick_backend *b, struct fprint fingerprint)
+disp_crash_trial_pending(
+    const struct pick_backend *b, struct fprint fingerprint)
 {
-	const struct disp_doubt *suspect;
+	const struct disp_crash_suspect *suspect;
 	guint i;
 
-	for (i = 0; b->doubts != NULL && i < b->doubts->len; i++) {
-		suspect = &g_array_index(b->doubts, struct disp_doubt, i);
-		if (suspect->trial && fprint_same(suspect->print, fingerprint))
+	for (i = 0; b->crash_suspects != NULL && i < b->crash_suspects->len;
+	     i++) {
+		suspect = &g_array_index(
+		    b->crash_suspects, struct disp_crash_suspect, i);
+		if (suspect->in_trial &&
+		    fprint_same(suspect->fingerprint, fingerprint))
 			return true;
 	}
 	return false;
--- a/disp_move.c
+++ b/disp_move.c
@@ -28,15 +28,18 @@
 static int64_t
 estimate_end(const struct disp *d, const struct disp_req *r, int64_t now)
 {
-	double ratio = r->at->factor > 0 ? r->at->factor : 1;
-	double work = (double)r->work * ratio * r->slowdown;
-	double expected = work * (r->told ? r->pace : 1);
+	double ratio = r->backend->service_time_ratio > 0
+	    ? r->backend->service_time_ratio
+	    : 1;
+	double work = (double)r->service_time * ratio * r->slowdown;
+	double expected = work * (r->load_report_fresh ? r->latency_factor : 1);
 
-	if (pick_is_silent(r->at))
+	if (pick_is_unresponsive(r->backend))
 		return INT64_MAX;
-	if ((double)(now - r->sent) > expected * OVERDUE_FACTOR)
-		expected = work * MAX(d->slow_pace, r->pace);
-	return MAX(r->sent + (int64_t)expected, now);
+	if ((double)(now - r->sent_at) > expected * OVERDUE_FACTOR)
+		expected =
+		    work * MAX(d->slow_latency_factor, r->latency_factor);
+	return MAX(r->sent_at + (int64_t)expected, now);
 }
 
 /*
@@ -54,10 +57,11 @@
 static bool
 is_movable(struct disp *d, const struct disp_req *r)
 {
-	int max = r->attempts > 0 ? r->attempts : DEFAULT_MAX_ATTEMPTS;
+	int max = r->max_attempts > 0 ? r->max_attempts : DEFAULT_MAX_ATTEMPTS;
 
-	return r->target != 0 && r->work != 0 && r->repeatable && !r->trial &&
-	    r->tries < max && disp_retryable(d, r, DISP_SLOW);
+	return r->target != 0 && r->service_time != 0 && r->repeatable &&
+	    !r->in_trial && r->attempt_count < max &&
+	    disp_can_retry(d, r, DISP_STOPPED_SLOW);
 }
 
 /*
@@ -67,23 +71,25 @@
 static bool
 should_move(struct disp *d, const struct disp_req *r, int64_t now)
 {
-	struct pick_set set = disp_set_of(d);
-	struct pick_want criteria = {r->cls, r->at, r->work};
+	struct pick_set set = disp_pick_set(d);
+	struct pick_criteria criteria = {r->cls, r->backend, r->service_time};
 	int64_t current_end = estimate_end(d, r, now);
-	int64_t new_end = now + (int64_t)((double)r->work * NEW_ATTEMPT_MARGIN);
+	int64_t new_end =
+	    now + (int64_t)((double)r->service_time * NEW_ATTEMPT_MARGIN);
 	int chosen;
 
 	if (!is_better_end(r, current_end, new_end))
 		return false;
 	chosen = d->params.policy->choose(&set, &criteria, now, d->rnd);
-	if (chosen == PICK_NONE || set.v[chosen] == r->at)
+	if (chosen == PICK_NONE || set.v[chosen] == r->backend)
 		return false;
-	if (pace_is_good(set.v[chosen], now)) {
-		new_end =
-		    now + pace_time(set.v[chosen], r->work, d->mean_pace, now);
+	if (pace_is_near_usual(set.v[chosen], now)) {
+		new_end = now +
+		    pace_service_time(set.v[chosen], r->service_time,
+			d->mean_latency_factor, now);
 		return is_better_end(r, current_end, new_end);
 	}
-	disp_peek_some(d, r->work, now);
+	disp_query_best(d, r->service_time, now);
 	return false;
 }
 
@@ -93,7 +99,7 @@
 	struct disp_req *r;
 	GList *node;
 
-	for (node = d->out.head; node != NULL; node = node->next) {
+	for (node = d->inflight.head; node != NULL; node = node->next) {
 		r = node->data;
 		if (is_movable(d, r) && should_move(d, r, now))
 			return r;
@@ -103,7 +109,7 @@
 
 /* Each move changes the list, so the search starts again after it. */
 void
-disp_move(struct disp *d, int64_t now)
+disp_reassign_slow(struct disp *d, int64_t now)
 {
 	struct disp_req *r;
 
--- a/disp_pace.c
+++ b/disp_pace.c
@@ -32,13 +32,16 @@
  * may be in time in another one.
  */
 bool
-disp_pace_better_elsewhere(const struct disp *d, const struct disp_req *r,
+disp_latency_remote_better(const struct disp *d, const struct disp_req *r,
     const struct pick_backend *b, int64_t now)
 {
-	if (!d->params.policy->paced || !r->may_pass || r->target == 0 ||
-	    r->work == 0 || !disp_is_in_time(r, now + FORWARD_COST_NS))
+	if (!d->params.policy->latency_aware || !r->can_forward ||
+	    r->target == 0 || r->service_time == 0 ||
+	    !disp_can_meet_target(r, now + FORWARD_COST_NS))
 		return false;
-	return now + pace_time(b, r->work, d->mean_pace, now) > r->target;
+	return now +
+	    pace_service_time(b, r->service_time, d->mean_latency_factor, now) >
+	    r->target;
 }
 
 /*
@@ -47,17 +50,19 @@
  * False if there is no time left to wait.
  */
 bool
-disp_pace_should_wait(struct disp *d, const struct disp_req *r,
+disp_latency_should_wait(struct disp *d, const struct disp_req *r,
     struct pick_backend *b, int64_t now)
 {
-	int64_t end = now + pace_time(b, r->work, d->mean_pace, now);
+	int64_t end = now +
+	    pace_service_time(b, r->service_time, d->mean_latency_factor, now);
 
-	if (!d->params.policy->paced || r->work == 0 ||
-	    end + PACE_MEMORY_NS >= r->deadline ||
-	    !pace_passes(b, r->work, d->mean_pace, now))
+	if (!d->params.policy->latency_aware || r->service_time == 0 ||
+	    end + PACE_DECAY_NS >= r->deadline ||
+	    !pace_waiting_is_faster(
+		b, r->service_time, d->mean_latency_factor, now))
 		return false;
-	if (!pace_is_fresh(b, now))
-		disp_peek_one(d, b, now);
+	if (!pace_report_is_fresh(b, now))
+		disp_query_one(d, b, now);
 	return true;
 }
 
@@ -85,15 +90,15 @@
 queue_wait(const struct disp *d, const struct disp_req *r)
 {
 	size_t ahead = count_ahead(d, r);
-	double slots = disp_slots(d);
+	double slots = disp_usable_slots(d);
 	int64_t wait;
 
-	if (disp_word_wait(d, ahead, &wait))
+	if (disp_report_wait(d, ahead, &wait))
 		return wait;
 	if (slots == 0)
 		return 0;
-	return (int64_t)((double)(ahead + 1) * (double)d->mean_work *
-	    d->begin_pace / slots);
+	return (int64_t)((double)(ahead + 1) * (double)d->mean_service_time *
+	    d->start_latency_factor / slots);
 }
 
 /*
@@ -109,28 +114,28 @@
 static int64_t
 retry_after(const struct disp *d, const struct disp_req *r, int64_t wait)
 {
-	int64_t left = r->deadline - clk_ns(d->clk) - r->work;
+	int64_t left = r->deadline - clk_ns(d->clk) - r->service_time;
 	int64_t min = left / RETRY_AFTER_MIN_DIVISOR;
 	int64_t max = left / RETRY_AFTER_MAX_DIVISOR;
 
-	if (r->target == 0 || min <= COME_BACK_MIN_NS)
-		return CLAMP(wait, COME_BACK_MIN_NS, COME_BACK_NS);
+	if (r->target == 0 || min <= RETRY_AFTER_MIN_NS)
+		return CLAMP(wait, RETRY_AFTER_MIN_NS, RETRY_AFTER_MAX_NS);
 	return min + (int64_t)rnd_below(d->rnd, (uint64_t)(max - min));
 }
 
 void
-disp_pace_refuse(struct disp *d, struct disp_req *r, int64_t wait)
+disp_latency_refuse(struct disp *d, struct disp_req *r, int64_t wait)
 {
-	disp_drop(d, r, ERR_BUSY, retry_after(d, r, wait));
+	disp_fail(d, r, ERR_BUSY, retry_after(d, r, wait));
 }
 
 int64_t
-disp_refused_again(struct disp *d, const struct disp_req *r)
+disp_refused_retry_after(struct disp *d, const struct disp_req *r)
 {
 	int64_t wait;
 
-	if (!disp_word_wait(d, 0, &wait) || wait <= DISP_REFUSED_AGAIN_NS)
-		return DISP_REFUSED_AGAIN_NS;
+	if (!disp_report_wait(d, 0, &wait) || wait <= DISP_REFUSED_RETRY_NS)
+		return DISP_REFUSED_RETRY_NS;
 	return retry_after(d, r, wait);
 }
 
@@ -140,39 +145,41 @@
  * is better than a late answer, and keeps the queue short.
  */
 bool
-disp_pace_may_wait(struct disp *d, struct disp_req *r)
+disp_latency_admit(struct disp *d, struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk), wait = queue_wait(d, r);
-	int64_t end = now + wait + (int64_t)((double)r->work * d->begin_pace);
+	int64_t end = now + wait +
+	    (int64_t)((double)r->service_time * d->start_latency_factor);
 
-	r->judged = true;
-	if (disp_usable(d) == 0) {
-		disp_drop(d, r, ERR_NO_BACKEND, COME_BACK_NS);
+	r->wait_decided = true;
+	if (disp_usable_backends(d) == 0) {
+		disp_fail(d, r, ERR_NO_BACKEND, RETRY_AFTER_MAX_NS);
 		return false;
 	}
 	if (end > r->deadline || (r->target != 0 && end > r->target)) {
-		disp_pace_refuse(d, r, wait);
+		disp_latency_refuse(d, r, wait);
 		return false;
 	}
 	return true;
 }
 
 void
-disp_pace_arrive(struct disp *d, struct disp_req *r)
+disp_latency_submit(struct disp *d, struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk);
 
-	r->work = disp_work_of(d, r->kind);
-	if (r->work == 0 && r->target != 0)
-		r->work = MAX((r->target - now) / WORK_DIVISOR, 0);
-	if (disp_peek_first(d, r, now)) {
-		disp_hold(d, r);
+	r->service_time = disp_work_estimate(d, r->kind);
+	if (r->service_time == 0 && r->target != 0)
+		r->service_time = MAX((r->target - now) / WORK_DIVISOR, 0);
+	if (disp_query_before_send(d, r, now)) {
+		disp_enqueue(d, r);
 		return;
 	}
-	if (d->queues[r->cls].n == 0 && disp_start(d, r))
+	if (d->queues[r->cls].n == 0 && disp_try_send(d, r))
 		return;
-	if (disp_pass(d, r) || disp_pass_to_shorter(d, r, queue_wait(d, r)))
+	if (disp_forward(d, r) ||
+	    disp_forward_to_shorter(d, r, queue_wait(d, r)))
 		return;
-	if (disp_cold_asks(d, now) || disp_pace_may_wait(d, r))
-		disp_hold(d, r);
+	if (disp_cold_query_pending(d, now) || disp_latency_admit(d, r))
+		disp_enqueue(d, r);
 }
--- a/disp_pass.c
+++ b/disp_pass.c
@@ -27,37 +27,38 @@
 	struct disp_remote_hall *h, add = {0};
 	guint i;
 
-	for (i = 0; i < d->remotes->len; i++) {
-		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
+	for (i = 0; i < d->remote_halls->len; i++) {
+		h = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
 		if (str_eq(h->hall, hall))
 			return h;
 	}
 	add.hall = str_dup(hall);
-	g_array_append_val(d->remotes, add);
+	g_array_append_val(d->remote_halls, add);
 	return &g_array_index(
-	    d->remotes, struct disp_remote_hall, d->remotes->len - 1);
+	    d->remote_halls, struct disp_remote_hall, d->remote_halls->len - 1);
 }
 
 /* Returns whether another hall recently reported free slots. */
 static bool
 has_free_slots(const struct disp_remote_hall *h, int64_t now)
 {
-	return h->told != 0 && now - h->told <= REMOTE_FRESH_NS &&
-	    h->room.waiting == 0 && h->room.free > RESERVED_SLOTS;
+	return h->reported_at != 0 &&
+	    now - h->reported_at <= HALL_CAPACITY_TTL_NS &&
+	    h->capacity.queued == 0 && h->capacity.free_slots > RESERVED_SLOTS;
 }
 
 void
-disp_pass_free(struct disp *d)
+disp_forward_free(struct disp *d)
 {
 	struct disp_remote_hall *h;
 	guint i;
 
-	for (i = 0; i < d->remotes->len; i++) {
-		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
+	for (i = 0; i < d->remote_halls->len; i++) {
+		h = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
 		str_free(&h->hall);
 		str_free(&h->region);
 	}
-	g_array_free(d->remotes, TRUE);
+	g_array_free(d->remote_halls, TRUE);
 }
 
 /* Returns whether the hall has slots and the request's rule allows its region.
@@ -65,27 +66,29 @@
 static bool
 is_allowed(const struct disp_remote_hall *h, const struct disp_req *r)
 {
-	return h->slots > 0 && region_allows(r->regions, h->region);
+	return h->configured_slots > 0 &&
+	    region_allows(r->allowed_regions, h->region);
 }
 
 /* Returns whether the hall recently reported usable slots, free or not. */
 bool
-disp_pass_may_try(
+disp_forward_can_serve(
     const struct disp_remote_hall *h, const struct disp_req *r, int64_t now)
 {
-	return is_allowed(h, r) && h->told != 0 &&
-	    now - h->told <= REMOTE_FRESH_NS && h->room.slots > 0;
+	return is_allowed(h, r) && h->reported_at != 0 &&
+	    now - h->reported_at <= HALL_CAPACITY_TTL_NS &&
+	    h->capacity.slots > 0;
 }
 
 bool
-disp_has_room_elsewhere(
+disp_forward_has_capacity(
     const struct disp *d, const struct disp_req *r, int64_t now)
 {
 	const struct disp_remote_hall *h;
 	guint i;
 
-	for (i = 0; i < d->remotes->len; i++) {
-		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
+	for (i = 0; i < d->remote_halls->len; i++) {
+		h = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
 		if (is_allowed(h, r) && has_free_slots(h, now))
 			return true;
 	}
@@ -96,9 +99,9 @@
 static bool
 is_better(const struct disp_remote_hall *h, const struct disp_remote_hall *best)
 {
-	if (best == NULL || h->far != best->far)
-		return best == NULL || best->far;
-	return h->room.free > best->room.free;
+	if (best == NULL || h->other_region != best->other_region)
+		return best == NULL || best->other_region;
+	return h->capacity.free_slots > best->capacity.free_slots;
 }
 
 /*
@@ -107,17 +110,17 @@
  * whatever it reported.
  */
 bool
-disp_pass(struct disp *d, struct disp_req *r)
+disp_forward(struct disp *d, struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk);
-	bool must = disp_usable(d) == 0;
+	bool must = disp_usable_backends(d) == 0;
 	struct disp_remote_hall *h, *best = NULL;
 	guint i;
 
-	if (!r->may_pass || !d->params.policy->holds)
+	if (!r->can_forward || !d->params.policy->holds_requests)
 		return false;
-	for (i = 0; i < d->remotes->len; i++) {
-		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
+	for (i = 0; i < d->remote_halls->len; i++) {
+		h = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
 		if (!is_allowed(h, r) || (!must && !has_free_slots(h, now)))
 			continue;
 		if (is_better(h, best))
@@ -125,8 +128,8 @@
 	}
 	if (best == NULL)
 		return false;
-	best->room.free--;
-	d->ops.pass(d->ops.ctx, r, best->hall);
+	best->capacity.free_slots--;
+	d->ops.forward(d->ops.ctx, r, best->hall);
 	return true;
 }
 
@@ -136,22 +139,24 @@
  * balanced, so that a surge ends everywhere at about the same time.
  */
 bool
-disp_pass_to_shorter(struct disp *d, struct disp_req *r, int64_t wait)
+disp_forward_to_shorter(struct disp *d, struct disp_req *r, int64_t wait)
 {
-	int64_t now = clk_ns(d->clk), usual = disp_usual(d), remote_wait;
+	int64_t now = clk_ns(d->clk), usual = disp_usual_latency(d),
+		remote_wait;
 	struct disp_remote_hall *h, *best = NULL;
 	int64_t best_wait = wait - 2 * FORWARD_GAIN_NS;
 	guint i;
 
-	if (!r->may_pass || !d->params.policy->holds)
+	if (!r->can_forward || !d->params.policy->holds_requests)
 		return false;
-	for (i = 0; i < d->remotes->len; i++) {
-		h = &g_array_index(d->remotes, struct disp_remote_hall, i);
-		if (!is_allowed(h, r) || h->far || h->told == 0 ||
-		    h->room.slots == 0 || now - h->told > REMOTE_FRESH_NS)
+	for (i = 0; i < d->remote_halls->len; i++) {
+		h = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
+		if (!is_allowed(h, r) || h->other_region ||
+		    h->reported_at == 0 || h->capacity.slots == 0 ||
+		    now - h->reported_at > HALL_CAPACITY_TTL_NS)
 			continue;
-		remote_wait = (int64_t)((double)usual * (h->room.waiting + 1) /
-		    h->room.slots);
+		remote_wait = (int64_t)((double)usual *
+		    (h->capacity.queued + 1) / h->capacity.slots);
 		if (remote_wait >= best_wait)
 			continue;
 		best_wait = remote_wait;
@@ -159,24 +164,24 @@
 	}
 	if (best == NULL)
 		return false;
-	best->room.waiting++;
-	d->ops.pass(d->ops.ctx, r, best->hall);
+	best->capacity.queued++;
+	d->ops.forward(d->ops.ctx, r, best->hall);
 	return true;
 }
 
 void
-disp_hall(struct disp *d, struct str hall, int slots)
+disp_set_hall_slots(struct disp *d, struct str hall, int slots)
 {
-	find_or_add(d, hall)->slots = slots;
+	find_or_add(d, hall)->configured_slots = slots;
 }
 
 void
-disp_hall_region(
+disp_set_hall_region(
     struct disp *d, struct str hall, struct str region, bool same_region)
 {
 	struct disp_remote_hall *h = find_or_add(d, hall);
 
-	h->far = !same_region;
+	h->other_region = !same_region;
 	if (str_eq(h->region, region))
 		return;
 	str_free(&h->region);
@@ -184,11 +189,12 @@
 }
 
 void
-disp_remote(struct disp *d, struct str hall, const struct disp_room *room)
+disp_set_hall_capacity(
+    struct disp *d, struct str hall, const struct disp_capacity *room)
 {
 	struct disp_remote_hall *h = find_or_add(d, hall);
 
-	h->room = *room;
-	h->told = clk_ns(d->clk);
-	disp_serve(d);
+	h->capacity = *room;
+	h->reported_at = clk_ns(d->clk);
+	disp_serve_queues(d);
 }
--- a/disp_peek.c
+++ b/disp_peek.c
@@ -36,8 +36,8 @@
 static bool
 can_query(const struct disp *d, const struct pick_backend *b, int64_t now)
 {
-	return d->ops.peek != NULL && !b->mute && !b->peeking &&
-	    now - b->peeked_at >= QUERY_GAP_NS;
+	return d->ops.query_load != NULL && !b->reports_no_load &&
+	    !b->query_pending && now - b->queried_at >= QUERY_GAP_NS;
 }
 
 /*
@@ -46,15 +46,16 @@
  * `gap` ns ago.
  */
 bool
-disp_peek_after(
+disp_query_after_gap(
     struct disp *d, struct pick_backend *b, int64_t gap, int64_t now)
 {
-	if (d->ops.peek == NULL || b->peeking || now - b->peeked_at < gap)
+	if (d->ops.query_load == NULL || b->query_pending ||
+	    now - b->queried_at < gap)
 		return false;
-	b->peeking = true;
-	b->peeked_at = now;
-	b->reached = false;
-	d->ops.peek(d->ops.ctx, b);
+	b->query_pending = true;
+	b->queried_at = now;
+	b->query_connected = false;
+	d->ops.query_load(d->ops.ctx, b);
 	return true;
 }
 
@@ -63,9 +64,10 @@
  * now or the server does not report its load.
  */
 bool
-disp_peek_one(struct disp *d, struct pick_backend *b, int64_t now)
+disp_query_one(struct disp *d, struct pick_backend *b, int64_t now)
 {
-	return !b->mute && disp_peek_after(d, b, QUERY_GAP_NS, now);
+	return !b->reports_no_load &&
+	    disp_query_after_gap(d, b, QUERY_GAP_NS, now);
 }
 
 /*
@@ -82,10 +84,10 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (pick_free(b, now) == 0 || pace_is_fresh(b, now) ||
-		    !can_query(d, b, now))
+		if (pick_free_slots(b, now) == 0 ||
+		    pace_report_is_fresh(b, now) || !can_query(d, b, now))
 			continue;
-		t = pace_time(b, work, d->mean_pace, now);
+		t = pace_service_time(b, work, d->mean_latency_factor, now);
 		if (t < least) {
 			least = t;
 			best = b;
@@ -96,7 +98,7 @@
 
 /* Queries the most promising servers with free slots. */
 void
-disp_peek_some(struct disp *d, int64_t work, int64_t now)
+disp_query_best(struct disp *d, int64_t work, int64_t now)
 {
 	struct pick_backend *b;
 	unsigned i;
@@ -105,7 +107,7 @@
 		b = best_to_query(d, work, now);
 		if (b == NULL)
 			return;
-		disp_peek_one(d, b, now);
+		disp_query_one(d, b, now);
 	}
 }
 
@@ -118,7 +120,7 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		n += b->peeking;
+		n += b->query_pending;
 	}
 	return n;
 }
@@ -130,7 +132,7 @@
  * that owned the shard.
  */
 void
-disp_peek_in_turn(struct disp *d,
+disp_query_round_robin(struct disp *d,
     bool (*condition)(const struct pick_backend *, int64_t now), int64_t gap,
     int64_t now)
 {
@@ -139,19 +141,19 @@
 	guint i, n = d->backends->len;
 
 	for (i = 0; i < n && outstanding < ROUND_ROBIN_MAX; i++) {
-		b = g_ptr_array_index(d->backends, (d->ask_from + i) % n);
+		b = g_ptr_array_index(d->backends, (d->query_next + i) % n);
 		outstanding +=
-		    condition(b, now) && disp_peek_after(d, b, gap, now);
+		    condition(b, now) && disp_query_after_gap(d, b, gap, now);
 	}
-	d->ask_from = n == 0 ? 0 : (d->ask_from + i) % n;
+	d->query_next = n == 0 ? 0 : (d->query_next + i) % n;
 }
 
 static bool
 needs_recovery_query(const struct pick_backend *b, int64_t now)
 {
 	(void)now;
-	return pick_is_silent(b) && !b->gone && !b->evacuated && !b->leaves &&
-	    b->state != PICK_DRAINING;
+	return pick_is_unresponsive(b) && !b->removed && !b->evacuated &&
+	    !b->leaving && b->state != PICK_DRAINING;
 }
 
 /*
@@ -161,9 +163,10 @@
  * their deadlines and refuse them only then.
  */
 void
-disp_peek_silent(struct disp *d, int64_t now)
+disp_query_unresponsive(struct disp *d, int64_t now)
 {
-	disp_peek_in_turn(d, needs_recovery_query, UNRESPONSIVE_GAP_NS, now);
+	disp_query_round_robin(
+	    d, needs_recovery_query, UNRESPONSIVE_GAP_NS, now);
 }
 
 /*
@@ -181,11 +184,11 @@
 	*fast = *queried = false;
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (pick_free(b, now) == 0 || b->mute)
+		if (pick_free_slots(b, now) == 0 || b->reports_no_load)
 			continue;
 		n++;
-		*fast = *fast || pace_is_good(b, now);
-		*queried = *queried || b->peeking;
+		*fast = *fast || pace_is_near_usual(b, now);
+		*queried = *queried || b->query_pending;
 	}
 	return n;
 }
@@ -195,8 +198,9 @@
 latest_start(const struct disp_req *r, int64_t now)
 {
 	if (r->target == 0)
-		return r->asked ? 0 : now + QUERY_WAIT_NS;
-	return r->target - (int64_t)((double)r->work * (1 + START_MARGIN));
+		return r->queried ? 0 : now + QUERY_WAIT_NS;
+	return r->target -
+	    (int64_t)((double)r->service_time * (1 + START_MARGIN));
 }
 
 /*
@@ -204,20 +208,20 @@
  * if so, servers have been queried.
  */
 bool
-disp_peek_first(struct disp *d, struct disp_req *r, int64_t now)
+disp_query_before_send(struct disp *d, struct disp_req *r, int64_t now)
 {
 	bool fast, queried;
 
-	if (!d->params.policy->paced || d->ops.peek == NULL || r->work == 0 ||
-	    now >= latest_start(r, now))
+	if (!d->params.policy->latency_aware || d->ops.query_load == NULL ||
+	    r->service_time == 0 || now >= latest_start(r, now))
 		return false;
 	if (count_free(d, now, &fast, &queried) == 0 || fast)
 		return false;
 	/* All queried servers are slow; another hall has free slots. */
-	if (r->asked && !queried && r->may_pass &&
-	    disp_has_room_elsewhere(d, r, now))
+	if (r->queried && !queried && r->can_forward &&
+	    disp_forward_has_capacity(d, r, now))
 		return false;
-	disp_peek_some(d, r->work, now);
-	r->asked = true;
+	disp_query_best(d, r->service_time, now);
+	r->queried = true;
 	return true;
 }
--- a/disp_stop.c
+++ b/disp_stop.c
@@ -12,7 +12,8 @@
 
 /*
  * Attempts that are far too slow, under policies that queue requests but are
- * not latency-aware; disp_move.c handles those of the latency-aware policy.
+ * not latency-aware; disp_reassign_slow.c handles those of the latency-aware
+ * policy.
  */
 
 /* An attempt is not stopped before this time, */
@@ -29,14 +30,15 @@
 static bool
 is_too_slow(struct disp *d, const struct disp_req *r, int64_t now)
 {
-	const struct pick_backend *b = r->at;
-	struct pick_set set = disp_set_of(d);
-	struct pick_want criteria = {r->cls, b, r->work};
-	int64_t limit = MAX(disp_usual(d) * STOP_FACTOR, STOP_MIN_NS);
+	const struct pick_backend *b = r->backend;
+	struct pick_set set = disp_pick_set(d);
+	struct pick_criteria criteria = {r->cls, b, r->service_time};
+	int64_t limit = MAX(disp_usual_latency(d) * STOP_FACTOR, STOP_MIN_NS);
 	int chosen;
 
-	if (now - r->sent <= limit || r->stopped || r->trial ||
-	    r->cls != CLASS_INTERACTIVE || !disp_retryable(d, r, DISP_SLOW))
+	if (now - r->sent_at <= limit || r->stopped || r->in_trial ||
+	    r->cls != CLASS_INTERACTIVE ||
+	    !disp_can_retry(d, r, DISP_STOPPED_SLOW))
 		return false;
 	chosen = d->params.policy->choose(&set, &criteria, now, d->rnd);
 	return chosen != PICK_NONE && set.v[chosen] != b;
@@ -48,9 +50,9 @@
 	struct disp_req *r;
 	GList *node;
 
-	for (node = d->out.head; node != NULL; node = node->next) {
+	for (node = d->inflight.head; node != NULL; node = node->next) {
 		r = node->data;
-		if (now - r->sent <= STOP_MIN_NS)
+		if (now - r->sent_at <= STOP_MIN_NS)
 			return NULL;
 		if (is_too_slow(d, r, now))
 			return r;
@@ -60,7 +62,7 @@
 
 /* Each stop changes the list, so the search starts again after it. */
 void
-disp_stop_stuck(struct disp *d, int64_t now)
+disp_stop_slow(struct disp *d, int64_t now)
 {
 	struct disp_req *r;
 
--- a/disp_word.c
+++ b/disp_word.c
@@ -25,19 +25,19 @@
 static double
 service_time_s(const struct disp *d)
 {
-	return (double)d->mean_work * d->begin_pace / NS_S;
+	return (double)d->mean_service_time * d->start_latency_factor / NS_S;
 }
 
 double
-disp_word_slots(const struct disp *d, const struct pick_backend *b)
+disp_report_slots(const struct disp *d, const struct pick_backend *b)
 {
 	int64_t now = clk_ns(d->clk);
 
-	if (now < b->rest_until)
+	if (now < b->pause_until)
 		return 0;
 	if (b->quota.rate == 0)
 		return disp_cold_slots(d, b, now);
-	return MIN(b->quota.rate * service_time_s(d), pick_slots(b));
+	return MIN(b->quota.rate * service_time_s(d), pick_slot_limit(b));
 }
 
 static bool
@@ -50,7 +50,7 @@
 static bool
 has_limit_or_pause(const struct pick_backend *b, int64_t now)
 {
-	return has_rate_limit(b, now) || now < b->rest_until;
+	return has_rate_limit(b, now) || now < b->pause_until;
 }
 
 /*
@@ -67,7 +67,7 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (!pick_usable(b, now))
+		if (!pick_is_usable(b, now))
 			continue;
 		if (!condition(b, now))
 			return false;
@@ -81,15 +81,15 @@
 accepted_by(const struct disp *d, const struct pick_backend *b, int64_t now,
     int64_t end)
 {
-	int64_t from = MAX(now, b->rest_until);
+	int64_t from = MAX(now, b->pause_until);
 
 	if (end < from)
 		return 0;
 	if (b->quota.rate > 0)
-		return quota_by(&b->quota, from, end);
+		return quota_available_by(&b->quota, from, end);
 	if (service_time_s(d) <= 0)
-		return pick_slots(b);
-	return pick_slots(b) *
+		return pick_slot_limit(b);
+	return pick_slot_limit(b) *
 	    (1 + (double)(end - from) / NS_S / service_time_s(d));
 }
 
@@ -103,7 +103,7 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (pick_usable(b, now))
+		if (pick_is_usable(b, now))
 			n += accepted_by(d, b, now, end);
 	}
 	return n;
@@ -111,7 +111,7 @@
 
 /* Bisects for the time by which more than `ahead` requests are accepted. */
 bool
-disp_word_wait(const struct disp *d, size_t ahead, int64_t *wait)
+disp_report_wait(const struct disp *d, size_t ahead, int64_t *wait)
 {
 	int64_t now = clk_ns(d->clk), low = 0, high = WAIT_MAX_NS, middle;
 
@@ -133,13 +133,13 @@
  * until its deadline, so it is refused.  After a pause it may still be served.
  */
 bool
-disp_word_refuses_late(const struct disp *d, const struct disp_req *r)
+disp_report_refuses_late(const struct disp *d, const struct disp_req *r)
 {
 	size_t ahead = d->queues[CLASS_INTERACTIVE].n + d->queues[QUEUE_LATE].n;
 	int64_t now = clk_ns(d->clk), wait;
 
-	if (!disp_word_wait(d, ahead, &wait))
+	if (!disp_report_wait(d, ahead, &wait))
 		return false;
 	return all_usable(d, now, has_rate_limit) ||
-	    now + wait + r->work > r->deadline;
+	    now + wait + r->service_time > r->deadline;
 }
--- a/limit.c
+++ b/limit.c
@@ -16,7 +16,7 @@
 /* Default size of a retry budget in tokens, and the share it starts with. */
 static const double BUDGET_MAX = 20.0;
 static const double BUDGET_INITIAL_SHARE = 0.25;
-/* Share reserved by retry_budget_has_spare(). */
+/* Share reserved by retry_budget_above_reserve(). */
 static const double BUDGET_RESERVED_SHARE = 0.5;
 
 struct entry {
@@ -34,7 +34,7 @@
 static void entry_free(void *);
 
 bool
-limit_take(struct limit *l, double rate, int64_t now)
+limit_allow(struct limit *l, double rate, int64_t now)
 {
 	double burst = rate * (double)LIMIT_BURST_NS / NS_PER_SECOND;
 
@@ -42,11 +42,12 @@
 		return true;
 	if (burst < 1)
 		burst = 1;
-	if (l->last == 0)
+	if (l->updated_at == 0)
 		l->tokens = burst;
 	else
-		l->tokens += rate * (double)(now - l->last) / NS_PER_SECOND;
-	l->last = now;
+		l->tokens +=
+		    rate * (double)(now - l->updated_at) / NS_PER_SECOND;
+	l->updated_at = now;
 	if (l->tokens > burst)
 		l->tokens = burst;
 	if (l->tokens < 1)
@@ -56,33 +57,33 @@
 }
 
 double
-bucket_holds(const struct bucket *b, double rate, double burst, int64_t now)
+bucket_tokens(const struct bucket *b, double rate, double burst, int64_t now)
 {
-	double seconds = (double)(now - b->filled) / NS_PER_SECOND;
+	double seconds = (double)(now - b->updated_at) / NS_PER_SECOND;
 
-	return MIN(b->saved + rate * seconds, burst);
+	return MIN(b->tokens + rate * seconds, burst);
 }
 
 void
-bucket_take(struct bucket *b, double rate, double burst, int64_t now)
+bucket_consume(struct bucket *b, double rate, double burst, int64_t now)
 {
-	b->saved = MAX(bucket_holds(b, rate, burst, now) - 1, 0);
-	b->filled = now;
+	b->tokens = MAX(bucket_tokens(b, rate, burst, now) - 1, 0);
+	b->updated_at = now;
 }
 
 bool
-bucket_lend(struct bucket *b, double rate, double burst, int64_t max_wait,
+bucket_reserve(struct bucket *b, double rate, double burst, int64_t max_wait,
     int64_t now, int64_t *wait)
 {
-	double tokens = bucket_holds(b, rate, burst, now);
+	double tokens = bucket_tokens(b, rate, burst, now);
 
 	*wait = 0;
 	if (tokens < 1)
 		*wait = (int64_t)((1 - tokens) / rate * NS_PER_SECOND);
 	if (*wait > max_wait)
 		return false;
-	b->saved = tokens - 1;
-	b->filled = now;
+	b->tokens = tokens - 1;
+	b->updated_at = now;
 	return true;
 }
 
@@ -116,7 +117,7 @@
 }
 
 bool
-limit_table_take(
+limit_table_allow(
     struct limit_table *t, struct str key, double rate, int64_t now)
 {
 	char *text = g_strndup(key.p, key.n);
@@ -138,7 +139,7 @@
 		oldest = g_queue_pop_tail(&t->lru);
 		g_hash_table_remove(t->entries, oldest->key);
 	}
-	return limit_take(&e->limit, rate, now);
+	return limit_allow(&e->limit, rate, now);
 }
 
 static double
@@ -151,36 +152,36 @@
 static void
 budget_init(struct retry_budget *b)
 {
-	if (!b->begun)
-		b->saved = budget_max(b) * BUDGET_INITIAL_SHARE;
-	b->begun = true;
+	if (!b->initialized)
+		b->tokens = budget_max(b) * BUDGET_INITIAL_SHARE;
+	b->initialized = true;
 }
 
 void
-retry_budget_pay(struct retry_budget *b, int64_t percent)
+retry_budget_deposit(struct retry_budget *b, int64_t percent)
 {
 	budget_init(b);
-	b->saved += (double)percent / 100;
-	if (b->saved > budget_max(b))
-		b->saved = budget_max(b);
+	b->tokens += (double)percent / 100;
+	if (b->tokens > budget_max(b))
+		b->tokens = budget_max(b);
 }
 
 bool
-retry_budget_has(struct retry_budget *b)
+retry_budget_available(struct retry_budget *b)
 {
 	budget_init(b);
-	return b->saved >= 1;
+	return b->tokens >= 1;
 }
 
 bool
-retry_budget_has_spare(struct retry_budget *b)
+retry_budget_above_reserve(struct retry_budget *b)
 {
 	budget_init(b);
-	return b->saved >= budget_max(b) * BUDGET_RESERVED_SHARE;
+	return b->tokens >= budget_max(b) * BUDGET_RESERVED_SHARE;
 }
 
 void
-retry_budget_take(struct retry_budget *b)
+retry_budget_withdraw(struct retry_budget *b)
 {
-	b->saved -= 1;
+	b->tokens -= 1;
 }
--- a/limit.h
+++ b/limit.h
@@ -23,7 +23,7 @@
  */
 struct limit {
 	double tokens;
-	int64_t last; /* monotonic ns; 0: never used */
+	int64_t updated_at; /* monotonic ns; 0: never used */
 };
 
 /*
@@ -31,30 +31,30 @@
  * and holds those of LIMIT_BURST_NS, but at least one.  Returns false if there
  * is no token.  A rate of 0 means no limit.
  */
-bool limit_take(struct limit *, double rate, int64_t now);
+bool limit_allow(struct limit *, double rate, int64_t now);
 
 #define LIMIT_BURST_NS (INT64_C(200) * 1000 * 1000)
 
 /* A token bucket whose rate and size are passed in with each call. */
 struct bucket {
-	double saved; /* tokens at the time below */
-	int64_t filled; /* last update, monotonic ns */
+	double tokens; /* tokens at the time below */
+	int64_t updated_at; /* last update, monotonic ns */
 };
 
 /* Returns the current tokens, at `rate` tokens per second and up to `burst`. */
 double
-bucket_holds(const struct bucket *, double rate, double burst, int64_t now);
+bucket_tokens(const struct bucket *, double rate, double burst, int64_t now);
 
 /* Consumes one token, or the fraction of one that there is. */
-void bucket_take(struct bucket *, double rate, double burst, int64_t now);
+void bucket_consume(struct bucket *, double rate, double burst, int64_t now);
 
 /*
  * Reserves one token, which may become available later: sets *wait to the time
  * until then in ns.  Returns false, and reserves nothing, if that is more than
  * `max_wait`.
  */
-bool bucket_lend(struct bucket *, double rate, double burst, int64_t max_wait,
-    int64_t now, int64_t *wait);
+bool bucket_reserve(struct bucket *, double rate, double burst,
+    int64_t max_wait, int64_t now, int64_t *wait);
 
 /*
  * A table of rate limits by key, for up to `max` keys; the least recently used
@@ -63,8 +63,8 @@
 struct limit_table;
 struct limit_table *limit_table_new(unsigned max);
 void limit_table_free(struct limit_table *);
-/* Does the same as limit_take(), with the limit of this key. */
-bool limit_table_take(
+/* Does the same as limit_allow(), with the limit of this key. */
+bool limit_table_allow(
     struct limit_table *, struct str key, double rate, int64_t now);
 
 /*
@@ -72,18 +72,18 @@
  * `percent` hundredths of a token, and each retry consumes one token.
  */
 struct retry_budget {
-	double saved;
+	double tokens;
 	double max; /* size in tokens; 0: the default */
-	bool begun;
+	bool initialized;
 };
-void retry_budget_pay(struct retry_budget *, int64_t percent);
+void retry_budget_deposit(struct retry_budget *, int64_t percent);
 /* Returns whether there is a token for a retry. */
-bool retry_budget_has(struct retry_budget *);
+bool retry_budget_available(struct retry_budget *);
 /*
  * The same for a request that has other chances: half of the budget is reserved
  * for requests that have none.
  */
-bool retry_budget_has_spare(struct retry_budget *);
-void retry_budget_take(struct retry_budget *);
+bool retry_budget_above_reserve(struct retry_budget *);
+void retry_budget_withdraw(struct retry_budget *);
 
 #endif
--- a/pace.c
+++ b/pace.c
@@ -24,19 +24,19 @@
 static const double SPREAD = 0.1;
 
 double
-pace_now(const struct pick_backend *b, double mean, int64_t now)
+pace_latency_factor(const struct pick_backend *b, double mean, int64_t now)
 {
-	double reported = (double)b->told_pace / PERCENT;
+	double reported = (double)b->reported_latency_percent / PERCENT;
 	double weight;
 
-	if (b->told_at == 0)
+	if (b->reported_at == 0)
 		return mean;
-	weight = exp(-(double)(now - b->told_at) / PACE_MEMORY_NS);
+	weight = exp(-(double)(now - b->reported_at) / PACE_DECAY_NS);
 	return mean + (reported - mean) * weight;
 }
 
 double
-pace_slowdown(const struct pick_backend *b)
+pace_concurrency_slowdown(const struct pick_backend *b)
 {
 	if (b->conc == NULL)
 		return 1;
@@ -44,19 +44,21 @@
 }
 
 int64_t
-pace_time(const struct pick_backend *b, int64_t work, double mean, int64_t now)
+pace_service_time(
+    const struct pick_backend *b, int64_t work, double mean, int64_t now)
 {
 	double used = b->slots > 0 ? (double)b->inflight / b->slots : 0;
-	double ratio = b->factor > 0 ? b->factor : 1;
+	double ratio = b->service_time_ratio > 0 ? b->service_time_ratio : 1;
 
-	return (int64_t)((double)work * ratio * pace_now(b, mean, now) *
-	    pace_slowdown(b) * (1 + SPREAD * used));
+	return (int64_t)((double)work * ratio *
+	    pace_latency_factor(b, mean, now) * pace_concurrency_slowdown(b) *
+	    (1 + SPREAD * used));
 }
 
 bool
-pace_is_fresh(const struct pick_backend *b, int64_t now)
+pace_report_is_fresh(const struct pick_backend *b, int64_t now)
 {
-	return b->told_at != 0 && now - b->told_at <= FRESH_NS;
+	return b->reported_at != 0 && now - b->reported_at <= FRESH_NS;
 }
 
 /*
@@ -65,17 +67,18 @@
  * as long as service_time * (p - m) > T.
  */
 bool
-pace_passes(
+pace_waiting_is_faster(
     const struct pick_backend *b, int64_t work, double mean, int64_t now)
 {
-	double excess = (double)b->told_pace / PERCENT - mean;
+	double excess = (double)b->reported_latency_percent / PERCENT - mean;
 
-	return b->told_at != 0 && now - b->told_at < PACE_MEMORY_NS &&
-	    (double)work * excess > PACE_MEMORY_NS;
+	return b->reported_at != 0 && now - b->reported_at < PACE_DECAY_NS &&
+	    (double)work * excess > PACE_DECAY_NS;
 }
 
 bool
-pace_is_good(const struct pick_backend *b, int64_t now)
+pace_is_near_usual(const struct pick_backend *b, int64_t now)
 {
-	return pace_is_fresh(b, now) && b->told_pace <= USUAL_MAX_PERCENT;
+	return pace_report_is_fresh(b, now) &&
+	    b->reported_latency_percent <= USUAL_MAX_PERCENT;
 }
--- a/pace.h
+++ b/pace.h
@@ -29,33 +29,34 @@
  * Time constant of the decay of load reports.  It is short, as the latency
  * factor of a server changes several times a second.
  */
-#define PACE_MEMORY_NS (100 * NS_MS)
+#define PACE_DECAY_NS (100 * NS_MS)
 
 /* Returns the latency factor expected for a request that starts now. */
-double pace_now(const struct pick_backend *, double mean, int64_t now);
+double
+pace_latency_factor(const struct pick_backend *, double mean, int64_t now);
 
 /* Returns the slowdown, >= 1, by the requests in flight at the server. */
-double pace_slowdown(const struct pick_backend *);
+double pace_concurrency_slowdown(const struct pick_backend *);
 
 /*
  * Returns the expected service time in ns of a request that starts now; `work`
  * is the service time at the usual speed.
  */
-int64_t
-pace_time(const struct pick_backend *, int64_t work, double mean, int64_t now);
+int64_t pace_service_time(
+    const struct pick_backend *, int64_t work, double mean, int64_t now);
 
 /*
  * Returns whether the request ends sooner if it waits until a server that
  * recently reported to be slow has come closer to the mean speed.
  */
-bool pace_passes(
+bool pace_waiting_is_faster(
     const struct pick_backend *, int64_t work, double mean, int64_t now);
 
 /* Returns whether the last report is so recent that a query would be useless.
  */
-bool pace_is_fresh(const struct pick_backend *, int64_t now);
+bool pace_report_is_fresh(const struct pick_backend *, int64_t now);
 
 /* Returns whether a recent report shows about the usual speed or better. */
-bool pace_is_good(const struct pick_backend *, int64_t now);
+bool pace_is_near_usual(const struct pick_backend *, int64_t now);
 
 #endif
--- a/pick.h
+++ b/pick.h
@@ -59,49 +59,56 @@
 	struct str name;
 	struct str address;
 	int slots; /* concurrent requests that it is configured for */
-	int64_t born_ms; /* start time, ms since 1970; 0: unknown */
-	int limit; /* learned concurrency limit; 0: all slots */
+	int64_t started_ms; /* start time, ms since 1970; 0: unknown */
+	int max_inflight; /* learned concurrency limit; 0: all slots */
 	const struct conc *conc; /* slowdown by concurrency; NULL: unknown */
 	struct cold cold;
-	const struct cold_bound *cold_bound; /* NULL: none */
+	const struct cold_limit *cold_limit; /* NULL: none */
 	struct quota quota; /* the rate limit that it reported */
-	bool leaves; /* it reported that it is shutting down */
-	int64_t rest_until; /* end of the pause that it asked for */
-	bool malformed; /* it sent a report that could not be parsed */
+	bool leaving; /* it reported that it is shutting down */
+	int64_t pause_until; /* end of the pause that it asked for */
+	bool malformed_report; /* it sent a report that could not be parsed */
 	int inflight; /* sent and not finished */
 	int inflight_bulk; /* of these, class bulk */
 	enum pick_state state;
-	bool drain_told; /* its object says that it drains */
+	bool drain_configured; /* its object says that it drains */
 	bool evacuated; /* its hall must get no new requests */
-	bool is_new; /* of the new version of a roll-out */
-	bool excluded; /* the roll-out allows its version no requests now */
-	bool passed_over; /* the roll-out prefers the other version now */
-	bool uncounted; /* its slots do not count as capacity */
+	bool is_new_version; /* of the new version of a roll-out */
+	bool version_excluded; /* the roll-out allows its version no requests
+				  now */
+	bool version_deferred; /* the roll-out prefers the other version now */
+	bool capacity_uncounted; /* its slots do not count as capacity */
 	bool probe_down; /* health probes fail */
-	int64_t usual; /* moving average in ns; 0: unknown */
-	int64_t oldest; /* start of the oldest in flight; 0: none */
+	int64_t usual_latency; /* moving average in ns; 0: unknown */
+	int64_t oldest_sent_at; /* start of the oldest in flight; 0: none */
 	int64_t full_until; /* no requests before, as it refused one */
 	int64_t eject_until;
 	/* Its last load report; the time is 0 before the first one. */
-	int told_running, told_waiting;
-	int told_pace; /* latency factor; 100: as fast as usual */
-	int64_t told_at;
-	double factor; /* service time relative to the other servers'; 0: 1 */
-	double failing; /* recent share of failures, 0 to 1 */
-	bool peeking; /* a load query is outstanding */
-	bool mute; /* it answered a load query without a load report */
-	int64_t peeked_at; /* time of the last load query */
-	int silent; /* consecutive ones */
-	int64_t heard_at; /* last answer of any kind, or time of its adding */
+	int reported_running, reported_waiting;
+	int reported_latency_percent; /* latency factor; 100: as fast as usual
+				       */
+	int64_t reported_at;
+	double service_time_ratio; /* service time relative to the other
+				      servers'; 0: 1 */
+	double failure_rate; /* recent share of failures, 0 to 1 */
+	bool query_pending; /* a load query is outstanding */
+	bool reports_no_load; /* it answered a load query without a load report
+			       */
+	int64_t queried_at; /* time of the last load query */
+	int unanswered_queries; /* consecutive ones */
+	int64_t
+	    last_answer_at; /* last answer of any kind, or time of its adding */
 	int ejections; /* consecutive; sets the length of the next one */
-	int bad_row, good_row, refused_row; /* consecutive answers */
-	bool gone; /* no longer configured; freed after its last answer */
-	bool alone; /* for an isolated run: gets no other requests */
-	GArray
-	    *doubts; /* struct disp_doubt, in flight when connections broke */
-	int64_t doubted_at; /* time of the last one */
-	bool reached; /* the last load query got a connection */
-	uint64_t turns; /* requests sent, for round robin */
+	int consecutive_bad, consecutive_good,
+	    consecutive_refused; /* consecutive answers */
+	bool removed; /* no longer configured; freed after its last answer */
+	bool reserved_for_trial; /* for an isolated run: gets no other requests
+				  */
+	GArray *crash_suspects; /* struct disp_crash_suspect, in flight when
+				   connections broke */
+	int64_t crash_suspected_at; /* time of the last one */
+	bool query_connected; /* the last load query got a connection */
+	uint64_t sent_count; /* requests sent, for round robin */
 	void *data; /* for the gate */
 };
 
@@ -110,14 +117,15 @@
 	struct pick_backend **v;
 	unsigned n;
 	int bulk_percent;
-	double mean_pace; /* moving average of all backend servers: pace.h */
+	double mean_latency_factor; /* moving average of all backend servers:
+				       pace.h */
 };
 
 /* Properties of the request that a backend server is chosen for. */
-struct pick_want {
+struct pick_criteria {
 	enum obj_class cls;
 	const struct pick_backend *avoid; /* last resort; or NULL */
-	int64_t work; /* at the usual speed, ns; 0: unknown */
+	int64_t service_time; /* at the usual speed, ns; 0: unknown */
 };
 
 /* A policy chooses an index, or PICK_NONE if the request has to wait. */
@@ -125,10 +133,12 @@
 
 struct pick_policy {
 	const char *name;
-	int (*choose)(const struct pick_set *, const struct pick_want *,
+	int (*choose)(const struct pick_set *, const struct pick_criteria *,
 	    int64_t now, const struct rnd *);
-	bool holds; /* queues requests until a backend server has a free slot */
-	bool paced; /* uses the latency factors that backend servers report */
+	bool holds_requests; /* queues requests until a backend server has a
+				free slot */
+	bool latency_aware; /* uses the latency factors that backend servers
+			       report */
 };
 
 /* By free slots, usual latency and the age of requests in flight. */
@@ -144,45 +154,46 @@
 const struct pick_policy *pick_by_name(struct str);
 
 /* Returns whether the last load queries were not answered. */
-bool pick_is_silent(const struct pick_backend *);
+bool pick_is_unresponsive(const struct pick_backend *);
 
 /*
  * Returns whether it has answered nothing for so long that it is presumed down.
  * Unanswered queries alone are not enough: a box that has just started, or is
  * slow for a moment, gets some answers too late.
  */
-bool pick_is_lost(const struct pick_backend *, int64_t now);
+bool pick_is_presumed_down(const struct pick_backend *, int64_t now);
 
 /* Returns whether it may get new requests at all, now or when a slot is free.
  */
-bool pick_usable(const struct pick_backend *, int64_t now);
+bool pick_is_usable(const struct pick_backend *, int64_t now);
 
 /* Returns how many requests it may get at once. */
-int pick_slots(const struct pick_backend *);
+int pick_slot_limit(const struct pick_backend *);
 
 /* Returns how many more requests it may get now. */
-int pick_free(const struct pick_backend *, int64_t now);
+int pick_free_slots(const struct pick_backend *, int64_t now);
 
 /*
  * Records a success that took so many ns, or a failure, and updates the chart
  * state.  A server is not ejected unless more than half of the set is usable.
  */
-void pick_good(
+void pick_record_success(
     struct pick_backend *, const struct chart *, int64_t now, int64_t took);
-void pick_bad(struct pick_backend *, const struct pick_set *,
+void pick_record_failure(struct pick_backend *, const struct pick_set *,
     const struct chart *, int64_t now, const struct rnd *);
 
 /* Records a crash: it is presumed down until it answers a load query. */
-void pick_ended(struct pick_backend *, int64_t now);
+void pick_mark_crashed(struct pick_backend *, int64_t now);
 
 /*
  * Records that it refused a request without running it.  It gets no requests
  * for a random time that grows with each consecutive refusal.
  */
-void pick_refused(struct pick_backend *, int64_t now, const struct rnd *);
+void
+pick_record_refusal(struct pick_backend *, int64_t now, const struct rnd *);
 
 /* Records that an attempt was stopped after `age` ns, as it was too slow. */
-void pick_slow(struct pick_backend *, int64_t age);
+void pick_record_slow(struct pick_backend *, int64_t age);
 
 /* Ends the ejections whose time is over. */
 void pick_tick(const struct pick_set *, const struct chart *, int64_t now);
@@ -192,9 +203,10 @@
  * evacuation the server starts again in the chart's initial state, as its
  * former state may no longer apply.
  */
-void pick_evacuate(struct pick_backend *, const struct chart *, bool evacuated);
+void
+pick_set_evacuated(struct pick_backend *, const struct chart *, bool evacuated);
 
 /* Starts or ends a drain. */
-void pick_drain(struct pick_backend *, const struct chart *, bool drain);
+void pick_set_drain(struct pick_backend *, const struct chart *, bool drain);
 
 #endif
--- a/pick_naive.c
+++ b/pick_naive.c
@@ -12,14 +12,14 @@
 
 /* Round robin, as a baseline for comparisons. */
 
-static int choose(const struct pick_set *, const struct pick_want *, int64_t,
-    const struct rnd *);
+static int choose(const struct pick_set *, const struct pick_criteria *,
+    int64_t, const struct rnd *);
 
 const struct pick_policy pick_naive = {"naive", choose, false, false};
 
 /* Chooses the backend server that was sent the fewest requests so far. */
 static int
-choose(const struct pick_set *set, const struct pick_want *criteria,
+choose(const struct pick_set *set, const struct pick_criteria *criteria,
     int64_t now, const struct rnd *rnd)
 {
 	int best = PICK_NONE;
@@ -29,9 +29,10 @@
 	(void)now;
 	(void)rnd;
 	for (i = 0; i < set->n; i++) {
-		if (set->v[i]->gone || set->v[i]->state == PICK_DRAINING)
+		if (set->v[i]->removed || set->v[i]->state == PICK_DRAINING)
 			continue;
-		if (best == PICK_NONE || set->v[i]->turns < set->v[best]->turns)
+		if (best == PICK_NONE ||
+		    set->v[i]->sent_count < set->v[best]->sent_count)
 			best = (int)i;
 	}
 	return best;
--- a/pick_pace.c
+++ b/pick_pace.c
@@ -22,8 +22,8 @@
 /* Assumed service time of a request whose service time is unknown. */
 #define DEFAULT_SERVICE_TIME_NS (50 * NS_MS)
 
-static int choose(const struct pick_set *, const struct pick_want *, int64_t,
-    const struct rnd *);
+static int choose(const struct pick_set *, const struct pick_criteria *,
+    int64_t, const struct rnd *);
 
 const struct pick_policy pick_pace = {"pace", choose, true, true};
 
@@ -32,18 +32,19 @@
 cost(const struct pick_set *set, const struct pick_backend *b, int64_t work,
     int64_t now)
 {
-	double ns = (double)pace_time(b, work, set->mean_pace, now);
+	double ns =
+	    (double)pace_service_time(b, work, set->mean_latency_factor, now);
 
-	ns *= 1 + FAILURE_COST * b->failing;
-	return ns * (1 + b->silent);
+	ns *= 1 + FAILURE_COST * b->failure_rate;
+	return ns * (1 + b->unanswered_queries);
 }
 
 static int
-choose(const struct pick_set *set, const struct pick_want *criteria,
+choose(const struct pick_set *set, const struct pick_criteria *criteria,
     int64_t now, const struct rnd *rnd)
 {
-	int64_t work =
-	    criteria->work > 0 ? criteria->work : DEFAULT_SERVICE_TIME_NS;
+	int64_t work = criteria->service_time > 0 ? criteria->service_time
+						  : DEFAULT_SERVICE_TIME_NS;
 	double c, best_cost = G_MAXDOUBLE;
 	unsigned i, index, start;
 	int best = PICK_NONE;
@@ -53,7 +54,7 @@
 	start = (unsigned)rnd_below(rnd, set->n);
 	for (i = 0; i < set->n; i++) {
 		index = (start + i) % set->n;
-		if (pick_free(set->v[index], now) == 0)
+		if (pick_free_slots(set->v[index], now) == 0)
 			continue;
 		c = cost(set, set->v[index], work, now);
 		if (set->v[index] == criteria->avoid)
--- a/queue.h
+++ b/queue.h
@@ -23,15 +23,15 @@
 struct queue_item {
 	int rank; /* lower is served first */
 	int64_t deadline; /* monotonic ns */
-	uint64_t order; /* number of the insertion, set by queue_push() */
-	size_t at; /* index in the heap, for queue_remove() */
+	uint64_t seq; /* number of the insertion, set by queue_push() */
+	size_t heap_index; /* index in the heap, for queue_remove() */
 	void *data; /* the caller's */
 };
 
 struct queue {
 	struct queue_item **heap;
-	size_t n, max;
-	uint64_t next_order;
+	size_t n, capacity;
+	uint64_t next_seq;
 };
 
 void queue_init(struct queue *);
--- a/returns.c
+++ b/returns.c
@@ -73,7 +73,7 @@
 }
 
 void
-returns_refused(struct returns *r, struct fprint fingerprint,
+returns_record_refusal(struct returns *r, struct fprint fingerprint,
     int64_t first_sent, int64_t now)
 {
 	struct refusal *e = g_hash_table_lookup(r->refusals, &fingerprint);
@@ -96,21 +96,21 @@
 static void
 update_mean(struct returns *r, int64_t waited, int64_t now)
 {
-	if (r->mean_wait == 0 || now - r->last_return > RETURNS_KEPT_NS)
+	if (r->mean_wait == 0 || now - r->last_return > RETURNS_TTL_NS)
 		r->mean_wait = waited;
 	r->mean_wait += (waited - r->mean_wait) / MEAN_WEIGHT;
 	r->last_return = now;
 }
 
 int64_t
-returns_take(struct returns *r, struct fprint fingerprint, int64_t now)
+returns_consume(struct returns *r, struct fprint fingerprint, int64_t now)
 {
 	struct refusal *e = g_hash_table_lookup(r->refusals, &fingerprint);
 	int64_t first_sent;
 
 	if (e == NULL)
 		return 0;
-	first_sent = now - e->refused_at <= RETURNS_KEPT_NS ? e->first_sent : 0;
+	first_sent = now - e->refused_at <= RETURNS_TTL_NS ? e->first_sent : 0;
 	remove_refusal(r, e);
 	if (first_sent > 0)
 		update_mean(r, now - first_sent, now);
@@ -118,7 +118,7 @@
 }
 
 int64_t
-returns_usual(const struct returns *r, int64_t now)
+returns_mean_wait(const struct returns *r, int64_t now)
 {
-	return now - r->last_return <= RETURNS_KEPT_NS ? r->mean_wait : 0;
+	return now - r->last_return <= RETURNS_TTL_NS ? r->mean_wait : 0;
 }
--- a/returns.h
+++ b/returns.h
@@ -38,23 +38,23 @@
 void returns_free(struct returns *);
 
 /* Records a refused request that its caller sent at `first_sent`. */
-void returns_refused(
+void returns_record_refusal(
     struct returns *, struct fprint, int64_t first_sent, int64_t now);
 
 /*
  * Looks up a request that arrives, and removes it.  Returns the time at which
  * it was first sent, monotonic ns, or 0 if it was not refused within
- * RETURNS_KEPT_NS.  If it is refused again, it must be recorded again.
+ * RETURNS_TTL_NS.  If it is refused again, it must be recorded again.
  */
-int64_t returns_take(struct returns *, struct fprint, int64_t now);
+int64_t returns_consume(struct returns *, struct fprint, int64_t now);
 
 /*
  * Returns the mean time in ns that recently retried requests had waited; 0: no
  * recent retry.  It is an estimate for requests that another owner refused.
  */
-int64_t returns_usual(const struct returns *, int64_t now);
+int64_t returns_mean_wait(const struct returns *, int64_t now);
 
 /* Callers are expected to retry within this time, if at all. */
-#define RETURNS_KEPT_NS (5 * NS_S)
+#define RETURNS_TTL_NS (5 * NS_S)
 
 #endif
