--- a/disp.c
+++ b/disp.c
@@ -350,15 +350,15 @@
  * too small for all retries.  Callers who get a refusal for the first time
  * retry at once themselves, without cost for the budget, while those who have
  * already done so get no further chance.  As long as callers retry, half of the
- * budget is therefore reserved for requests of the latter.
+ * budget is therefore reserved for requests that were refused before.
  */
 static bool
 refusal_budget_allows(struct disp *d, const struct disp_req *r)
 {
-	bool others_return = d->last_return_at != 0 &&
+	bool callers_retry = d->last_return_at != 0 &&
 	    clk_ns(d->clk) - d->last_return_at < RETURN_SEEN_NS;
 
-	if (r->previously_refused || !others_return)
+	if (r->previously_refused || !callers_retry)
 		return retry_budget_available(&d->retry_budget);
 	return retry_budget_above_reserve(&d->retry_budget);
 }
--- a/disp.h
+++ b/disp.h
@@ -37,13 +37,13 @@
 
 /* How one attempt at a backend server ended. */
 enum disp_outcome {
-	DISP_OK, /* complete answer */
+	DISP_OK, /* complete response */
 	DISP_REFUSED, /* the backend server reported that it did not run it */
 	DISP_CONNECT_FAILED, /* no connection, nothing was sent */
-	DISP_SERVER_ERROR, /* answer with a 5xx status */
+	DISP_SERVER_ERROR, /* response with a 5xx status */
 	DISP_CONN_BROKEN, /* the connection broke; the request may have run */
-	DISP_TIMED_OUT, /* the deadline passed before the answer */
-	DISP_CANCELED, /* the caller disconnected before the answer */
+	DISP_TIMED_OUT, /* the deadline passed before the response */
+	DISP_CANCELED, /* the caller disconnected before the response */
 	DISP_STOPPED_SLOW, /* stopped, as it took far longer than usual */
 	DISP_WRONG_INSTANCE, /* another backend server has the address now */
 	DISP_OUTCOME_MAX
@@ -63,36 +63,33 @@
 	enum obj_class cls;
 	bool repeatable; /* may be sent again although it may have run */
 	bool can_forward; /* may be forwarded to another hall */
-	bool can_retry; /* no part of an answer was sent to the caller yet */
+	bool can_retry; /* no part of a response was sent to the caller yet */
 	int64_t deadline; /* monotonic ns */
 	int64_t sent_at; /* start of the current attempt; monotonic ns */
 	int attempt_count; /* attempts so far, including the current one */
 	int max_attempts; /* limit of attempts; 0: the default */
 	int rank; /* priority; lower is more urgent */
-	int64_t target; /* wanted time of the answer, monotonic ns; 0: none */
+	int64_t target; /* wanted time of the response, monotonic ns; 0: none */
 	unsigned kind; /* requests of one kind have similar service times */
 	struct str allowed_regions; /* where it may be served: region.h */
 	struct fprint fingerprint; /* identifies retries of the same request */
 	/* The members below are private to the dispatcher. */
-	int64_t
-	    service_time; /* estimated service time at the usual speed, ns */
-	double
-	    latency_factor; /* expected at the start of the attempt: pace.h */
-	int concurrent; /* other requests in flight there at that time */
+	int64_t service_time; /* estimate for the usual speed, ns */
+	/* Estimates at the start of the current attempt. */
+	double latency_factor; /* pace.h */
+	int concurrent; /* other requests in flight at the backend server */
 	double slowdown; /* expected from these; factor >= 1 */
-	bool load_report_fresh; /* the latency factor came from a recent load
-				   report */
+	bool load_report_fresh; /* the latency factor is a recent report */
 	enum disp_violation violation; /* of the current attempt */
 	bool queried; /* load queries were sent for it */
-	bool budget_charged; /* its attempts so far were charged to a retry
-				budget */
-	bool wait_decided; /* whether it may wait was decided */
+	bool budget_charged; /* a retry budget allowed its attempts so far */
+	bool wait_decided; /* it was decided whether it may wait */
 	int queue; /* index of the queue that it waits in */
 	struct pick_backend *backend; /* current one; NULL: queued or done */
 	struct pick_backend *avoid; /* the one of the last attempt */
 	/* Its connection broke, and it may have crashed; NULL: none. */
 	const struct pick_backend *maybe_crashed;
-	bool queued;
+	bool queued; /* waits in a queue of the dispatcher */
 	bool in_trial; /* runs isolated from other requests: poison.h */
 	bool stopped; /* an attempt was stopped as too slow */
 	bool is_retry; /* its sender marked it as a retry */
@@ -115,7 +112,9 @@
 	 * disp_attempt_done() with DISP_STOPPED_SLOW.
 	 */
 	void (*stop)(void *, struct disp_req *);
-	/* Query the load of a backend server, then call disp_load_query_done().
+	/*
+	 * Query the load of a backend server, and then call
+	 * disp_load_query_done().
 	 */
 	void (*query_load)(void *, struct pick_backend *);
 	/* A backend server crashed with this many requests in flight. */
@@ -135,8 +134,8 @@
 struct disp_capacity {
 	/* Of all usable backend servers, occupied or free. */
 	double slots;
-	int free_slots; /* free slots */
-	int queued; /* queued requests */
+	int free_slots;
+	int queued; /* requests */
 };
 
 struct disp_params {
@@ -225,8 +224,8 @@
 void disp_tick(struct disp *);
 
 /*
- * Records the load that a backend server reported with an answer: the number of
- * requests that it processes, the number that wait in it, and its latency
+ * Records the load that a backend server reported with a response: the number
+ * of requests that it processes, the number that wait in it, and its latency
  * factor in percent (100: as fast as usual).
  */
 void disp_load_reported(struct disp *, struct pick_backend *, int running,
@@ -242,9 +241,10 @@
 struct pick_backend *disp_find_backend(const struct disp *, struct str backend);
 
 /*
- * The next three functions record what a backend server reported with an answer
- * to a request or to a load query; for a load query, they must be called before
- * disp_load_query_done().  They return true if the report changed the state.
+ * The next three functions record what a backend server reported with a
+ * response to a request or to a load query; for a load query, they must be
+ * called before disp_load_query_done().  They return true if the report changed
+ * the state.
  */
 /* It is shutting down. */
 bool disp_leaving_reported(struct pick_backend *);
@@ -272,8 +272,8 @@
 void disp_load_query_connected(struct disp *, struct str backend);
 
 /*
- * Records the remaining slow start in ns, as the answer to a load query reports
- * it; 0: the backend server is warm.  Must be called before
+ * Records the remaining slow start in ns, as the response to a load query
+ * reports it; 0: the backend server is warm.  Must be called before
  * disp_load_query_done(). Returns true if that changed the state.
  */
 bool disp_cold_reported(struct disp *, struct str backend, int64_t ns);
--- a/disp_cold.c
+++ b/disp_cold.c
@@ -14,25 +14,25 @@
  * Slow start: backend servers that have just started are cold, and get requests
  * at a limited rate.  One may be cold if it is new in the list, new to the
  * shard's owner, in a hall that returns from an evacuation, or was unreachable.
- * Such a server is treated as cold until its answer to a load query confirms or
- * denies it.
+ * Such a server is treated as cold until its response to a load query confirms
+ * or denies it.
  */
 
 /* Interval of load queries to a server that has not confirmed its state. */
 #define COLD_QUERY_GAP_NS (50 * NS_MS)
 
 /*
- * Marks a backend server as possibly cold, for `lasts` ns or the duration that
- * is configured for the service, whichever is longer.  Does nothing if the
+ * Marks a backend server as possibly cold, for `duration` ns or the duration
+ * that is configured for the service, whichever is longer.  Does nothing if the
  * service has no limit for cold servers.
  */
 void
-disp_cold_suspect(struct disp *d, struct pick_backend *b, int64_t lasts)
+disp_cold_suspect(struct disp *d, struct pick_backend *b, int64_t duration)
 {
 	if (d->params.cold.rate <= 0)
 		return;
 	cold_set_suspected(
-	    &b->cold, MAX(lasts, d->params.cold.duration), clk_ns(d->clk));
+	    &b->cold, MAX(duration, d->params.cold.duration), clk_ns(d->clk));
 	d->cold_unconfirmed = true;
 }
 
@@ -64,11 +64,11 @@
 }
 
 /*
- * Returns whether the answer to a load query is expected that may show that a
+ * Returns whether the response to a load query is expected that may show that a
  * server is warm.  Requests are not refused until it arrives: a new owner would
  * otherwise refuse the requests that are retried after a failure of all boxes,
- * during the few milliseconds that the answers take.  Queries to a server that
- * left the previous one unanswered do not count.
+ * during the few milliseconds that the responses take.  Queries to a server
+ * that left the previous one unanswered do not count.
  */
 bool
 disp_cold_query_pending(const struct disp *d, int64_t now)
--- a/disp_doubt.c
+++ b/disp_doubt.c
@@ -26,7 +26,7 @@
  * sent, as when its machine loses power.
  */
 static bool
-may_have_ended(const struct disp_req *r, const struct pick_backend *b,
+may_have_crashed(const struct disp_req *r, const struct pick_backend *b,
     enum disp_outcome outcome)
 {
 	if (outcome == DISP_CONN_BROKEN)
@@ -34,7 +34,7 @@
 	if (outcome == DISP_CANCELED)
 		return pick_is_unresponsive(b);
 	return (outcome == DISP_TIMED_OUT || outcome == DISP_STOPPED_SLOW) &&
-	    b->last_answer_at <= r->sent_at;
+	    b->last_response_at <= r->sent_at;
 }
 
 /*
@@ -49,7 +49,7 @@
 	struct disp_crash_suspect suspect = {r->fingerprint, r->in_trial};
 
 	if (d->params.poison == NULL || fprint_is_none(r->fingerprint) ||
-	    d->ops.query_load == NULL || !may_have_ended(r, b, outcome))
+	    d->ops.query_load == NULL || !may_have_crashed(r, b, outcome))
 		return;
 	if (b->crash_suspects == NULL)
 		b->crash_suspects = g_array_new(FALSE, FALSE, sizeof(suspect));
@@ -75,7 +75,7 @@
 	}
 }
 
-/* Handles the decision whether a backend server has crashed. */
+/* Called when it is known whether a backend server has crashed. */
 void
 disp_crash_resolve(struct disp *d, struct pick_backend *b, bool crashed)
 {
--- a/disp_hold.c
+++ b/disp_hold.c
@@ -95,7 +95,7 @@
  * longer be answered before its deadline.
  */
 static bool
-is_hopeless(const struct disp_req *r, int64_t now)
+misses_deadline(const struct disp_req *r, int64_t now)
 {
 	return (r->queue == QUEUE_LATE || r->queue == QUEUE_TRIAL) &&
 	    now + r->service_time > r->deadline;
@@ -104,23 +104,23 @@
 static bool
 is_expired(const struct disp_req *r, int64_t now)
 {
-	return r->deadline <= now || is_hopeless(r, now);
+	return r->deadline <= now || misses_deadline(r, now);
 }
 
 /*
- * A hopeless request is refused before its deadline, and its caller learns that
- * it has not run.
+ * A request that would miss its deadline is refused before that, so that its
+ * caller learns that it has not run.
  */
 void
 disp_expire(struct disp *d, int queue, int64_t now)
 {
 	struct disp_req *r;
-	bool hopeless;
+	bool missed;
 
 	while ((r = find(d, queue, is_expired, now)) != NULL) {
-		hopeless = is_hopeless(r, now);
+		missed = misses_deadline(r, now);
 		disp_dequeue(d, r);
-		if (hopeless)
+		if (missed)
 			disp_fail(d, r, ERR_BUSY, RETRY_AFTER_MIN_NS);
 		else
 			disp_fail(d, r, ERR_DEADLINE, 0);
--- a/disp_move.c
+++ b/disp_move.c
@@ -31,14 +31,15 @@
 	double ratio = r->backend->service_time_ratio > 0
 	    ? r->backend->service_time_ratio
 	    : 1;
-	double work = (double)r->service_time * ratio * r->slowdown;
-	double expected = work * (r->load_report_fresh ? r->latency_factor : 1);
+	double service_time = (double)r->service_time * ratio * r->slowdown;
+	double expected =
+	    service_time * (r->load_report_fresh ? r->latency_factor : 1);
 
 	if (pick_is_unresponsive(r->backend))
 		return INT64_MAX;
 	if ((double)(now - r->sent_at) > expected * OVERDUE_FACTOR)
-		expected =
-		    work * MAX(d->slow_latency_factor, r->latency_factor);
+		expected = service_time *
+		    MAX(d->slow_latency_factor, r->latency_factor);
 	return MAX(r->sent_at + (int64_t)expected, now);
 }
 
@@ -66,7 +67,7 @@
 
 /*
  * Returns whether the attempt should be moved now.  If no fast server is known,
- * sends load queries; the check is repeated when their answers arrive.
+ * sends load queries; the check is repeated when their responses arrive.
  */
 static bool
 should_move(struct disp *d, const struct disp_req *r, int64_t now)
--- a/disp_pace.c
+++ b/disp_pace.c
@@ -21,15 +21,15 @@
 
 enum {
 	/* Share of the time to the target that is assumed as service time. */
-	WORK_DIVISOR = 4,
+	SERVICE_TIME_DIVISOR = 4,
 	/* Shares of the caller's remaining time, as bounds of Retry-After. */
 	RETRY_AFTER_MIN_DIVISOR = 4,
 	RETRY_AFTER_MAX_DIVISOR = 3
 };
 
 /*
- * Returns whether the request would be late at the best server of this hall and
- * may be in time in another one.
+ * Returns whether the request would be late at `b`, the best server of this
+ * hall, and may be in time in another hall.
  */
 bool
 disp_latency_remote_better(const struct disp *d, const struct disp_req *r,
@@ -45,9 +45,9 @@
 }
 
 /*
- * Returns whether the request should wait because even the best server is in a
- * slow period, and the answer comes sooner if the request starts after it.
- * False if there is no time left to wait.
+ * Returns whether the request should wait because `b`, the best server, is in a
+ * slow period, and the response comes sooner if the request starts after that.
+ * Returns false if there is no time left to wait.
  */
 bool
 disp_latency_should_wait(struct disp *d, const struct disp_req *r,
@@ -109,7 +109,7 @@
  * In a surge that lasts longer than the targets, or after a failure of all
  * boxes, a refused request is late in any case, and its caller makes only a few
  * attempts.  A Retry-After of just the queueing time would bring it back into
- * the same surge, and its caller would give up without an answer.
+ * the same surge, and its caller would give up without a response.
  */
 static int64_t
 retry_after(const struct disp *d, const struct disp_req *r, int64_t wait)
@@ -142,7 +142,7 @@
 /*
  * Decides whether the request may wait for a slot.  One that would be late is
  * refused at once with a Retry-After, while a retry can still be useful: that
- * is better than a late answer, and keeps the queue short.
+ * is better than a late response, and keeps the queue short.
  */
 bool
 disp_latency_admit(struct disp *d, struct disp_req *r)
@@ -170,7 +170,8 @@
 
 	r->service_time = disp_work_estimate(d, r->kind);
 	if (r->service_time == 0 && r->target != 0)
-		r->service_time = MAX((r->target - now) / WORK_DIVISOR, 0);
+		r->service_time =
+		    MAX((r->target - now) / SERVICE_TIME_DIVISOR, 0);
 	if (disp_query_before_send(d, r, now)) {
 		disp_enqueue(d, r);
 		return;
--- a/disp_pass.c
+++ b/disp_pass.c
@@ -61,8 +61,7 @@
 	g_array_free(d->remote_halls, TRUE);
 }
 
-/* Returns whether the hall has slots and the request's rule allows its region.
- */
+/* Returns whether the hall has slots and the rule allows its region. */
 static bool
 is_allowed(const struct disp_remote_hall *h, const struct disp_req *r)
 {
@@ -113,7 +112,7 @@
 disp_forward(struct disp *d, struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk);
-	bool must = disp_usable_backends(d) == 0;
+	bool none_usable = disp_usable_backends(d) == 0;
 	struct disp_remote_hall *h, *best = NULL;
 	guint i;
 
@@ -121,7 +120,8 @@
 		return false;
 	for (i = 0; i < d->remote_halls->len; i++) {
 		h = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
-		if (!is_allowed(h, r) || (!must && !has_free_slots(h, now)))
+		if (!is_allowed(h, r) ||
+		    (!none_usable && !has_free_slots(h, now)))
 			continue;
 		if (is_better(h, best))
 			best = h;
@@ -190,11 +190,11 @@
 
 void
 disp_set_hall_capacity(
-    struct disp *d, struct str hall, const struct disp_capacity *room)
+    struct disp *d, struct str hall, const struct disp_capacity *capacity)
 {
 	struct disp_remote_hall *h = find_or_add(d, hall);
 
-	h->capacity = *room;
+	h->capacity = *capacity;
 	h->reported_at = clk_ns(d->clk);
 	disp_serve_queues(d);
 }
--- a/disp_peek.c
+++ b/disp_peek.c
@@ -76,7 +76,7 @@
  * none.
  */
 static struct pick_backend *
-best_to_query(const struct disp *d, int64_t work, int64_t now)
+best_to_query(const struct disp *d, int64_t service_time, int64_t now)
 {
 	struct pick_backend *b, *best = NULL;
 	int64_t t, least = INT64_MAX;
@@ -87,7 +87,8 @@
 		if (pick_free_slots(b, now) == 0 ||
 		    pace_report_is_fresh(b, now) || !can_query(d, b, now))
 			continue;
-		t = pace_service_time(b, work, d->mean_latency_factor, now);
+		t = pace_service_time(
+		    b, service_time, d->mean_latency_factor, now);
 		if (t < least) {
 			least = t;
 			best = b;
@@ -98,13 +99,13 @@
 
 /* Queries the most promising servers with free slots. */
 void
-disp_query_best(struct disp *d, int64_t work, int64_t now)
+disp_query_best(struct disp *d, int64_t service_time, int64_t now)
 {
 	struct pick_backend *b;
 	unsigned i;
 
 	for (i = 0; i < QUERY_FANOUT; i++) {
-		b = best_to_query(d, work, now);
+		b = best_to_query(d, service_time, now);
 		if (b == NULL)
 			return;
 		disp_query_one(d, b, now);
--- a/disp_roll.c
+++ b/disp_roll.c
@@ -14,7 +14,7 @@
  * Two versions of a service, while a roll-out replaces one by the other.
  *
  * The servers of the new version start beside the old ones.  As they are idle
- * and answer fast they would get most of the requests at once; or they would
+ * and respond fast they would get most of the requests at once; or they would
  * get none, as their load is not known.  So they may be chosen only while the
  * roll-out's share of requests for them is not used up, and are then preferred.
  * Their capacity is not counted until they get all requests.
@@ -31,7 +31,7 @@
 	PREFER_QUEUED_MAX = 3
 };
 
-/* An answer is slow if it took so many times the expected time, */
+/* A response is slow if it took so many times the expected time, */
 static const double SLOW_FACTOR = 3;
 /* and so much longer: new servers first need a new connection each. */
 #define SLOW_MIN_EXCESS_NS (10 * NS_MS)
@@ -133,7 +133,7 @@
 }
 
 static enum verdict_answer
-classify_answer(const struct disp *d, const struct disp_req *r,
+classify_response(const struct disp *d, const struct disp_req *r,
     const struct pick_backend *b, enum disp_outcome outcome)
 {
 	switch (outcome) {
@@ -163,7 +163,7 @@
 	if (roll == NULL)
 		return;
 	roll_request_ended(roll, b->is_new_version, r->kind,
-	    classify_answer(d, r, b, outcome));
+	    classify_response(d, r, b, outcome));
 	disp_roll_update_if_changed(d);
 }
 
--- a/disp_set.c
+++ b/disp_set.c
@@ -83,15 +83,15 @@
 static void
 apply_reports(struct disp *d, struct pick_backend *b)
 {
-	const struct backend_report *w = d->params.reports == NULL
+	const struct backend_report *report = d->params.reports == NULL
 	    ? NULL
 	    : reports_find(d->params.reports, b->name, b->started_ms);
 
-	if (w == NULL)
+	if (report == NULL)
 		return;
-	b->leaving = b->leaving || w->leaving;
-	b->pause_until = MAX(b->pause_until, w->pause_until);
-	quota_update(&b->quota, w->rate, w->reported_at, clk_ns(d->clk));
+	b->leaving = b->leaving || report->leaving;
+	b->pause_until = MAX(b->pause_until, report->pause_until);
+	quota_update(&b->quota, report->rate, report->reported_at, clk_ns(d->clk));
 }
 
 void
@@ -126,7 +126,7 @@
 		b->state = (enum pick_state)chart_start(d->params.chart);
 		if (assume_up)
 			b->state = PICK_UP;
-		b->last_answer_at = clk_ns(d->clk);
+		b->last_response_at = clk_ns(d->clk);
 		b->cold_limit = &d->params.cold;
 		disp_cold_suspect(d, b, conf->slow_start_ns);
 		g_ptr_array_add(d->backends, b);
@@ -227,8 +227,8 @@
 
 /*
  * A probe result does not end a drain that is configured in the server's
- * object. It ends one that the server reported itself, as the answer to a probe
- * is a report of the server, too.
+ * object. It ends one that the server reported itself, as the response to a
+ * probe is a report of the server, too.
  */
 void
 disp_probe_result(struct disp *d, struct str backend, bool down, bool drain)
@@ -269,7 +269,7 @@
 	b->query_pending = false;
 	if (answered) {
 		b->unanswered_queries = 0;
-		b->last_answer_at = clk_ns(d->clk);
+		b->last_response_at = clk_ns(d->clk);
 		b->reports_no_load = percent == 0;
 	}
 	if (answered && !b->reports_no_load) {
--- a/libdisp.h
+++ b/libdisp.h
@@ -15,7 +15,7 @@
 
 /* The capacity that another hall reported is not used after this time. */
 #define HALL_CAPACITY_TTL_NS (1200 * NS_MS)
-/* Assumed latency of a request as long as no answer was measured. */
+/* Assumed latency of a request as long as no response was measured. */
 #define DEFAULT_LATENCY_NS (5 * NS_MS)
 /* Bounds of the Retry-After of a request that is refused for lack of time. */
 #define RETRY_AFTER_MIN_NS (50 * NS_MS)
@@ -25,8 +25,8 @@
 struct disp_remote_hall {
 	struct str hall;
 	struct str region;
-	bool other_region; /* in another region */
-	int configured_slots; /* by configuration */
+	bool other_region; /* not in the region of the own hall */
+	int configured_slots;
 	struct disp_capacity capacity;
 	int64_t reported_at; /* time of the report, monotonic ns; 0: none yet */
 };
@@ -66,16 +66,15 @@
 	double slow_latency_factor; /* over reports from slow periods */
 	int64_t mean_service_time; /* moving average, ns; 0: unknown */
 	struct conc conc; /* slowdown by concurrency, over all kinds */
-	int64_t
-	    limits_set_at; /* last update of concurrency limits; monotonic ns */
+	int64_t limits_set_at; /* last update of concurrency limits */
 	GArray *remote_halls; /* struct disp_remote_hall */
 	struct retry_budget retry_budget;
 	struct limit rate_limit;
 	int64_t last_return_at; /* last arrival of a request refused before */
 	GQueue inflight; /* struct disp_req *, oldest first */
-	struct pick_backend *trial_reserved; /* until it is idle; NULL: none */
-	bool cold_unconfirmed; /* backend servers may be in slow start,
-				  unconfirmed */
+	/* Gets no requests, so that it becomes idle for a trial; or NULL. */
+	struct pick_backend *trial_reserved;
+	bool cold_unconfirmed; /* some backend servers are presumed cold */
 	guint query_next; /* index of the next one for round-robin queries */
 	/* What the roll-out allows, as the backend servers are marked. */
 	bool new_allowed, old_allowed, prefer_new;
@@ -96,7 +95,7 @@
 /* Sends as many queued requests as possible. */
 void disp_serve_queues(struct disp *);
 
-/* disp_enqueue.c: queued requests. */
+/* disp_hold.c: queued requests. */
 /* Returns whether the target can be met if the request starts now. */
 bool disp_can_meet_target(const struct disp_req *, int64_t now);
 void disp_enqueue(struct disp *, struct disp_req *);
@@ -132,7 +131,7 @@
 /* Returns the slots of all usable backend servers, for wait estimates. */
 double disp_usable_slots(const struct disp *);
 
-/* disp_service_times.c: estimates of service times. */
+/* disp_work.c: estimates of service times. */
 /* Returns the estimate for a kind in ns; 0: unknown. */
 int64_t disp_work_estimate(const struct disp *, unsigned kind);
 /* Fills in the estimates of an attempt that is about to be sent. */
@@ -150,7 +149,7 @@
 void disp_conc_update_limits(struct disp *, int64_t now);
 
 /* disp_cold.c: slow start of backend servers that may have just started. */
-void disp_cold_suspect(struct disp *, struct pick_backend *, int64_t lasts);
+void disp_cold_suspect(struct disp *, struct pick_backend *, int64_t duration);
 void disp_cold_query(struct disp *, int64_t now);
 bool disp_cold_query_pending(const struct disp *, int64_t now);
 double
@@ -185,18 +184,17 @@
 bool disp_query_after_gap(
     struct disp *, struct pick_backend *, int64_t gap, int64_t now);
 bool disp_query_one(struct disp *, struct pick_backend *, int64_t now);
-void disp_query_best(struct disp *, int64_t work, int64_t now);
+void disp_query_best(struct disp *, int64_t service_time, int64_t now);
 void disp_query_round_robin(struct disp *,
     bool (*)(const struct pick_backend *, int64_t now), int64_t gap,
     int64_t now);
 void disp_query_unresponsive(struct disp *, int64_t now);
 
-/* disp_reassign_slow.c: slow attempts that are repeated at another backend
- * server. */
+/* disp_move.c: slow attempts that are repeated at another backend server. */
 void disp_reassign_slow(struct disp *, int64_t now);
 
 /*
- * disp_forward.c: forwarding to other halls.  disp_forward() and
+ * disp_pass.c: forwarding to other halls.  disp_forward() and
  * disp_forward_to_shorter() return whether they forwarded the request.
  */
 void disp_forward_free(struct disp *);
@@ -216,7 +214,7 @@
 void disp_trial_attempt_done(
     struct disp *, struct disp_req *, struct pick_backend *, enum disp_outcome);
 
-/* disp_crash_suspect.c: detection of crashed backend servers. */
+/* disp_doubt.c: detection of crashed backend servers. */
 void disp_crash_attempt_done(
     struct disp *, struct disp_req *, struct pick_backend *, enum disp_outcome);
 void disp_crash_query_done(struct disp *, struct pick_backend *, bool answered);
--- a/pace.c
+++ b/pace.c
@@ -44,13 +44,13 @@
 }
 
 int64_t
-pace_service_time(
-    const struct pick_backend *b, int64_t work, double mean, int64_t now)
+pace_service_time(const struct pick_backend *b, int64_t service_time,
+    double mean, int64_t now)
 {
 	double used = b->slots > 0 ? (double)b->inflight / b->slots : 0;
 	double ratio = b->service_time_ratio > 0 ? b->service_time_ratio : 1;
 
-	return (int64_t)((double)work * ratio *
+	return (int64_t)((double)service_time * ratio *
 	    pace_latency_factor(b, mean, now) * pace_concurrency_slowdown(b) *
 	    (1 + SPREAD * used));
 }
@@ -67,13 +67,13 @@
  * as long as service_time * (p - m) > T.
  */
 bool
-pace_waiting_is_faster(
-    const struct pick_backend *b, int64_t work, double mean, int64_t now)
+pace_waiting_is_faster(const struct pick_backend *b, int64_t service_time,
+    double mean, int64_t now)
 {
 	double excess = (double)b->reported_latency_percent / PERCENT - mean;
 
 	return b->reported_at != 0 && now - b->reported_at < PACE_DECAY_NS &&
-	    (double)work * excess > PACE_DECAY_NS;
+	    (double)service_time * excess > PACE_DECAY_NS;
 }
 
 bool
--- a/pace.h
+++ b/pace.h
@@ -39,18 +39,18 @@
 double pace_concurrency_slowdown(const struct pick_backend *);
 
 /*
- * Returns the expected service time in ns of a request that starts now; `work`
- * is the service time at the usual speed.
+ * Returns the expected service time in ns of a request that starts now;
+ * `service_time` is the service time at the usual speed.
  */
-int64_t pace_service_time(
-    const struct pick_backend *, int64_t work, double mean, int64_t now);
+int64_t pace_service_time(const struct pick_backend *, int64_t service_time,
+    double mean, int64_t now);
 
 /*
  * Returns whether the request ends sooner if it waits until a server that
  * recently reported to be slow has come closer to the mean speed.
  */
-bool pace_waiting_is_faster(
-    const struct pick_backend *, int64_t work, double mean, int64_t now);
+bool pace_waiting_is_faster(const struct pick_backend *, int64_t service_time,
+    double mean, int64_t now);
 
 /* Returns whether the last report is so recent that a query would be useless.
  */
--- a/pick.c
+++ b/pick.c
@@ -13,8 +13,8 @@
 #include "pick.h"
 
 /*
- * The state of backend servers: updates by answers, refusals and time, and the
- * number of free slots.
+ * The state of backend servers: updates by responses, refusals and time, and
+ * the number of free slots.
  */
 
 /* Length of the first ejection; it doubles with each consecutive one. */
@@ -22,8 +22,8 @@
 #define EJECT_MAX_NS (30 * NS_S)
 /*
  * A server with unanswered queries is presumed down after this time without any
- * answer.  Two unanswered queries alone are not enough: a box that has just
- * started gets its answers too late, and would stop using healthy servers.
+ * response.  Two unanswered queries alone are not enough: a box that has just
+ * started gets its responses too late, and would stop using healthy servers.
  */
 #define PRESUMED_DOWN_NS (500 * NS_MS)
 /* Time without requests after a refusal; doubles with each consecutive one. */
@@ -68,7 +68,7 @@
 pick_is_presumed_down(const struct pick_backend *b, int64_t now)
 {
 	return pick_is_unresponsive(b) &&
-	    now - b->last_answer_at >= PRESUMED_DOWN_NS;
+	    now - b->last_response_at >= PRESUMED_DOWN_NS;
 }
 
 /*
@@ -80,7 +80,7 @@
 {
 	b->unanswered_queries =
 	    MAX(b->unanswered_queries, UNRESPONSIVE_QUERIES);
-	b->last_answer_at = MIN(b->last_answer_at, now - PRESUMED_DOWN_NS);
+	b->last_response_at = MIN(b->last_response_at, now - PRESUMED_DOWN_NS);
 }
 
 bool
@@ -130,7 +130,7 @@
 	b->consecutive_bad = 0;
 	b->consecutive_refused = 0;
 	b->unanswered_queries = 0;
-	b->last_answer_at = now;
+	b->last_response_at = now;
 	b->failure_rate -= b->failure_rate / FAILURE_WEIGHT;
 	b->consecutive_good++;
 	step(b, chart, PICK_EV_OK);
--- a/pick.h
+++ b/pick.h
@@ -74,8 +74,7 @@
 	bool drain_configured; /* its object says that it drains */
 	bool evacuated; /* its hall must get no new requests */
 	bool is_new_version; /* of the new version of a roll-out */
-	bool version_excluded; /* the roll-out allows its version no requests
-				  now */
+	bool version_excluded; /* the roll-out gives its version no requests */
 	bool version_deferred; /* the roll-out prefers the other version now */
 	bool capacity_uncounted; /* its slots do not count as capacity */
 	bool probe_down; /* health probes fail */
@@ -84,29 +83,25 @@
 	int64_t full_until; /* no requests before, as it refused one */
 	int64_t eject_until;
 	/* Its last load report; the time is 0 before the first one. */
-	int reported_running, reported_waiting;
-	int reported_latency_percent; /* latency factor; 100: as fast as usual
-				       */
+	int reported_running, reported_waiting; /* requests */
+	int reported_latency_percent; /* latency factor; 100: usual speed */
 	int64_t reported_at;
-	double service_time_ratio; /* service time relative to the other
-				      servers'; 0: 1 */
+	/* Its service time divided by that of all servers; 0: presumed 1. */
+	double service_time_ratio;
 	double failure_rate; /* recent share of failures, 0 to 1 */
 	bool query_pending; /* a load query is outstanding */
-	bool reports_no_load; /* it answered a load query without a load report
-			       */
+	bool reports_no_load; /* its last load query returned no load */
 	int64_t queried_at; /* time of the last load query */
 	int unanswered_queries; /* consecutive ones */
-	int64_t
-	    last_answer_at; /* last answer of any kind, or time of its adding */
+	int64_t last_response_at; /* initially the time of its adding */
 	int ejections; /* consecutive; sets the length of the next one */
-	int consecutive_bad, consecutive_good,
-	    consecutive_refused; /* consecutive answers */
-	bool removed; /* no longer configured; freed after its last answer */
-	bool reserved_for_trial; /* for an isolated run: gets no other requests
-				  */
-	GArray *crash_suspects; /* struct disp_crash_suspect, in flight when
-				   connections broke */
-	int64_t crash_suspected_at; /* time of the last one */
+	/* Numbers of consecutive results of attempts. */
+	int consecutive_bad, consecutive_good, consecutive_refused;
+	bool removed; /* no longer configured; freed after its last response */
+	bool reserved_for_trial; /* an isolated run: gets no other requests */
+	/* struct disp_crash_suspect: in flight when connections broke. */
+	GArray *crash_suspects;
+	int64_t crash_suspected_at; /* when the last one was recorded */
 	bool query_connected; /* the last load query got a connection */
 	uint64_t sent_count; /* requests sent, for round robin */
 	void *data; /* for the gate */
@@ -159,7 +154,7 @@
 /*
  * Returns whether it has answered nothing for so long that it is presumed down.
  * Unanswered queries alone are not enough: a box that has just started, or is
- * slow for a moment, gets some answers too late.
+ * slow for a moment, gets some responses too late.
  */
 bool pick_is_presumed_down(const struct pick_backend *, int64_t now);
 
--- a/pick_pace.c
+++ b/pick_pace.c
@@ -29,11 +29,11 @@
 
 /* The expected service time in ns, with penalties for failures. */
 static double
-cost(const struct pick_set *set, const struct pick_backend *b, int64_t work,
-    int64_t now)
+cost(const struct pick_set *set, const struct pick_backend *b,
+    int64_t service_time, int64_t now)
 {
-	double ns =
-	    (double)pace_service_time(b, work, set->mean_latency_factor, now);
+	double ns = (double)pace_service_time(
+	    b, service_time, set->mean_latency_factor, now);
 
 	ns *= 1 + FAILURE_COST * b->failure_rate;
 	return ns * (1 + b->unanswered_queries);
@@ -43,8 +43,9 @@
 choose(const struct pick_set *set, const struct pick_criteria *criteria,
     int64_t now, const struct rnd *rnd)
 {
-	int64_t work = criteria->service_time > 0 ? criteria->service_time
-						  : DEFAULT_SERVICE_TIME_NS;
+	int64_t service_time = criteria->service_time > 0
+	    ? criteria->service_time
+	    : DEFAULT_SERVICE_TIME_NS;
 	double c, best_cost = G_MAXDOUBLE;
 	unsigned i, index, start;
 	int best = PICK_NONE;
@@ -56,7 +57,7 @@
 		index = (start + i) % set->n;
 		if (pick_free_slots(set->v[index], now) == 0)
 			continue;
-		c = cost(set, set->v[index], work, now);
+		c = cost(set, set->v[index], service_time, now);
 		if (set->v[index] == criteria->avoid)
 			c = G_MAXDOUBLE / 2;
 		if (c < best_cost) {
