--- a/caller.h
+++ b/caller.h
@@ -18,7 +18,7 @@
  * callers send the same timeout with each first attempt, and the rest of it
  * with a retry.  The difference between a value and the next larger common one
  * is therefore the time that has elapsed.  Without common values nothing is
- * known. There is no I/O.
+ * known.  There is no I/O.
  */
 
 /* Number of values that are tracked. */
--- a/conc.c
+++ b/conc.c
@@ -19,10 +19,11 @@
  * If k concurrent requests each take slowdown(k) times as long, the throughput
  * is proportional to k / slowdown(k).  The limit is near the maximum of this,
  * with some preference for short service times over the last bit of throughput,
- * as a request that waits in the dispatcher can still be sent to any server. Up
- * to half of the slots requests are presumed not to slow each other, and the
- * limit is never lower than that.  The base time is therefore a mean of many
- * samples, and noise does not close slots that are needed.
+ * as a request that waits in the dispatcher can still be sent to any server.
+ *
+ * Requests on up to half of the slots are presumed not to slow each other, and
+ * the limit is never lower than that.  The base time is therefore a mean of
+ * many samples, and noise does not close slots that are needed.
  */
 
 /* After this time without a sample all older samples count as one. */
--- a/conc.h
+++ b/conc.h
@@ -46,8 +46,8 @@
 double conc_base_time(const struct conc *);
 
 /*
- * Adds the samples of another kind of request, relative to its base time. After
- * that only ratios of times are meaningful.
+ * Adds the samples of another kind of request, relative to its base time.
+ * After that only ratios of times are meaningful.
  */
 void conc_merge(struct conc *, const struct conc *);
 
--- a/disp.h
+++ b/disp.h
@@ -95,8 +95,7 @@
 	bool is_retry; /* its sender marked it as a retry */
 	bool previously_refused; /* its caller retries it after a refusal */
 	struct queue_item item;
-	GList inflight_link; /* in the list of requests in flight, by start time
-			      */
+	GList inflight_link; /* in disp.inflight, by start time */
 };
 
 struct disp_ops {
--- a/disp_roll.c
+++ b/disp_roll.c
@@ -15,8 +15,8 @@
  *
  * The servers of the new version start beside the old ones.  As they are idle
  * and respond fast they would get most of the requests at once; or they would
- * get none, as their load is not known.  So they may be chosen only while the
- * roll-out's share of requests for them is not used up, and are then preferred.
+ * get none, as their load is not known.  So they may be chosen only while they
+ * have got less than their share of the requests, and are then preferred.
  * Their capacity is not counted until they get all requests.
  */
 
@@ -112,9 +112,9 @@
 }
 
 /*
- * Returns whether the attempt was slower than expected.  Without a recent load
- * report from a server that sends them this is unknown, as the attempt may have
- * met a slow period.
+ * Returns whether the attempt was slower than expected.  If the server reports
+ * its load but no report was recent, an attempt never counts as slow, as it may
+ * have met a slow period of the server.
  */
 static bool
 is_slow(const struct disp *d, const struct disp_req *r,
--- a/disp_set.c
+++ b/disp_set.c
@@ -91,7 +91,8 @@
 		return;
 	b->leaving = b->leaving || report->leaving;
 	b->pause_until = MAX(b->pause_until, report->pause_until);
-	quota_update(&b->quota, report->rate, report->reported_at, clk_ns(d->clk));
+	quota_update(
+	    &b->quota, report->rate, report->reported_at, clk_ns(d->clk));
 }
 
 void
@@ -227,7 +228,7 @@
 
 /*
  * A probe result does not end a drain that is configured in the server's
- * object. It ends one that the server reported itself, as the response to a
+ * object.  It ends one that the server reported itself, as the response to a
  * probe is a report of the server, too.
  */
 void
@@ -299,14 +300,14 @@
 {
 	struct pick_backend *b = disp_find_backend(d, backend);
 	int64_t now = clk_ns(d->clk);
-	bool was_confirmed;
+	bool was_cold;
 
 	if (b == NULL || d->params.cold.rate <= 0)
 		return false;
-	was_confirmed =
+	was_cold =
 	    cold_is_cold(&b->cold, now) && !cold_is_unconfirmed(&b->cold, now);
 	cold_set_reported(&b->cold, ns, now);
-	return cold_is_cold(&b->cold, now) != was_confirmed;
+	return cold_is_cold(&b->cold, now) != was_cold;
 }
 
 /*
@@ -364,18 +365,18 @@
 {
 	int64_t now = clk_ns(d->clk);
 	const struct pick_backend *b;
-	struct disp_capacity room = {
+	struct disp_capacity capacity = {
 	    .slots = ceil(disp_usable_slots(d) * SLOT_TENTHS) / SLOT_TENTHS};
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		room.free_slots +=
+		capacity.free_slots +=
 		    b->capacity_uncounted ? 0 : pick_free_slots(b, now);
 	}
 	for (i = 0; i < QUEUE_COUNT; i++)
-		room.queued += (int)d->queues[i].n;
-	return room;
+		capacity.queued += (int)d->queues[i].n;
+	return capacity;
 }
 
 unsigned
--- a/disp_trial.c
+++ b/disp_trial.c
@@ -21,8 +21,8 @@
  * that server crashes too, the suspect is the cause, and no other request is
  * lost.  All halls forward a suspect to the same hall, which runs one trial of
  * it at a time.  So a request of which many copies arrive at once crashes one
- * backend server, and not one for each hall or copy.  If each arrival were
- * judged anew, the copies of one request would crash all servers of a service.
+ * backend server, and not one for each hall or copy.  If each arrival led to
+ * new trials, the copies of one request would crash all servers of a service.
  */
 
 /*
@@ -94,8 +94,7 @@
 	return best;
 }
 
-/* Returns whether a trial of the request is running or its result is unknown.
- */
+/* Returns whether a trial is running or its result is still unknown. */
 static bool
 is_trial_running(const struct disp *d, const struct disp_req *r)
 {
--- a/disp_work.c
+++ b/disp_work.c
@@ -38,14 +38,14 @@
 static struct disp_service_times *
 find(const struct disp *d, unsigned kind)
 {
-	struct disp_service_times *w;
+	struct disp_service_times *stats;
 	guint i;
 
 	for (i = 0; i < d->service_times->len; i++) {
-		w = &g_array_index(
+		stats = &g_array_index(
 		    d->service_times, struct disp_service_times, i);
-		if (w->kind == kind)
-			return w;
+		if (stats->kind == kind)
+			return stats;
 	}
 	return NULL;
 }
@@ -53,9 +53,9 @@
 int64_t
 disp_work_estimate(const struct disp *d, unsigned kind)
 {
-	const struct disp_service_times *w = find(d, kind);
+	const struct disp_service_times *stats = find(d, kind);
 
-	return w == NULL ? 0 : (int64_t)conc_base_time(&w->times);
+	return stats == NULL ? 0 : (int64_t)conc_base_time(&stats->times);
 }
 
 void
@@ -116,10 +116,10 @@
 static struct disp_service_times *
 find_or_add(struct disp *d, unsigned kind)
 {
-	struct disp_service_times add = {.kind = kind}, *w = find(d, kind);
+	struct disp_service_times add = {.kind = kind}, *stats = find(d, kind);
 
-	if (w != NULL)
-		return w;
+	if (stats != NULL)
+		return stats;
 	g_array_append_val(d->service_times, add);
 	return find(d, kind);
 }
@@ -135,7 +135,7 @@
 /*
  * An attempt that took far longer than others of its kind, without a recent
  * load report, met a slow period, and is not used for the service time of the
- * kind. That service time is learned without dividing by the ratio of the
+ * kind.  That service time is learned without dividing by the ratio of the
  * server: if each of the two were learned from the other, both could drift
  * without bound.
  */
@@ -143,8 +143,8 @@
 disp_work_learn(struct disp *d, const struct disp_req *r,
     struct pick_backend *b, int64_t now)
 {
-	struct disp_service_times *w = find_or_add(d, r->kind);
-	double usual = conc_base_time(&w->times),
+	struct disp_service_times *stats = find_or_add(d, r->kind);
+	double usual = conc_base_time(&stats->times),
 	       ratio = b->service_time_ratio > 0 ? b->service_time_ratio : 1;
 	double ns = (double)(now - r->sent_at) /
 	    (r->load_report_fresh ? r->latency_factor : 1);
@@ -155,6 +155,6 @@
 	if (usual > 0 && !r->load_report_fresh &&
 	    ns > OUTLIER_FACTOR * ratio * usual * r->slowdown)
 		return;
-	conc_add_sample(&w->times, r->concurrent, b->slots, ns, now);
+	conc_add_sample(&stats->times, r->concurrent, b->slots, ns, now);
 	learn_mean(&d->mean_service_time, ns);
 }
--- a/pace.h
+++ b/pace.h
@@ -52,8 +52,7 @@
 bool pace_waiting_is_faster(const struct pick_backend *, int64_t service_time,
     double mean, int64_t now);
 
-/* Returns whether the last report is so recent that a query would be useless.
- */
+/* Returns whether the last load report is too recent for a new query. */
 bool pace_report_is_fresh(const struct pick_backend *, int64_t now);
 
 /* Returns whether a recent report shows about the usual speed or better. */
--- a/pick.h
+++ b/pick.h
@@ -112,8 +112,7 @@
 	struct pick_backend **v;
 	unsigned n;
 	int bulk_percent;
-	double mean_latency_factor; /* moving average of all backend servers:
-				       pace.h */
+	double mean_latency_factor; /* of all, moving average: pace.h */
 };
 
 /* Properties of the request that a backend server is chosen for. */
@@ -130,10 +129,8 @@
 	const char *name;
 	int (*choose)(const struct pick_set *, const struct pick_criteria *,
 	    int64_t now, const struct rnd *);
-	bool holds_requests; /* queues requests until a backend server has a
-				free slot */
-	bool latency_aware; /* uses the latency factors that backend servers
-			       report */
+	bool holds_requests; /* queues requests until a slot is free */
+	bool latency_aware; /* uses reported latency factors */
 };
 
 /* By free slots, usual latency and the age of requests in flight. */
@@ -158,8 +155,7 @@
  */
 bool pick_is_presumed_down(const struct pick_backend *, int64_t now);
 
-/* Returns whether it may get new requests at all, now or when a slot is free.
- */
+/* Returns whether it may get new requests, now or when a slot is free. */
 bool pick_is_usable(const struct pick_backend *, int64_t now);
 
 /* Returns how many requests it may get at once. */
--- a/pick_fern.c
+++ b/pick_fern.c
@@ -70,7 +70,7 @@
 /*
  * Bulk requests get at most their share of all slots, and leave one slot free,
  * so that the next interactive request does not have to wait for a bulk
- * response. A first bulk request is always allowed if nothing is in flight.
+ * response.  A first bulk request is always allowed if nothing is in flight.
  */
 static bool
 bulk_allowed(const struct pick_set *set, int64_t now)
