--- a/cold.c
+++ b/cold.c
@@ -12,26 +12,29 @@
 
 #include "cold.h"
 
-/* What was sent before we knew of it counts as if all had been. */
+/*
+ * Starts the bucket empty: the requests that were sent before, by this gate or
+ * another, are unknown, so all tokens are presumed used.
+ */
 static void
-begin(struct cold *c, int64_t now)
+start_bucket(struct cold *c, int64_t now)
 {
 	if (c->bucket.updated_at == 0)
 		c->bucket.updated_at = now;
 }
 
 void
-cold_set_suspected(struct cold *c, int64_t lasts, int64_t now)
+cold_set_suspected(struct cold *c, int64_t duration, int64_t now)
 {
-	begin(c, now);
-	c->cold_until = MAX(c->cold_until, now + lasts);
+	start_bucket(c, now);
+	c->cold_until = MAX(c->cold_until, now + duration);
 	c->reported = false;
 }
 
 void
 cold_set_reported(struct cold *c, int64_t ns, int64_t now)
 {
-	begin(c, now);
+	start_bucket(c, now);
 	c->cold_until = ns > 0 ? now + ns : 0;
 	c->reported = true;
 }
@@ -49,15 +52,18 @@
 }
 
 bool
-cold_can_send(const struct cold *c, const struct cold_limit *bound, int64_t now)
+cold_can_send(const struct cold *c, const struct cold_limit *limit, int64_t now)
 {
-	return bound->rate <= 0 || !cold_is_cold(c, now) ||
-	    bucket_tokens(&c->bucket, bound->rate, bound->burst, now) >= 1;
+	return limit->rate <= 0 || !cold_is_cold(c, now) ||
+	    bucket_tokens(&c->bucket, limit->rate, limit->burst, now) >= 1;
 }
 
-/* A warm one may get any number; then nothing is saved when it turns cold. */
+/*
+ * Requests to a warm server use up tokens, too, so that none are saved up when
+ * it restarts and is cold again.
+ */
 void
-cold_record_send(struct cold *c, const struct cold_limit *bound, int64_t now)
+cold_record_send(struct cold *c, const struct cold_limit *limit, int64_t now)
 {
-	bucket_consume(&c->bucket, bound->rate, bound->burst, now);
+	bucket_consume(&c->bucket, limit->rate, limit->burst, now);
 }
--- a/disp.c
+++ b/disp.c
@@ -11,25 +11,25 @@
 #include "libdisp.h"
 
 /*
- * The dispatcher's core: a request arrives, is started or held, and its try
- * ends; what is held is served as slots come free.
+ * The core of the dispatcher: it accepts requests, sends or queues them,
+ * handles the ends of attempts, and serves the queues when slots become free.
  */
 
-/* Of a slow spell, until one was told. */
-static const double SLOW_PACE_FIRST = 3;
+/* Assumed latency factor of slow periods until one is reported. */
+static const double INITIAL_SLOW_FACTOR = 3;
 
-/* Limits of concurrency are set anew each so often. */
-#define LIMIT_NS (100 * NS_MS)
-/* Callers come back as long as one has within this time. */
-#define RETURNS_NS (1 * NS_S)
+/* Interval of updates of the concurrency limits. */
+#define CONC_UPDATE_NS (100 * NS_MS)
+/* Callers are expected to retry if one has done so within this time. */
+#define RETURN_SEEN_NS (1 * NS_S)
 
-enum { TRIES_MAX = 4 };
+enum { DEFAULT_MAX_ATTEMPTS = 4 };
 
-/* What each outcome means. */
+/* What each outcome shows of the request and of the backend server. */
 static const struct {
-	bool not_run; /* it surely did not run */
-	bool bad; /* it speaks against the backend server */
-	bool good; /* it speaks for it */
+	bool not_run; /* the request certainly did not run */
+	bool bad; /* counts as a failure of the backend server */
+	bool good; /* counts as a success of the backend server */
 } outcomes[DISP_OUTCOME_MAX] = {
     [DISP_OK] = {false, false, true},
     [DISP_REFUSED] = {true, false, false},
@@ -58,7 +58,7 @@
 	d->service_times =
 	    g_array_new(FALSE, TRUE, sizeof(struct disp_service_times));
 	d->mean_latency_factor = d->start_latency_factor = 1;
-	d->slow_latency_factor = SLOW_PACE_FIRST;
+	d->slow_latency_factor = INITIAL_SLOW_FACTOR;
 	g_queue_init(&d->inflight);
 	for (i = 0; i < QUEUE_COUNT; i++)
 		queue_init(&d->queues[i]);
@@ -87,15 +87,15 @@
 }
 
 /*
- * The time until a new request of a class would get a slot: those before it,
- * at the pace at which all usable slots free up.
+ * Estimates the time in ns until a new request of a class gets a slot, from the
+ * number of requests before it and the rate at which usable slots become free.
  */
 static int64_t
 expected_wait(const struct disp *d, enum obj_class cls)
 {
 	int64_t now = clk_ns(d->clk), usual, ahead;
 	const struct pick_backend *b;
-	double pace = 0, one;
+	double rate = 0, backend_rate;
 	int64_t wait;
 	guint i;
 
@@ -110,12 +110,12 @@
 			continue;
 		usual = b->usual_latency == 0 ? DEFAULT_LATENCY_NS
 					      : b->usual_latency;
-		one = (double)b->slots / (double)usual;
+		backend_rate = (double)b->slots / (double)usual;
 		if (b->quota.rate > 0)
-			one = MIN(one, b->quota.rate / NS_S);
-		pace += one;
+			backend_rate = MIN(backend_rate, b->quota.rate / NS_S);
+		rate += backend_rate;
 	}
-	return pace == 0 ? 0 : (int64_t)((double)ahead / pace);
+	return rate == 0 ? 0 : (int64_t)((double)ahead / rate);
 }
 
 void
@@ -124,20 +124,19 @@
 	d->ops.fail(d->ops.ctx, r, kind, after);
 }
 
-/* Try to start a request now; false if it has to wait. */
 bool
 disp_try_send(struct disp *d, struct disp_req *r)
 {
 	struct pick_set set = disp_pick_set(d);
-	struct pick_criteria want = {r->cls, r->avoid, r->service_time};
+	struct pick_criteria criteria = {r->cls, r->avoid, r->service_time};
 	int64_t now = clk_ns(d->clk);
 	struct pick_backend *b;
-	int at;
+	int chosen;
 
-	at = d->params.policy->choose(&set, &want, now, d->rnd);
-	if (at == PICK_NONE)
+	chosen = d->params.policy->choose(&set, &criteria, now, d->rnd);
+	if (chosen == PICK_NONE)
 		return false;
-	b = set.v[at];
+	b = set.v[chosen];
 	if (disp_latency_should_wait(d, r, b, now))
 		return false;
 	if (disp_latency_remote_better(d, r, b, now) && disp_forward(d, r))
@@ -146,9 +145,9 @@
 	return true;
 }
 
-/* Is something sent there now against what it says of itself? */
+/* Returns the reported limit that a request sent now would violate. */
 static enum disp_violation
-against(const struct pick_backend *b, int64_t now)
+violated_limit(const struct pick_backend *b, int64_t now)
 {
 	if (b->leaving)
 		return VIOLATION_LEAVING;
@@ -174,7 +173,7 @@
 	r->sent_at = now;
 	r->attempt_count++;
 	cold_record_send(&b->cold, &d->params.cold, now);
-	r->violation = against(b, now);
+	r->violation = violated_limit(b, now);
 	quota_consume(&b->quota, now);
 	disp_roll_attempt_sent(d, b);
 	disp_conc_attempt_sent(d, r);
@@ -182,9 +181,13 @@
 	d->ops.send(d->ops.ctx, r, b);
 }
 
-/* A request that was sent before, from another gate, counts as a retry. */
+/*
+ * Checks the deadline, the rate limit and the retry budget; answers a request
+ * that fails a check.  A request that another gate has already sent counts as a
+ * retry.
+ */
 static bool
-may_arrive(struct disp *d, struct disp_req *r)
+admit(struct disp *d, struct disp_req *r)
 {
 	if (clk_ns(d->clk) >= r->deadline) {
 		disp_fail(d, r, ERR_DEADLINE, 0);
@@ -213,7 +216,7 @@
 
 	if (r->previously_refused)
 		d->last_return_at = now;
-	if (!may_arrive(d, r) || disp_trial_submit(d, r))
+	if (!admit(d, r) || disp_trial_submit(d, r))
 		return;
 	disp_roll_update_if_changed(d);
 	if (d->params.policy->latency_aware) {
@@ -237,8 +240,9 @@
 	disp_enqueue(d, r);
 }
 
+/* Handles the first request of a queue; returns false if it has to wait. */
 static bool
-serve_queue(struct disp *d, int queue)
+serve_first(struct disp *d, int queue)
 {
 	struct queue_item *item = queue_first(&d->queues[queue]);
 	struct disp_req *r;
@@ -262,8 +266,9 @@
 }
 
 /*
- * Serve what is held, the interactive ones first.  A callback may end a
- * request and so bring us here again; one level then looks twice.
+ * Serves the queues, interactive requests first.  A callback may end a request
+ * and so call this function recursively; the inner call then only makes the
+ * outer one repeat its loop.
  */
 void
 disp_serve_queues(struct disp *d)
@@ -277,29 +282,32 @@
 		disp_roll_update_if_changed(d);
 		disp_separate_late(d);
 		disp_trial_serve_queue(d);
-		while (serve_queue(d, CLASS_INTERACTIVE))
+		while (serve_first(d, CLASS_INTERACTIVE))
 			;
 		if (d->queues[CLASS_INTERACTIVE].n > 0)
 			continue;
-		while (serve_queue(d, QUEUE_LATE))
+		while (serve_first(d, QUEUE_LATE))
 			;
-		while (serve_queue(d, CLASS_BULK))
+		while (serve_first(d, CLASS_BULK))
 			;
 	}
 	d->serving = false;
 }
 
-/* The requests that are out are in the order of their start. */
+/*
+ * Finds the oldest request in flight at a backend server: the list of requests
+ * in flight is sorted by start time.
+ */
 static void
-refresh_oldest(struct disp *d, struct pick_backend *b)
+update_oldest(struct disp *d, struct pick_backend *b)
 {
 	const struct disp_req *r;
-	const GList *at;
+	const GList *node;
 
 	b->oldest_sent_at = 0;
-	for (at = d->inflight.head; b->inflight > 0 && at != NULL;
-	     at = at->next) {
-		r = at->data;
+	for (node = d->inflight.head; b->inflight > 0 && node != NULL;
+	     node = node->next) {
+		r = node->data;
 		if (r->backend != b)
 			continue;
 		b->oldest_sent_at = r->sent_at;
@@ -307,8 +315,9 @@
 	}
 }
 
+/* Updates the state and the statistics of the backend server. */
 static void
-judge(struct disp *d, struct disp_req *r, struct pick_backend *b,
+record_outcome(struct disp *d, struct disp_req *r, struct pick_backend *b,
     enum disp_outcome outcome)
 {
 	struct pick_set set = disp_pick_set(d);
@@ -335,32 +344,33 @@
 }
 
 /*
- * May the budget pay for another try of one that was refused?
+ * Returns whether the retry budget allows another attempt of a refused request.
  *
- * Load pattern: servers that have room turn more than half of the requests away
- * at random, and the budget pays for less than each of them needs.  Callers who
- * are turned away for the first time come back at once, and that costs no
- * budget; those who have come back are refused for good.  So while callers do
- * come back, half of what may be saved up is kept for them.
+ * Where servers with free slots refuse most requests at random, the budget is
+ * too small for all retries.  Callers who get a refusal for the first time
+ * retry at once themselves, without cost for the budget, while those who have
+ * already done so get no further chance.  As long as callers retry, half of the
+ * budget is therefore reserved for requests that were refused before.
  */
 static bool
-has_budget(struct disp *d, const struct disp_req *r)
+refusal_budget_allows(struct disp *d, const struct disp_req *r)
 {
-	bool others_return = d->last_return_at != 0 &&
-	    clk_ns(d->clk) - d->last_return_at < RETURNS_NS;
+	bool callers_retry = d->last_return_at != 0 &&
+	    clk_ns(d->clk) - d->last_return_at < RETURN_SEEN_NS;
 
-	if (r->previously_refused || !others_return)
+	if (r->previously_refused || !callers_retry)
 		return retry_budget_available(&d->retry_budget);
 	return retry_budget_above_reserve(&d->retry_budget);
 }
 
 /*
- * Where calls nest, retries must not multiply down the chain: a request that
- * is a retry already is not tried again once it may have run.
+ * Where services call each other, retries must not multiply along the chain: a
+ * request that is already a retry is not retried once it may have run.
  *
- * What was refused for want of a slot is held again, without a budget: the
- * refusing backend server gets nothing for a while that doubles with each
- * refusal in a row, and that bounds the refusals.
+ * A refused request is queued again without charging the budget, unless its
+ * number of attempts is configured: the backend server that refused it gets no
+ * requests for a time that doubles with each consecutive refusal, which bounds
+ * the number of refusals.
  */
 bool
 disp_can_retry(
@@ -374,15 +384,16 @@
 	if (r->max_attempts > 0 && r->attempt_count >= r->max_attempts)
 		return false;
 	if (outcome == DISP_REFUSED)
-		return r->max_attempts == 0 || has_budget(d, r);
+		return r->max_attempts == 0 || refusal_budget_allows(d, r);
 	if (!outcomes[outcome].not_run && !r->repeatable)
 		return false;
 	if (!outcomes[outcome].not_run && r->is_retry)
 		return false;
-	return r->attempt_count < TRIES_MAX &&
+	return r->attempt_count < DEFAULT_MAX_ATTEMPTS &&
 	    retry_budget_available(&d->retry_budget);
 }
 
+/* Queues the request for a retry if that is allowed. */
 static bool
 retry(struct disp *d, struct disp_req *r, enum disp_outcome outcome)
 {
@@ -400,7 +411,7 @@
 disp_attempt_done(struct disp *d, struct disp_req *r, enum disp_outcome outcome)
 {
 	struct pick_backend *b = r->backend;
-	bool again;
+	bool retried;
 
 	b->inflight--;
 	b->inflight_bulk -= r->cls == CLASS_BULK;
@@ -408,14 +419,14 @@
 	r->backend = NULL;
 	r->avoid = b;
 	if (b->oldest_sent_at == r->sent_at || b->inflight == 0)
-		refresh_oldest(d, b);
-	judge(d, r, b, outcome);
+		update_oldest(d, b);
+	record_outcome(d, r, b, outcome);
 	disp_trial_attempt_done(d, r, b, outcome);
-	again = retry(d, r, outcome);
+	retried = retry(d, r, outcome);
 	disp_serve_queues(d);
 	if (b->removed)
 		disp_free_removed(d);
-	return again;
+	return retried;
 }
 
 void
@@ -433,7 +444,7 @@
 	int i;
 
 	disp_roll_update(d);
-	if (now - d->limits_set_at >= LIMIT_NS)
+	if (now - d->limits_set_at >= CONC_UPDATE_NS)
 		disp_conc_update_limits(d, now);
 	disp_cold_query(d, now);
 	disp_query_unresponsive(d, now);
--- a/disp_set.c
+++ b/disp_set.c
@@ -13,12 +13,12 @@
 #include "libdisp.h"
 
 /*
- * The shard's backend servers, as configuration, probes and they themselves
- * tell.
+ * The backend servers of the shard, with what the configuration, health probes
+ * and their own reports show of them.
  */
 
-/* Those so many times as slow as the fastest say nothing of the rest. */
-enum { FAR_FACTOR = 4 };
+/* Servers so many times slower than the fastest are outliers. */
+enum { OUTLIER_FACTOR = 4 };
 
 struct pick_set
 disp_pick_set(const struct disp *d)
@@ -66,30 +66,33 @@
 }
 
 /*
- * Has it another address, or started anew under its name?  Then it holds
- * nothing of what was there, and none of what we know of it holds.
+ * Returns whether a configured server has another address or start time than
+ * the known one of this name.  It is then a new instance, to which none of the
+ * state of the old one applies.
  */
 static bool
-is_another(const struct pick_backend *b, const struct disp_backend_conf *conf)
+is_new_instance(
+    const struct pick_backend *b, const struct disp_backend_conf *conf)
 {
 	return !str_eq(b->address, conf->address) ||
 	    (b->started_ms != 0 && conf->started_ms != 0 &&
 		b->started_ms != conf->started_ms);
 }
 
-/* Go by what it said before, to this box or another. */
+/* Applies what the server has reported before, to this box or to another. */
 static void
-recall(struct disp *d, struct pick_backend *b)
+apply_reports(struct disp *d, struct pick_backend *b)
 {
-	const struct backend_report *w = d->params.reports == NULL
+	const struct backend_report *report = d->params.reports == NULL
 	    ? NULL
 	    : reports_find(d->params.reports, b->name, b->started_ms);
 
-	if (w == NULL)
+	if (report == NULL)
 		return;
-	b->leaving = b->leaving || w->leaving;
-	b->pause_until = MAX(b->pause_until, w->pause_until);
-	quota_update(&b->quota, w->rate, w->reported_at, clk_ns(d->clk));
+	b->leaving = b->leaving || report->leaving;
+	b->pause_until = MAX(b->pause_until, report->pause_until);
+	quota_update(
+	    &b->quota, report->rate, report->reported_at, clk_ns(d->clk));
 }
 
 void
@@ -98,32 +101,33 @@
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++)
-		recall(d, g_ptr_array_index(d->backends, i));
+		apply_reports(d, g_ptr_array_index(d->backends, i));
 	disp_serve_queues(d);
 }
 
 /*
- * Known ones have served before we learned of them, and are warm.
+ * Adds or updates a backend server.  `assume_up` is set for servers that
+ * probably served requests before this dispatcher learned of them.
  */
 static void
-update(struct disp *d, const struct disp_backend_conf *conf, bool known)
+update(struct disp *d, const struct disp_backend_conf *conf, bool assume_up)
 {
 	struct pick_backend *b = disp_find_backend(d, conf->name);
-	bool fresh;
+	bool added;
 
-	if (b != NULL && is_another(b, conf)) {
+	if (b != NULL && is_new_instance(b, conf)) {
 		b->removed = true;
 		b = NULL;
 	}
-	fresh = b == NULL;
-	if (fresh) {
+	added = b == NULL;
+	if (added) {
 		b = g_new0(struct pick_backend, 1);
 		b->name = str_dup(conf->name);
 		b->address = str_dup(conf->address);
 		b->state = (enum pick_state)chart_start(d->params.chart);
-		if (known)
+		if (assume_up)
 			b->state = PICK_UP;
-		b->last_answer_at = clk_ns(d->clk);
+		b->last_response_at = clk_ns(d->clk);
 		b->cold_limit = &d->params.cold;
 		disp_cold_suspect(d, b, conf->slow_start_ns);
 		g_ptr_array_add(d->backends, b);
@@ -131,8 +135,8 @@
 	b->slots = conf->slots;
 	b->is_new_version = conf->is_new_version;
 	b->started_ms = conf->started_ms;
-	if (fresh)
-		recall(d, b);
+	if (added)
+		apply_reports(d, b);
 	if (b->evacuated && !conf->evacuated)
 		disp_cold_suspect(d, b, conf->slow_start_ns);
 	pick_set_evacuated(b, d->params.chart, conf->evacuated);
@@ -142,7 +146,7 @@
 }
 
 static bool
-listed(const struct disp_backend_conf *v, unsigned n, struct str name)
+is_listed(const struct disp_backend_conf *v, unsigned n, struct str name)
 {
 	unsigned i;
 
@@ -153,9 +157,10 @@
 }
 
 /*
- * The first list of a gate that has just become home tells nothing of when its
- * backend servers started.  Taken for cold, they would get one request each
- * while all that came in an outage waits.
+ * The first list of a gate that has just become the shard's owner does not show
+ * when its backend servers started.  If they started in the chart's state for
+ * cold servers, each would get one request at a time while all requests that
+ * arrived during an outage wait.
  */
 void
 disp_set_backends(struct disp *d, const struct disp_backend_conf *v, unsigned n)
@@ -166,7 +171,7 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (!listed(v, n, b->name))
+		if (!is_listed(v, n, b->name))
 			b->removed = true;
 	}
 	for (i = 0; i < n; i++)
@@ -178,7 +183,6 @@
 	disp_serve_queues(d);
 }
 
-/* Free the backend servers that are gone and have answered all. */
 void
 disp_free_removed(struct disp *d)
 {
@@ -195,8 +199,8 @@
 }
 
 /*
- * What a request usually takes here: the mean over the backend servers, but
- * for those that are far slower than the fastest.
+ * The mean over the backend servers, without those that are far slower than the
+ * fastest.
  */
 int64_t
 disp_usual_latency(const struct disp *d)
@@ -214,7 +218,7 @@
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
 		if (b->usual_latency == 0 ||
-		    b->usual_latency > least * FAR_FACTOR)
+		    b->usual_latency > least * OUTLIER_FACTOR)
 			continue;
 		sum += b->usual_latency;
 		n++;
@@ -223,8 +227,9 @@
 }
 
 /*
- * A drain that its object tells is not undone by a probe; one that the backend
- * server told itself is, as what it answers to a probe is its word, too.
+ * A probe result does not end a drain that is configured in the server's
+ * object.  It ends one that the server reported itself, as the response to a
+ * probe is a report of the server, too.
  */
 void
 disp_probe_result(struct disp *d, struct str backend, bool down, bool drain)
@@ -244,20 +249,19 @@
 }
 
 void
-disp_load_reported(
-    struct disp *d, struct pick_backend *b, int running, int waiting, int pace)
+disp_load_reported(struct disp *d, struct pick_backend *b, int running,
+    int waiting, int percent)
 {
-	disp_work_load_reported(d, pace);
+	disp_work_load_reported(d, percent);
 	b->reported_running = running;
 	b->reported_waiting = waiting;
-	b->reported_latency_percent = pace;
+	b->reported_latency_percent = percent;
 	b->reported_at = clk_ns(d->clk);
 }
 
-/* Two questions in a row without an answer speak against a backend server. */
 void
 disp_load_query_done(struct disp *d, struct str backend, bool answered,
-    int running, int waiting, int pace)
+    int running, int waiting, int percent)
 {
 	struct pick_backend *b = disp_find_backend(d, backend);
 
@@ -266,11 +270,11 @@
 	b->query_pending = false;
 	if (answered) {
 		b->unanswered_queries = 0;
-		b->last_answer_at = clk_ns(d->clk);
-		b->reports_no_load = pace == 0;
+		b->last_response_at = clk_ns(d->clk);
+		b->reports_no_load = percent == 0;
 	}
 	if (answered && !b->reports_no_load) {
-		disp_load_reported(d, b, running, waiting, pace);
+		disp_load_reported(d, b, running, waiting, percent);
 	} else if (!answered) {
 		b->unanswered_queries++;
 		disp_cold_suspect(d, b, 0);
@@ -296,37 +300,37 @@
 {
 	struct pick_backend *b = disp_find_backend(d, backend);
 	int64_t now = clk_ns(d->clk);
-	bool knew;
+	bool was_cold;
 
 	if (b == NULL || d->params.cold.rate <= 0)
 		return false;
-	knew =
+	was_cold =
 	    cold_is_cold(&b->cold, now) && !cold_is_unconfirmed(&b->cold, now);
 	cold_set_reported(&b->cold, ns, now);
-	return cold_is_cold(&b->cold, now) != knew;
+	return cold_is_cold(&b->cold, now) != was_cold;
 }
 
 /*
- * Its own word goes before its entry, which may be of before or cannot be
- * written: it holds for as long as it lives.
+ * The server's own report has priority over its configuration entry, which may
+ * be older or may not be writable now.  It holds until the process ends.
  */
 bool
 disp_leaving_reported(struct pick_backend *b)
 {
-	bool news = !b->leaving;
+	bool changed = !b->leaving;
 
 	b->leaving = true;
-	return news;
+	return changed;
 }
 
 bool
 disp_pause_reported(struct disp *d, struct pick_backend *b, int64_t ns)
 {
 	int64_t now = clk_ns(d->clk);
-	bool news = ns > 0 && b->pause_until <= now;
+	bool changed = ns > 0 && b->pause_until <= now;
 
 	b->pause_until = MAX(b->pause_until, now + ns);
-	return news;
+	return changed;
 }
 
 bool
@@ -341,7 +345,7 @@
 {
 	int64_t now = clk_ns(d->clk);
 	const struct pick_backend *b;
-	double slots = 0, bound = 0;
+	double slots = 0, limited_slots = 0;
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++) {
@@ -349,11 +353,11 @@
 		if (b->capacity_uncounted || !pick_is_usable(b, now))
 			continue;
 		if (b->quota.rate > 0)
-			bound += disp_report_slots(d, b);
+			limited_slots += disp_report_slots(d, b);
 		else
 			slots += disp_report_slots(d, b);
 	}
-	return ceil(slots) + bound;
+	return ceil(slots) + limited_slots;
 }
 
 struct disp_capacity
@@ -361,18 +365,18 @@
 {
 	int64_t now = clk_ns(d->clk);
 	const struct pick_backend *b;
-	struct disp_capacity room = {
+	struct disp_capacity capacity = {
 	    .slots = ceil(disp_usable_slots(d) * SLOT_TENTHS) / SLOT_TENTHS};
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		room.free_slots +=
+		capacity.free_slots +=
 		    b->capacity_uncounted ? 0 : pick_free_slots(b, now);
 	}
 	for (i = 0; i < QUEUE_COUNT; i++)
-		room.queued += (int)d->queues[i].n;
-	return room;
+		capacity.queued += (int)d->queues[i].n;
+	return capacity;
 }
 
 unsigned
@@ -391,10 +395,10 @@
 }
 
 void
-disp_foreach_backend(const struct disp *d, disp_backend_fn *visit, void *ctx)
+disp_foreach_backend(const struct disp *d, disp_backend_fn *fn, void *ctx)
 {
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++)
-		visit(ctx, g_ptr_array_index(d->backends, i));
+		fn(ctx, g_ptr_array_index(d->backends, i));
 }
--- a/disp_work.c
+++ b/disp_work.c
@@ -12,46 +12,50 @@
 #include "pace.h"
 
 /*
- * What requests take.  The work of a kind is learned in ns at the usual pace:
- * the time that a request took, over the pace at which it began.
+ * Estimates of service times.  The service time of a kind is learned in ns at
+ * the usual speed: the duration of an attempt, divided by the latency factor
+ * that the server had at its start.
  */
 
 enum {
-	MEAN_WEIGHT = 16, /* of the past against one request */
-	FACTOR_WEIGHT = 8,
-	PACE_WEIGHT = 64,
-	MEAN_PACE_WEIGHT = 10, /* of the past against one look at all */
+	/* Weights of the past against one sample in moving averages. */
+	MEAN_WEIGHT = 16, /* service time of all requests */
+	RATIO_WEIGHT = 8, /* service time ratio of a server */
+	FACTOR_WEIGHT = 64, /* latency factors of attempts and reports */
+	MEAN_FACTOR_WEIGHT = 10, /* mean latency factor of all servers */
 	PERCENT = 100,
-	SLOW_PACE = 150 /* percent; above, it counts as a slow spell */
+	SLOW_PERCENT = 150 /* latency factor above which a period is slow */
 };
 
-/* Beyond so many times the work a request met a spell that nobody told. */
-static const double ODD = 2.5;
-/* A backend server's own factor stays within these. */
-static const double FACTOR_MIN = 0.5, FACTOR_MAX = 8;
+/*
+ * An attempt that took so many times the expected time without a recent load
+ * report met a slow period that was not reported.
+ */
+static const double OUTLIER_FACTOR = 2.5;
+/* Bounds of the service time ratio of a server. */
+static const double RATIO_MIN = 0.5, RATIO_MAX = 8;
 
 static struct disp_service_times *
 find(const struct disp *d, unsigned kind)
 {
-	struct disp_service_times *w;
+	struct disp_service_times *stats;
 	guint i;
 
 	for (i = 0; i < d->service_times->len; i++) {
-		w = &g_array_index(
+		stats = &g_array_index(
 		    d->service_times, struct disp_service_times, i);
-		if (w->kind == kind)
-			return w;
+		if (stats->kind == kind)
+			return stats;
 	}
 	return NULL;
 }
 
-/* 0 where nothing is known of the kind. */
 int64_t
 disp_work_estimate(const struct disp *d, unsigned kind)
 {
-	const struct disp_service_times *w = find(d, kind);
+	const struct disp_service_times *stats = find(d, kind);
 
-	return w == NULL ? 0 : (int64_t)conc_base_time(&w->times);
+	return stats == NULL ? 0 : (int64_t)conc_base_time(&stats->times);
 }
 
 void
@@ -62,23 +66,23 @@
 	    pace_latency_factor(r->backend, d->mean_latency_factor, r->sent_at);
 	r->load_report_fresh = pace_report_is_fresh(r->backend, r->sent_at);
 	d->start_latency_factor +=
-	    (r->latency_factor - d->start_latency_factor) / PACE_WEIGHT;
+	    (r->latency_factor - d->start_latency_factor) / FACTOR_WEIGHT;
 }
 
 void
-disp_work_load_reported(struct disp *d, int pace)
+disp_work_load_reported(struct disp *d, int percent)
 {
-	double p = (double)pace / PERCENT;
+	double factor = (double)percent / PERCENT;
 
-	if (pace > SLOW_PACE)
+	if (percent > SLOW_PERCENT)
 		d->slow_latency_factor +=
-		    (p - d->slow_latency_factor) / PACE_WEIGHT;
+		    (factor - d->slow_latency_factor) / FACTOR_WEIGHT;
 }
 
 /*
- * The mean pace is that of the backend servers, each with what it told last.
- * By the words themselves it would be that of slow ones: these stay free, and
- * are asked again and again.
+ * The mean is taken over the backend servers, with the last report of each.  A
+ * mean over all reports would be too high: slow servers keep free slots and are
+ * queried more often.
  */
 void
 disp_work_update_mean(struct disp *d)
@@ -96,27 +100,26 @@
 	}
 	if (n > 0)
 		d->mean_latency_factor +=
-		    (sum / n - d->mean_latency_factor) / MEAN_PACE_WEIGHT;
+		    (sum / n - d->mean_latency_factor) / MEAN_FACTOR_WEIGHT;
 }
 
 static void
-learn_factor(struct pick_backend *b, double ratio)
+learn_ratio(struct pick_backend *b, double ratio)
 {
 	if (b->service_time_ratio == 0)
 		b->service_time_ratio = 1;
-	b->service_time_ratio +=
-	    (ratio - b->service_time_ratio) / FACTOR_WEIGHT;
+	b->service_time_ratio += (ratio - b->service_time_ratio) / RATIO_WEIGHT;
 	b->service_time_ratio =
-	    CLAMP(b->service_time_ratio, FACTOR_MIN, FACTOR_MAX);
+	    CLAMP(b->service_time_ratio, RATIO_MIN, RATIO_MAX);
 }
 
 static struct disp_service_times *
 find_or_add(struct disp *d, unsigned kind)
 {
-	struct disp_service_times add = {.kind = kind}, *w = find(d, kind);
+	struct disp_service_times add = {.kind = kind}, *stats = find(d, kind);
 
-	if (w != NULL)
-		return w;
+	if (stats != NULL)
+		return stats;
 	g_array_append_val(d->service_times, add);
 	return find(d, kind);
 }
@@ -130,27 +133,28 @@
 }
 
 /*
- * A request was answered: learn from it.  One that took far longer than its
- * like, where no pace was told, met a spell and shows nothing of the work.
- * What the backend servers have in common is learned without their factors:
- * learned from each other, both would drift apart without end.
+ * An attempt that took far longer than others of its kind, without a recent
+ * load report, met a slow period, and is not used for the service time of the
+ * kind.  That service time is learned without dividing by the ratio of the
+ * server: if each of the two were learned from the other, both could drift
+ * without bound.
  */
 void
 disp_work_learn(struct disp *d, const struct disp_req *r,
     struct pick_backend *b, int64_t now)
 {
-	struct disp_service_times *w = find_or_add(d, r->kind);
-	double usual = conc_base_time(&w->times),
-	       own = b->service_time_ratio > 0 ? b->service_time_ratio : 1;
+	struct disp_service_times *stats = find_or_add(d, r->kind);
+	double usual = conc_base_time(&stats->times),
+	       ratio = b->service_time_ratio > 0 ? b->service_time_ratio : 1;
 	double ns = (double)(now - r->sent_at) /
 	    (r->load_report_fresh ? r->latency_factor : 1);
 
-	/* One that tells nothing is known by its answers alone. */
+	/* Without load reports only the durations show how fast it is. */
 	if (usual > 0 && (r->load_report_fresh || b->reports_no_load))
-		learn_factor(b, ns / (usual * r->slowdown));
+		learn_ratio(b, ns / (usual * r->slowdown));
 	if (usual > 0 && !r->load_report_fresh &&
-	    ns > ODD * own * usual * r->slowdown)
+	    ns > OUTLIER_FACTOR * ratio * usual * r->slowdown)
 		return;
-	conc_add_sample(&w->times, r->concurrent, b->slots, ns, now);
+	conc_add_sample(&stats->times, r->concurrent, b->slots, ns, now);
 	learn_mean(&d->mean_service_time, ns);
 }
--- a/libdisp.h
+++ b/libdisp.h
@@ -13,37 +13,40 @@
 
 #include "disp.h"
 
-/* A remote home's word is worth nothing after this long. */
+/* The capacity that another hall reported is not used after this time. */
 #define HALL_CAPACITY_TTL_NS (1200 * NS_MS)
-/* What a request takes where nothing is known yet. */
+/* Assumed latency of a request as long as no response was measured. */
 #define DEFAULT_LATENCY_NS (5 * NS_MS)
-/* When a refused request may come back: no sooner, and no later. */
+/* Bounds of the Retry-After of a request that is refused for lack of time. */
 #define RETRY_AFTER_MIN_NS (50 * NS_MS)
 #define RETRY_AFTER_MAX_NS (300 * NS_MS)
 
-/* What another hall's home said last. */
+/* Another hall: its configuration and the last capacity report. */
 struct disp_remote_hall {
 	struct str hall;
 	struct str region;
-	bool other_region; /* in another region */
-	int configured_slots; /* by configuration */
+	bool other_region; /* not in the region of the own hall */
+	int configured_slots;
 	struct disp_capacity capacity;
-	int64_t reported_at; /* 0: never */
+	int64_t reported_at; /* time of the report, monotonic ns; 0: none yet */
 };
 
-/* What requests of one kind take at the usual pace, as far as is known. */
+/* The measured service times of one kind of request at the usual speed. */
 struct disp_service_times {
 	unsigned kind;
-	struct conc times; /* ns, by how many ran beside it */
+	struct conc times; /* ns, by the number of other requests in flight */
 };
 
 /*
- * Where requests are held: those in time by class, those that are late, and
- * those that have to run by themselves.
+ * The queues: one for each class for requests that can meet their targets, one
+ * for requests that cannot, and one for requests that must run isolated.
  */
 enum { QUEUE_LATE = CLASS_MAX, QUEUE_TRIAL, QUEUE_COUNT };
 
-/* A request that was at a backend server when a connection broke. */
+/*
+ * A request that was in flight at a backend server when the connection broke,
+ * and that may have crashed it.
+ */
 struct disp_crash_suspect {
 	struct fprint fingerprint;
 	bool in_trial;
@@ -57,119 +60,143 @@
 	GPtrArray *backends; /* struct pick_backend * */
 	struct queue queues[QUEUE_COUNT];
 	GArray *service_times; /* struct disp_service_times */
-	double mean_latency_factor; /* of the backend servers, over time */
-	double start_latency_factor; /* at which requests began, over time */
-	double slow_latency_factor; /* of those in slow spells, over time */
-	int64_t
-	    mean_service_time; /* of all requests, over time; 0: not known */
-	struct conc conc; /* how work slows beside other work, of all kinds */
-	int64_t limits_set_at; /* when limits were set last */
+	/* Moving averages of latency factors: 1 is the usual speed. */
+	double mean_latency_factor; /* over all backend servers */
+	double start_latency_factor; /* expected at the start of attempts */
+	double slow_latency_factor; /* over reports from slow periods */
+	int64_t mean_service_time; /* moving average, ns; 0: unknown */
+	struct conc conc; /* slowdown by concurrency, over all kinds */
+	int64_t limits_set_at; /* last update of concurrency limits */
 	GArray *remote_halls; /* struct disp_remote_hall */
 	struct retry_budget retry_budget;
 	struct limit rate_limit;
-	int64_t last_return_at; /* the last request of one turned away before */
-	GQueue inflight; /* struct disp_req *, the longest out first */
-	struct pick_backend *trial_reserved; /* for a trial; NULL: none */
-	bool cold_unconfirmed; /* some backend servers may be cold */
-	guint
-	    query_next; /* whose turn it is, of those that are asked in turn */
-	/* By the roll-out, as servers are marked. */
+	int64_t last_return_at; /* last arrival of a request refused before */
+	GQueue inflight; /* struct disp_req *, oldest first */
+	/* Gets no requests, so that it becomes idle for a trial; or NULL. */
+	struct pick_backend *trial_reserved;
+	bool cold_unconfirmed; /* some backend servers are presumed cold */
+	guint query_next; /* index of the next one for round-robin queries */
+	/* What the roll-out allows, as the backend servers are marked. */
 	bool new_allowed, old_allowed, prefer_new;
-	bool serving; /* serve() is under way */
-	bool serve_again; /* and must look once more */
+	bool serving; /* disp_serve_queues() is running */
+	bool serve_again; /* and has to repeat its loop */
 };
 
 /* disp.c */
-/* Try to start a request now; false if it has to wait. */
+/*
+ * Sends or forwards a request if that is possible now; returns false if it has
+ * to wait.
+ */
 bool disp_try_send(struct disp *, struct disp_req *);
-/* Send a request to a backend server. */
+/* Sends a request to a backend server. */
 void disp_send(struct disp *, struct disp_req *, struct pick_backend *);
+/* Answers a request with an error; `after` is the Retry-After in ns. */
 void disp_fail(struct disp *, struct disp_req *, enum err_kind, int64_t after);
+/* Sends as many queued requests as possible. */
 void disp_serve_queues(struct disp *);
 
-/* disp_enqueue.c: the requests that are held. */
+/* disp_hold.c: queued requests. */
+/* Returns whether the target can be met if the request starts now. */
 bool disp_can_meet_target(const struct disp_req *, int64_t now);
 void disp_enqueue(struct disp *, struct disp_req *);
 void disp_dequeue(struct disp *, struct disp_req *);
+/* Takes requests that cannot meet their targets out of their queue. */
 void disp_separate_late(struct disp *);
+/* Fails the requests of a queue whose deadlines passed or will be missed. */
 void disp_expire(struct disp *, int queue, int64_t now);
+/* Forwards or fails all requests of a queue. */
 void disp_fail_all(struct disp *, int queue);
 
-/* disp_pace.c: arrivals under the policy that goes by pace. */
+/* disp_pace.c: admission under the latency-aware policy. */
 void disp_latency_submit(struct disp *, struct disp_req *);
+/* Returns whether a request may be queued; if not, it has been failed. */
 bool disp_latency_admit(struct disp *, struct disp_req *);
-/* It cannot be served in time: tell its caller when to come back. */
+/* Refuses a request for lack of time; `wait` is the queueing time in ns. */
 void disp_latency_refuse(struct disp *, struct disp_req *, int64_t wait);
 bool disp_latency_should_wait(
     struct disp *, const struct disp_req *, struct pick_backend *, int64_t now);
 bool disp_latency_remote_better(const struct disp *, const struct disp_req *,
     const struct pick_backend *, int64_t now);
 
-/* disp_stop.c: tries that are far too slow, where no pace is told. */
+/* disp_stop.c: slow attempts under policies that are not latency-aware. */
 void disp_stop_slow(struct disp *, int64_t now);
 
 /* disp_set.c: the shard's backend servers. */
 struct pick_set disp_pick_set(const struct disp *);
+/* Frees the removed backend servers that have no request in flight. */
 void disp_free_removed(struct disp *);
 void disp_free_backends(struct disp *);
+/* Returns the usual latency of a request in this shard, ns. */
 int64_t disp_usual_latency(const struct disp *);
-/* The slots worth using of the backend servers that may be used. */
+/* Returns the slots of all usable backend servers, for wait estimates. */
 double disp_usable_slots(const struct disp *);
 
-/* disp_service_times.c: how long requests take. */
+/* disp_work.c: estimates of service times. */
+/* Returns the estimate for a kind in ns; 0: unknown. */
 int64_t disp_work_estimate(const struct disp *, unsigned kind);
+/* Fills in the estimates of an attempt that is about to be sent. */
 void disp_work_attempt_sent(struct disp *, struct disp_req *);
-void disp_work_load_reported(struct disp *, int pace);
+/* Updates the average of slow periods from a reported latency factor. */
+void disp_work_load_reported(struct disp *, int percent);
+/* Updates the mean latency factor of all backend servers. */
 void disp_work_update_mean(struct disp *);
+/* Learns from the duration of a successful attempt. */
 void disp_work_learn(
     struct disp *, const struct disp_req *, struct pick_backend *, int64_t now);
 
-/* disp_conc.c: how many requests at once each backend server gets. */
+/* disp_conc.c: concurrency limits of the backend servers. */
 void disp_conc_attempt_sent(const struct disp *, struct disp_req *);
 void disp_conc_update_limits(struct disp *, int64_t now);
 
-/* disp_cold.c: backend servers that have just started, or may have. */
-void disp_cold_suspect(struct disp *, struct pick_backend *, int64_t lasts);
+/* disp_cold.c: slow start of backend servers that may have just started. */
+void disp_cold_suspect(struct disp *, struct pick_backend *, int64_t duration);
 void disp_cold_query(struct disp *, int64_t now);
 bool disp_cold_query_pending(const struct disp *, int64_t now);
 double
 disp_cold_slots(const struct disp *, const struct pick_backend *, int64_t);
 
-/* disp_roll.c: two versions of a service, while one replaces the other. */
+/* disp_roll.c: two versions of a service during a roll-out. */
 void disp_roll_update(struct disp *);
 void disp_roll_update_if_changed(struct disp *);
 void disp_roll_attempt_sent(struct disp *, const struct pick_backend *);
 void disp_roll_attempt_done(struct disp *, const struct disp_req *,
     const struct pick_backend *, enum disp_outcome);
-/* Is what the server does no measure of the service's work? */
+/*
+ * Returns whether the server is a canary of the new version, whose latencies
+ * are not used for the estimates of the service.
+ */
 bool disp_roll_is_canary(const struct disp *, const struct pick_backend *);
 
-/* disp_word.c: backend servers that say what they take, and when. */
-/* The slots worth counting when the wait for one is reckoned. */
+/* disp_word.c: limits that backend servers reported. */
+/* Returns how many slots of one count in estimates of the queueing time. */
 double disp_report_slots(const struct disp *, const struct pick_backend *);
 /*
- * The time until a request is sent that has so many ahead of it, where all that
- * may be used say what they take, or rest; false if one does neither.
+ * Estimates the time in ns until a request is sent that has `ahead` others
+ * before it in the queue.  Returns false if a usable backend server has
+ * reported neither a rate limit nor a pause that is still in force.
  */
 bool disp_report_wait(const struct disp *, size_t ahead, int64_t *wait);
-/* Is one that turns late refused, rather than held on? */
+/* Returns whether a request that became late is refused, not kept queued. */
 bool disp_report_refuses_late(const struct disp *, const struct disp_req *);
 
-/* disp_peek.c: questions for the load of backend servers. */
+/* disp_peek.c: queries for the load of backend servers. */
 bool disp_query_before_send(struct disp *, struct disp_req *, int64_t now);
 bool disp_query_after_gap(
     struct disp *, struct pick_backend *, int64_t gap, int64_t now);
 bool disp_query_one(struct disp *, struct pick_backend *, int64_t now);
-void disp_query_best(struct disp *, int64_t work, int64_t now);
+void disp_query_best(struct disp *, int64_t service_time, int64_t now);
 void disp_query_round_robin(struct disp *,
     bool (*)(const struct pick_backend *, int64_t now), int64_t gap,
     int64_t now);
 void disp_query_unresponsive(struct disp *, int64_t now);
 
-/* disp_reassign_slow.c: tries that are begun elsewhere. */
+/* disp_move.c: slow attempts that are repeated at another backend server. */
 void disp_reassign_slow(struct disp *, int64_t now);
 
-/* disp_forward.c: other halls.  True if the request was passed on. */
+/*
+ * disp_pass.c: forwarding to other halls.  disp_forward() and
+ * disp_forward_to_shorter() return whether they forwarded the request.
+ */
 void disp_forward_free(struct disp *);
 bool disp_forward(struct disp *, struct disp_req *);
 bool disp_forward_has_capacity(
@@ -179,7 +206,7 @@
 bool disp_forward_can_serve(
     const struct disp_remote_hall *, const struct disp_req *, int64_t now);
 
-/* disp_trial.c: requests under which a backend server ended. */
+/* disp_trial.c: isolated runs of requests that may crash backend servers. */
 bool disp_trial_submit(struct disp *, struct disp_req *);
 bool disp_trial_required(const struct disp *, const struct disp_req *);
 bool disp_trial_intercept(struct disp *, struct disp_req *);
@@ -187,12 +214,11 @@
 void disp_trial_attempt_done(
     struct disp *, struct disp_req *, struct pick_backend *, enum disp_outcome);
 
-/* disp_crash_suspect.c: backend servers that may have ended with what was
- * there. */
+/* disp_doubt.c: detection of crashed backend servers. */
 void disp_crash_attempt_done(
     struct disp *, struct disp_req *, struct pick_backend *, enum disp_outcome);
 void disp_crash_query_done(struct disp *, struct pick_backend *, bool answered);
-void disp_crash_resolve(struct disp *, struct pick_backend *, bool ended);
+void disp_crash_resolve(struct disp *, struct pick_backend *, bool crashed);
 bool disp_crash_trial_pending(const struct pick_backend *, struct fprint);
 
 #endif
--- a/pace.c
+++ b/pace.c
@@ -12,24 +12,27 @@
 
 #include "pace.h"
 
-/* Below this age asking again is not worth a probe. */
+/* A load report of up to this age is recent: a new query is not worthwhile. */
 #define FRESH_NS (6 * NS_MS)
 
-/* Up to so many percent of the usual time counts as usual. */
-enum { GOOD_PACE = 150, PERCENT = 100 };
-/* Spreads work over backend servers that look alike. */
+/* A latency factor of up to so many percent counts as usual speed. */
+enum { USUAL_MAX_PERCENT = 150, PERCENT = 100 };
+/*
+ * Factor on the service time per share of slots in use; spreads requests over
+ * backend servers that are otherwise equal.
+ */
 static const double SPREAD = 0.1;
 
 double
 pace_latency_factor(const struct pick_backend *b, double mean, int64_t now)
 {
-	double told = (double)b->reported_latency_percent / PERCENT;
-	double left;
+	double reported = (double)b->reported_latency_percent / PERCENT;
+	double weight;
 
 	if (b->reported_at == 0)
 		return mean;
-	left = exp(-(double)(now - b->reported_at) / PACE_DECAY_NS);
-	return mean + (told - mean) * left;
+	weight = exp(-(double)(now - b->reported_at) / PACE_DECAY_NS);
+	return mean + (reported - mean) * weight;
 }
 
 double
@@ -41,15 +44,15 @@
 }
 
 int64_t
-pace_service_time(
-    const struct pick_backend *b, int64_t work, double mean, int64_t now)
+pace_service_time(const struct pick_backend *b, int64_t service_time,
+    double mean, int64_t now)
 {
-	double full = b->slots > 0 ? (double)b->inflight / b->slots : 0;
-	double own = b->service_time_ratio > 0 ? b->service_time_ratio : 1;
+	double used = b->slots > 0 ? (double)b->inflight / b->slots : 0;
+	double ratio = b->service_time_ratio > 0 ? b->service_time_ratio : 1;
 
-	return (int64_t)((double)work * own *
+	return (int64_t)((double)service_time * ratio *
 	    pace_latency_factor(b, mean, now) * pace_concurrency_slowdown(b) *
-	    (1 + SPREAD * full));
+	    (1 + SPREAD * used));
 }
 
 bool
@@ -59,22 +62,23 @@
 }
 
 /*
- * In a wait of t the pace falls from p towards the mean m as (p - m) e^(-t/T),
- * so the end of the work comes sooner with t as long as work (p - m) > T.
+ * While the request waits for a time t, the latency factor p decays towards the
+ * mean m as m + (p - m) e^(-t/T).  A longer wait makes the request end sooner
+ * as long as service_time * (p - m) > T.
  */
 bool
-pace_waiting_is_faster(
-    const struct pick_backend *b, int64_t work, double mean, int64_t now)
+pace_waiting_is_faster(const struct pick_backend *b, int64_t service_time,
+    double mean, int64_t now)
 {
-	double over = (double)b->reported_latency_percent / PERCENT - mean;
+	double excess = (double)b->reported_latency_percent / PERCENT - mean;
 
 	return b->reported_at != 0 && now - b->reported_at < PACE_DECAY_NS &&
-	    (double)work * over > PACE_DECAY_NS;
+	    (double)service_time * excess > PACE_DECAY_NS;
 }
 
 bool
 pace_is_near_usual(const struct pick_backend *b, int64_t now)
 {
 	return pace_report_is_fresh(b, now) &&
-	    b->reported_latency_percent <= GOOD_PACE;
+	    b->reported_latency_percent <= USUAL_MAX_PERCENT;
 }
--- a/pick.h
+++ b/pick.h
@@ -24,26 +24,26 @@
 #include "str.h"
 
 /*
- * Choosing a backend server for a request.  Pure: the state of the backend
- * servers comes in as an array, time and random numbers are passed in, and
- * the choice is the only thing that goes out.
+ * The choice of a backend server for a request, and the health state of backend
+ * servers (outlier ejection, warm-up, draining).  There is no I/O and no global
+ * state: time and random numbers are passed in.
  */
 
-/* States and events of a backend server, as charts/backend.toml has them. */
+/* States and events of a backend server, as in charts/backend.toml. */
 enum pick_state {
 	PICK_COLD, /* new or back: warming up, one request at a time */
 	PICK_UP,
-	PICK_EJECTED, /* too slow or failing: nothing is sent */
-	PICK_TRIAL, /* ejection over: one request decides */
-	PICK_DRAINING, /* leaving: nothing new is sent */
+	PICK_EJECTED, /* failing: gets no requests */
+	PICK_TRIAL, /* after an ejection: the result of one request decides */
+	PICK_DRAINING, /* gets no new requests */
 	PICK_STATE_MAX
 };
 
 enum pick_event {
 	PICK_EV_OK,
-	PICK_EV_WARM, /* enough good answers in a row */
-	PICK_EV_FAILING, /* too many bad answers in a row */
-	PICK_EV_TIMER, /* the ejection is over */
+	PICK_EV_WARM, /* enough consecutive successes */
+	PICK_EV_FAILING, /* too many consecutive failures */
+	PICK_EV_TIMER, /* the ejection time is over */
 	PICK_EV_DRAIN,
 	PICK_EV_UNDRAIN,
 	PICK_EVENT_MAX
@@ -51,63 +51,60 @@
 
 extern const struct chart_names pick_chart_names;
 
-/* One backend server as its home sees it. */
+/*
+ * One backend server as the owner of its shard sees it.  All times that are not
+ * said to be in ms are monotonic ns.
+ */
 struct pick_backend {
 	struct str name;
 	struct str address;
-	int slots;
-	int64_t started_ms; /* its start, ms since 1970; 0: unsaid */
-	int max_inflight; /* of requests at once, as learned; 0: all slots */
-	const struct conc *conc; /* how others slow it; NULL: not known */
+	int slots; /* concurrent requests that it is configured for */
+	int64_t started_ms; /* start time, ms since 1970; 0: unknown */
+	int max_inflight; /* learned concurrency limit; 0: all slots */
+	const struct conc *conc; /* slowdown by concurrency; NULL: unknown */
 	struct cold cold;
 	const struct cold_limit *cold_limit; /* NULL: none */
-	struct quota quota; /* what it takes in a second, by its own word */
-	bool leaving; /* it said so itself, in an answer */
-	int64_t pause_until; /* it asked us for nothing more before this */
-	bool malformed_report; /* it said something that cannot be read */
+	struct quota quota; /* the rate limit that it reported */
+	bool leaving; /* it reported that it is shutting down */
+	int64_t pause_until; /* end of the pause that it asked for */
+	bool malformed_report; /* it sent a report that could not be parsed */
 	int inflight; /* sent and not finished */
 	int inflight_bulk; /* of these, class bulk */
 	enum pick_state state;
-	bool drain_configured; /* by its object */
-	bool evacuated; /* its hall is to get nothing new */
-	bool is_new_version; /* of the version that a roll-out brings in */
-	bool version_excluded; /* its version gets nothing now */
-	bool version_deferred; /* the next request is owed to the other version
-				*/
-	bool capacity_uncounted; /* nor is its room counted on */
-	bool probe_down; /* probes say that it does not work */
-	int64_t usual_latency; /* ns an answer usually takes; 0: not known */
+	bool drain_configured; /* its object says that it drains */
+	bool evacuated; /* its hall must get no new requests */
+	bool is_new_version; /* of the new version of a roll-out */
+	bool version_excluded; /* the roll-out gives its version no requests */
+	bool version_deferred; /* the roll-out prefers the other version now */
+	bool capacity_uncounted; /* its slots do not count as capacity */
+	bool probe_down; /* health probes fail */
+	int64_t usual_latency; /* moving average in ns; 0: unknown */
 	int64_t oldest_sent_at; /* start of the oldest in flight; 0: none */
-	int64_t full_until; /* it refused for want of a slot */
+	int64_t full_until; /* no requests before, as it refused one */
 	int64_t eject_until;
-	/* What it told of itself last; told_at 0: nothing yet. */
-	int reported_running, reported_waiting;
-	int reported_latency_percent; /* percent of the usual time that work
-					 takes */
+	/* Its last load report; the time is 0 before the first one. */
+	int reported_running, reported_waiting; /* requests */
+	int reported_latency_percent; /* latency factor; 100: usual speed */
 	int64_t reported_at;
-	double service_time_ratio; /* its own time for work against that of all;
-				      0: 1 */
-	double failure_rate; /* share of bad answers lately */
-	/* A question for its load is out; the last one; unanswered in a row. */
-	bool query_pending;
-	bool reports_no_load; /* it answered without telling a load */
-	int64_t queried_at;
-	int unanswered_queries;
-	int64_t
-	    last_answer_at; /* the last answer of any kind, or when we met it */
-	int ejections; /* in a row, for the length of the next */
+	/* Its service time divided by that of all servers; 0: presumed 1. */
+	double service_time_ratio;
+	double failure_rate; /* recent share of failures, 0 to 1 */
+	bool query_pending; /* a load query is outstanding */
+	bool reports_no_load; /* its last load query returned no load */
+	int64_t queried_at; /* time of the last load query */
+	int unanswered_queries; /* consecutive ones */
+	int64_t last_response_at; /* initially the time of its adding */
+	int ejections; /* consecutive; sets the length of the next one */
+	/* Numbers of consecutive results of attempts. */
 	int consecutive_bad, consecutive_good, consecutive_refused;
-	bool removed; /* no longer selected; waits for its last answer */
-	bool reserved_for_trial; /* nothing new: a request runs by itself, or
-				    will */
-	/* Requests that were there when connections broke: struct
-	 * disp_crash_suspect.
-	 */
+	bool removed; /* no longer configured; freed after its last response */
+	bool reserved_for_trial; /* an isolated run: gets no other requests */
+	/* struct disp_crash_suspect: in flight when connections broke. */
 	GArray *crash_suspects;
-	int64_t crash_suspected_at; /* when the last one did */
-	bool query_connected; /* the last question got a connection */
+	int64_t crash_suspected_at; /* when the last one was recorded */
+	bool query_connected; /* the last load query got a connection */
 	uint64_t sent_count; /* requests sent, for round robin */
-	void *data; /* the owner's */
+	void *data; /* for the gate */
 };
 
 /* The backend servers of one service in one hall. */
@@ -115,92 +112,92 @@
 	struct pick_backend **v;
 	unsigned n;
 	int bulk_percent;
-	double
-	    mean_latency_factor; /* of all backend servers over time: pace.h */
+	double mean_latency_factor; /* of all, moving average: pace.h */
 };
 
-/* What is looked for. */
+/* Properties of the request that a backend server is chosen for. */
 struct pick_criteria {
 	enum obj_class cls;
-	const struct pick_backend *avoid;
-	int64_t service_time; /* ns that it takes at the usual speed; 0: not
-				 known */
+	const struct pick_backend *avoid; /* last resort; or NULL */
+	int64_t service_time; /* at the usual speed, ns; 0: unknown */
 };
 
-/* What a policy chooses: an index, or PICK_NONE to hold the request. */
+/* A policy chooses an index, or PICK_NONE if the request has to wait. */
 enum { PICK_NONE = -1 };
 
 struct pick_policy {
 	const char *name;
 	int (*choose)(const struct pick_set *, const struct pick_criteria *,
 	    int64_t now, const struct rnd *);
-	bool holds_requests; /* waits for a free slot instead of queueing there
-			      */
-	bool latency_aware; /* goes by how fast backend servers say they are now
-			     */
+	bool holds_requests; /* queues requests until a slot is free */
+	bool latency_aware; /* uses reported latency factors */
 };
 
-/* By free slots, usual time and the age of what is in flight. */
+/* By free slots, usual latency and the age of requests in flight. */
 extern const struct pick_policy pick_fern;
 
-/* By the time that the work would take at the speed told last. */
+/* Latency-aware: by the expected service time at the last reported speed. */
 extern const struct pick_policy pick_pace;
 
-/* Round robin without any knowledge: the baseline. */
+/* Round robin without regard to state: the baseline for comparisons. */
 extern const struct pick_policy pick_naive;
 
+/* Returns the policy with this name, or NULL. */
 const struct pick_policy *pick_by_name(struct str);
 
-/* Were the last questions not answered? */
+/* Returns whether the last load queries were not answered. */
 bool pick_is_unresponsive(const struct pick_backend *);
 
 /*
- * Has nothing answered there for so long that it is taken for gone?  A box that
- * has just started, or is slow for a moment, gets some answers too late.
+ * Returns whether it has answered nothing for so long that it is presumed down.
+ * Unanswered queries alone are not enough: a box that has just started, or is
+ * slow for a moment, gets some responses too late.
  */
 bool pick_is_presumed_down(const struct pick_backend *, int64_t now);
 
-/* May anything new be sent there? */
+/* Returns whether it may get new requests, now or when a slot is free. */
 bool pick_is_usable(const struct pick_backend *, int64_t now);
 
-/* The slots that are worth using at once. */
+/* Returns how many requests it may get at once. */
 int pick_slot_limit(const struct pick_backend *);
 
-/* How many requests one may get now, 0 if nothing new may be sent. */
+/* Returns how many more requests it may get now. */
 int pick_free_slots(const struct pick_backend *, int64_t now);
 
 /*
- * A good or bad answer has come; moves the chart.  Ejection is bounded: it
- * is left out when fewer than half of the set would remain in use.
+ * Records a success that took so many ns, or a failure, and updates the chart
+ * state.  A server is not ejected unless more than half of the set is usable.
  */
 void pick_record_success(
     struct pick_backend *, const struct chart *, int64_t now, int64_t took);
 void pick_record_failure(struct pick_backend *, const struct pick_set *,
     const struct chart *, int64_t now, const struct rnd *);
 
-/*
- * It has ended, as far as is known: it is lost until it answers a question.
- */
+/* Records a crash: it is presumed down until it answers a load query. */
 void pick_mark_crashed(struct pick_backend *, int64_t now);
 
-/* It refused without running: it is full, or does not want any. */
+/*
+ * Records that it refused a request without running it.  It gets no requests
+ * for a random time that grows with each consecutive refusal.
+ */
 void
 pick_record_refusal(struct pick_backend *, int64_t now, const struct rnd *);
 
-/* A request there was stopped after `age` ns, as it took far too long. */
+/* Records that an attempt was stopped after `age` ns, as it was too slow. */
 void pick_record_slow(struct pick_backend *, int64_t age);
 
-/* Let ejections end whose time has come. */
+/* Ends the ejections whose time is over. */
 void pick_tick(const struct pick_set *, const struct chart *, int64_t now);
 
 /*
- * Its hall is evacuated, or is not any more.  Then it begins as one that has
- * just started: what it was before says nothing of it now.
+ * Sets whether the hall of the server is evacuated.  At the end of an
+ * evacuation the server starts again in the chart's initial state, as its
+ * former state may no longer apply.
  */
 void
 pick_set_evacuated(struct pick_backend *, const struct chart *, bool evacuated);
 
-/* Drain begins or ends, in whichever way it was told. */
+/* Starts or ends a drain. */
 void pick_set_drain(struct pick_backend *, const struct chart *, bool drain);
 
 #endif
