--- a/agent_box.c
+++ b/agent_box.c
@@ -15,33 +15,34 @@
 #include "libagent.h"
 
 /*
- * Boxes on the platform: the list of those that are there, and the status by
- * which each tells of itself.
+ * Boxes on the platform: fetches the list of boxes and writes the status of
+ * this one.
  */
 
 #define STATUS_SOON_NS (300 * NS_MS)
 #define STATUS_AGAIN_NS (60 * NS_S)
 
 enum {
-	/* Statuses of all boxes together: at most so many writes a second. */
+	/* Limit of status writes of all boxes together, per second. */
 	STATUS_FLEET_RATE = 150,
-	STATUS_PATIENCE = 4 /* a status may wait longer than a list */
+	/* Multiplies the backoff, as a status is less urgent than a list. */
+	STATUS_PATIENCE = 4
 };
 
-static void on_boxes_due(void *);
+static void fetch_boxes(void *);
 static void on_boxes(void *, enum plat_result, json_t *);
-static void on_status_due(void *);
+static void write_status(void *);
 static void on_status(void *, enum plat_result, json_t *);
 
-/* Fetch the list of boxes, and again until it comes. */
+/* Fetches the list of boxes, with retries until it succeeds. */
 void
 agent_box_list(struct agent *a)
 {
 	a->boxes_wanted = true;
-	tmr_set(&a->tmr, &a->boxes_timer, clk_ns(a->clk), on_boxes_due, a);
+	tmr_set(&a->tmr, &a->boxes_timer, clk_ns(a->clk), fetch_boxes, a);
 }
 
-/* What waited while the platform was away goes on. */
+/* Restarts the calls that were suspended during an outage of the platform. */
 void
 agent_box_resume_calls(struct agent *a)
 {
@@ -52,7 +53,7 @@
 }
 
 static void
-on_boxes_due(void *ctx)
+fetch_boxes(void *ctx)
 {
 	struct agent *a = ctx;
 	struct plat_request rq = {.op = PLAT_BOXES};
@@ -63,11 +64,11 @@
 	if (a->boxes_call == NULL)
 		tmr_set(&a->tmr, &a->boxes_timer,
 		    clk_ns(a->clk) + rnd_jitter(a->rnd, AGENT_RECHECK_NS),
-		    on_boxes_due, a);
+		    fetch_boxes, a);
 }
 
 static struct str
-text_of(const json_t *o, const char *key)
+get_text(const json_t *o, const char *key)
 {
 	return str_c(json_string_value(json_object_get(o, key)));
 }
@@ -83,7 +84,7 @@
 }
 
 static void
-take_boxes(struct agent *a, json_t *body)
+apply_boxes(struct agent *a, json_t *body)
 {
 	json_t *boxes = json_object_get(body, "boxes"), *box;
 	size_t i;
@@ -91,9 +92,9 @@
 	memb_list_begin(a->memb);
 	json_array_foreach (boxes, i, box) {
 		struct memb_info info = {
-		    .box = text_of(box, "name"),
-		    .hall = text_of(box, "hall"),
-		    .inbox = text_of(box, "inbox"),
+		    .box = get_text(box, "name"),
+		    .hall = get_text(box, "hall"),
+		    .inbox = get_text(box, "inbox"),
 		    .power = (uint64_t)json_integer_value(
 			json_object_get(box, "power")),
 		    .leaving = json_is_true(json_object_get(box, "leaving")),
@@ -117,33 +118,34 @@
 	if (result != PLAT_OK) {
 		tmr_set(&a->tmr, &a->boxes_timer,
 		    clk_ns(a->clk) + agent_backoff(a, a->boxes_fails++),
-		    on_boxes_due, a);
+		    fetch_boxes, a);
 		return;
 	}
 	a->boxes_fails = 0;
 	a->boxes_wanted = false;
-	take_boxes(a, body);
+	apply_boxes(a, body);
 	agent_poison_tell(a);
 	agent_peer_listed(a);
 }
 
 /*
- * Where only hubs tell of themselves they do so once: a leaf finds them by the
- * list, and they get to know it by its question.  Each call to the platform
- * has its price, and a start of all boxes is as many calls as there are hubs.
+ * Where only hubs write a status, each does so once: a leaf finds the hubs on
+ * the list of boxes, and the hubs learn of the leaf from its first message.
+ * Calls to the platform are expensive, so that a start of all boxes takes only
+ * one write per hub.
  */
 static bool
-wants_status(struct agent *a)
+must_write_status(struct agent *a)
 {
 	return a->set.status_by == STATUS_BY_ALL || a->poison_unsaved ||
 	    (!a->is_listed && gossip_is_hub(a->gossip));
 }
 
-/* Has anything to be told that was not when we last looked? */
+/* Schedules a status if something changed since the last one. */
 void
 agent_box_tick(struct agent *a)
 {
-	bool first = a->status_at == 0 && wants_status(a);
+	bool first = a->status_at == 0 && must_write_status(a);
 
 	if (a->poison_unsaved || conf_digest(a->conf) != a->status_told ||
 	    (first && a->status_call == NULL && !a->status_timer.set))
@@ -151,8 +153,8 @@
 }
 
 /*
- * A status is written soon after a change, but so seldom that all boxes
- * together stay within the platform's rate.
+ * A status is written soon after a change, with a random delay that grows with
+ * the number of boxes, so that all together stay within STATUS_FLEET_RATE.
  */
 void
 agent_box_status_soon(struct agent *a)
@@ -162,7 +164,7 @@
 	    (int64_t)memb_count_alive(a->memb) * NS_S / STATUS_FLEET_RATE;
 	int64_t at = now + rnd_jitter(a->rnd, STATUS_SOON_NS + spread);
 
-	/* What ends backend servers is rare, and must outlive us. */
+	/* Poison records are rare, and must outlive this process. */
 	if (a->poison_unsaved)
 		at = now;
 	else if (a->status_at != 0)
@@ -171,7 +173,7 @@
 	if (a->status_call != NULL ||
 	    (a->status_timer.set && a->status_timer.item.deadline <= at))
 		return;
-	tmr_set(&a->tmr, &a->status_timer, at, on_status_due, a);
+	tmr_set(&a->tmr, &a->status_timer, at, write_status, a);
 }
 
 static void
@@ -185,7 +187,7 @@
 }
 
 static void
-add_version(void *ctx, const struct conf_entry *e)
+find_newest(void *ctx, const struct conf_entry *e)
 {
 	uint64_t *newest = ctx;
 
@@ -200,7 +202,7 @@
 	char digest[20], gate[20];
 
 	conf_each(a->conf, add_rejected, rejected);
-	conf_each(a->conf, add_version, &newest);
+	conf_each(a->conf, find_newest, &newest);
 	snprintf(digest, sizeof(digest), "%016llx",
 	    (unsigned long long)conf_digest(a->conf));
 	snprintf(
@@ -217,7 +219,7 @@
 	    rejected, "poison", agent_poison_spec(a));
 }
 
-/* A number that is equal where two statuses tell the same. */
+/* Returns a hash that is equal for statuses with equal contents. */
 static uint64_t
 status_digest(const json_t *spec)
 {
@@ -228,19 +230,19 @@
 	return digest;
 }
 
-/* Does the status that was written last still tell how it is? */
+/* Returns whether the status that was written last is still up to date. */
 static bool
-status_holds(struct agent *a)
+is_status_current(struct agent *a)
 {
 	json_t *spec = status_spec(a);
-	bool holds = status_digest(spec) == a->status_digest;
+	bool is_current = status_digest(spec) == a->status_digest;
 
 	json_decref(spec);
-	return holds;
+	return is_current;
 }
 
 static void
-on_status_due(void *ctx)
+write_status(void *ctx)
 {
 	struct agent *a = ctx;
 	struct plat_request rq = {.kind = STR_LIT("status"),
@@ -248,7 +250,7 @@
 	    .version = a->status_version};
 	json_t *spec, *value;
 
-	if (!wants_status(a) || agent_first_feed_asks(a))
+	if (!must_write_status(a) || agent_first_feed_asks(a))
 		return;
 	spec = status_spec(a);
 	rq.op = a->status_version == 0 ? PLAT_CREATE : PLAT_UPDATE;
@@ -263,13 +265,16 @@
 		a->poison_unsaved = false;
 }
 
-/* A lost race for our own status is against an earlier start of ours. */
+/*
+ * A conflict means that an earlier process of this box wrote the status; the
+ * next write uses the version that it left.
+ */
 static void
 on_status(void *ctx, enum plat_result result, json_t *body)
 {
 	struct agent *a = ctx;
 	json_t *current = json_object_get(body, "current");
-	int64_t in =
+	int64_t delay =
 	    rnd_jitter(a->rnd, MAX(STATUS_AGAIN_NS, a->set.status_ms * NS_MS));
 
 	a->status_call = NULL;
@@ -284,14 +289,14 @@
 		a->status_fails = 0;
 		a->status_at = clk_ns(a->clk);
 		a->is_listed = true;
-		if (!status_holds(a)) {
+		if (!is_status_current(a)) {
 			agent_box_status_soon(a);
 			return;
 		}
 	} else {
 		a->poison_unsaved = poison_proved(a->poison) > 0;
-		in = STATUS_PATIENCE * agent_backoff(a, a->status_fails++);
+		delay = STATUS_PATIENCE * agent_backoff(a, a->status_fails++);
 	}
 	tmr_set(
-	    &a->tmr, &a->status_timer, clk_ns(a->clk) + in, on_status_due, a);
+	    &a->tmr, &a->status_timer, clk_ns(a->clk) + delay, write_status, a);
 }
--- a/agent_gate.c
+++ b/agent_gate.c
@@ -12,46 +12,47 @@
 #include "slog.h"
 
 /*
- * What goes between this agent and its gate: that it may serve, which boxes
- * there are, and how the gate does.
+ * Messages between the agent and its gate.  The agent sends whether the gate
+ * may serve and which hubs are alive; the gate reports its status.
  */
 
+/* An unchanged list of members is sent again after this time. */
 #define MEMBERS_AGAIN_NS (30 * NS_S)
-/* Between two lists of members. */
+/* Delay that combines several changes into one list of members. */
 #define MEMBERS_GAP_NS (40 * NS_MS)
 #define GATE_SILENT_NS (4 * NS_S)
 
 /*
- * The configuration is whole, and so are the boxes as far as they answer: a
- * gate that knows no other takes itself for home of everything.  One that holds
- * no backend servers can do nothing without a home.
+ * The gate may serve once the configuration is complete and the boxes of the
+ * hall are known: a gate that knows no other box would act as the home of all
+ * services.  A gate without backend servers needs a hub to forward to.
  */
 static bool
-may_serve(struct agent *a)
+gate_may_serve(struct agent *a)
 {
 	if (a->scope == SCOPE_RULES && memb_count_hubs(a->memb) == 0)
 		return false;
 	return agent_is_complete(a) && a->settled;
 }
 
-/* To the gate: ready means that it may serve. */
+/* Sends the box's state to the gate, with `ready` set if it may serve. */
 void
 agent_gate_hello(struct agent *a)
 {
 	struct msg m = agent_peer_hello_of(a);
 
-	m.u.hello.self.ready = may_serve(a);
+	m.u.hello.self.ready = gate_may_serve(a);
 	wire_send(a->wire, a->set.gate_inbox, &m);
 }
 
-/* The hubs of all halls, for our gate. */
+/* Collects the hubs of all halls. */
 struct hub_list {
 	struct agent *agent;
 	GArray *infos; /* struct memb_info */
 };
 
 static void
-gather_hub(void *ctx, const struct memb_member *m)
+add_hub(void *ctx, const struct memb_member *m)
 {
 	struct hub_list *l = ctx;
 
@@ -66,7 +67,7 @@
 	    a, g_array_new(FALSE, FALSE, sizeof(struct memb_info))};
 	struct msg m = {.kind = MSG_MEMBERS};
 
-	memb_each(a->memb, gather_hub, &l);
+	memb_each(a->memb, add_hub, &l);
 	m.u.members.members.items = (struct memb_info *)l.infos->data;
 	m.u.members.members.n = l.infos->len;
 	m.u.members.fleet = memb_fleet(a->memb);
@@ -75,23 +76,23 @@
 	g_array_free(l.infos, TRUE);
 }
 
-/* The gate waits until it may serve: tell it so at once. */
+/* Notifies the gate as soon as it may serve. */
 void
 agent_gate_tell_ready(struct agent *a)
 {
-	bool ready = may_serve(a);
+	bool ready = gate_may_serve(a);
 
 	if (ready && !a->told_ready) {
-		/* It has to know homes before it serves. */
+		/* The gate needs the hubs to find homes before it serves. */
 		send_hubs(a);
 		agent_gate_hello(a);
 	}
 	a->told_ready = ready;
 }
 
-/* To the gate, when they have changed and now and then. */
+/* Sends the members if they changed, or if the last list is old. */
 static void
-on_members_due(void *ctx)
+send_members(void *ctx)
 {
 	struct agent *a = ctx;
 	int64_t now = clk_ns(a->clk);
@@ -105,23 +106,23 @@
 	send_hubs(a);
 }
 
-/* When all boxes start, news come by the dozen, and go on together. */
+/* Members change often while all boxes start, so that changes are combined. */
 void
 agent_gate_members_soon(struct agent *a)
 {
 	if (!a->members_timer.set)
 		tmr_set(&a->tmr, &a->members_timer,
-		    clk_ns(a->clk) + MEMBERS_GAP_NS, on_members_due, a);
+		    clk_ns(a->clk) + MEMBERS_GAP_NS, send_members, a);
 }
 
-/* Our gate told of itself. */
+/* Handles a status message of the gate. */
 void
 agent_gate_take(struct agent *a, const struct msg *m)
 {
 	const struct msg_gate *gt = &m->u.gate;
 	struct memb_info *self = memb_self(a->memb);
 	bool was_leaving = self->leaving;
-	bool fresh = gt->boot != a->gate_boot, begins;
+	bool is_new = gt->boot != a->gate_boot, starts_serving;
 
 	a->gate_heard = clk_ns(a->clk);
 	if (gt->holds.digest != a->gate_digest || gt->ready != a->gate_ready)
@@ -129,23 +130,23 @@
 	a->gate_boot = gt->boot;
 	a->gate_digest = gt->holds.digest;
 	a->gate_ready = gt->ready;
-	if (fresh) {
-		/* A new gate: whoever knew the old one must look anew. */
+	if (is_new) {
+		/* The gate restarted: peers must drop the old state. */
 		self->boot = MAX(self->boot + 1, gt->boot);
 		self->leaving = false;
 		a->members_sent = 0;
 		agent_probe_tell_gate(a);
 	}
-	begins = gt->ready && !self->ready;
-	if (fresh || self->ready != gt->ready) {
+	starts_serving = gt->ready && !self->ready;
+	if (is_new || self->ready != gt->ready) {
 		self->ready = gt->ready;
 		memb_changed(a->memb);
 	}
-	if (begins && memb_is_hub(a->memb, self->box))
+	if (starts_serving && memb_is_hub(a->memb, self->box))
 		agent_peer_ready(a);
 	if (gt->leaving && !was_leaving)
 		agent_peer_leave(a);
-	else if (fresh)
+	else if (is_new)
 		agent_gate_hello(a);
 	if (gt->doubted.n > 0)
 		agent_peer_doubt(a, gt->doubted);
@@ -161,7 +162,7 @@
 	if (self->ready && now - a->gate_heard > GATE_SILENT_NS) {
 		self->ready = false;
 		memb_changed(a->memb);
-		slog(SLOG_AGENT, "the gate is silent", "for_ms=%lld",
+		slog(SLOG_AGENT, "gate does not answer", "for_ms=%lld",
 		    (long long)((now - a->gate_heard) / NS_MS));
 	}
 	if (now - a->gate_greeted >= a->set.hello_ms * NS_MS) {
--- a/agent_lapse.c
+++ b/agent_lapse.c
@@ -12,18 +12,19 @@
 #include "slog.h"
 
 /*
- * A backend server's entry that is gone from the platform without having
- * drained may have lapsed only because the platform was away; then the
- * backend server writes it anew.  So its deletion is held for a moment, and
- * taken if nothing newer has come by then.
+ * The entry of a backend server that disappears from the platform without a
+ * drain may have expired only because the backend server could not renew it
+ * during an outage of the platform.  The backend server then writes it again.
+ * So the deletion is held for a short time, and applied if no newer version
+ * has arrived by then.
  */
 
-/* Within a drain's time, as the backend server may be leaving unannounced. */
+/* Shorter than a drain, as the backend server may be leaving unannounced. */
 #define HOLD_NS (1 * NS_S)
-/* Entries are written anew within two seconds of the platform's return. */
+/* Entries are written again within two seconds of the end of an outage. */
 #define HOLD_AFTER_OUTAGE_NS (2200 * NS_MS)
 
-struct agent_lapse {
+struct held_deletion {
 	struct agent *agent;
 	struct str key;
 	uint64_t version; /* of the deletion */
@@ -31,66 +32,71 @@
 };
 
 static void
-lapse_free(void *p)
+held_deletion_free(void *p)
 {
-	struct agent_lapse *l = p;
+	struct held_deletion *held = p;
 
-	tmr_clear(&l->agent->tmr, &l->timer);
-	str_free(&l->key);
-	g_free(l);
+	tmr_clear(&held->agent->tmr, &held->timer);
+	str_free(&held->key);
+	g_free(held);
 }
 
 void
 agent_lapse_open(struct agent *a)
 {
-	a->lapses =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, lapse_free);
+	a->lapses = g_hash_table_new_full(
+	    g_str_hash, g_str_equal, NULL, held_deletion_free);
 }
 
 static void
-on_due(void *ctx)
+apply_deletion(void *ctx)
 {
-	struct agent_lapse *l = ctx;
-	struct agent *a = l->agent;
-	const struct conf_entry *e = conf_get(a->conf, l->key);
-	bool gone = e != NULL && !e->deleted && e->version <= l->version;
+	struct held_deletion *held = ctx;
+	struct agent *a = held->agent;
+	const struct conf_entry *e = conf_get(a->conf, held->key);
+	bool still_missing =
+	    e != NULL && !e->deleted && e->version <= held->version;
 
 	slog(SLOG_WATCH,
-	    gone ? "lapsed entry is gone" : "lapsed entry came back",
-	    "key=%.*s version=%llu", STR_ARG(l->key),
-	    (unsigned long long)l->version);
+	    still_missing ? "lapsed entry is gone" : "lapsed entry came back",
+	    "key=%.*s version=%llu", STR_ARG(held->key),
+	    (unsigned long long)held->version);
 	a->from_platform = true;
-	conf_offer(
-	    a->conf, l->key, l->version, true, NULL, STR_LIT("platform"), NULL);
+	conf_offer(a->conf, held->key, held->version, true, NULL,
+	    STR_LIT("platform"), NULL);
 	a->from_platform = false;
-	g_hash_table_remove(a->lapses, l->key.p);
+	g_hash_table_remove(a->lapses, held->key.p);
 }
 
-/* True if the deletion of what is in force is held for now. */
+/*
+ * Called for a deletion of `e` at `version`, before it is applied.  Returns
+ * true if the deletion is held, and the caller must not apply it.
+ */
 bool
 agent_lapse_hold(struct agent *a, const struct conf_entry *e, uint64_t version)
 {
-	int64_t now = clk_ns(a->clk), due = now + HOLD_NS;
-	struct agent_lapse *l;
+	int64_t now = clk_ns(a->clk), apply_at = now + HOLD_NS;
+	struct held_deletion *held;
 
 	if (e == NULL || e->kind != OBJ_BACKEND || e->obj == NULL ||
 	    e->obj->u.backend.drain || version < e->version)
 		return false;
-	l = g_hash_table_lookup(a->lapses, e->key.p);
-	if (l != NULL) {
-		l->version = MAX(l->version, version);
+	held = g_hash_table_lookup(a->lapses, e->key.p);
+	if (held != NULL) {
+		held->version = MAX(held->version, version);
 		return true;
 	}
 	if (a->platform_back != 0)
-		due = MAX(due, a->platform_back + HOLD_AFTER_OUTAGE_NS);
-	l = g_new0(struct agent_lapse, 1);
-	l->agent = a;
-	l->key = str_dup(e->key);
-	l->version = version;
-	g_hash_table_insert(a->lapses, (char *)l->key.p, l);
-	tmr_set(&a->tmr, &l->timer, due, on_due, l);
+		apply_at =
+		    MAX(apply_at, a->platform_back + HOLD_AFTER_OUTAGE_NS);
+	held = g_new0(struct held_deletion, 1);
+	held->agent = a;
+	held->key = str_dup(e->key);
+	held->version = version;
+	g_hash_table_insert(a->lapses, (char *)held->key.p, held);
+	tmr_set(&a->tmr, &held->timer, apply_at, apply_deletion, held);
 	slog(SLOG_WATCH, "entry lapsed, deletion is held",
 	    "key=%.*s version=%llu hold_ms=%lld", STR_ARG(e->key),
-	    (unsigned long long)version, (long long)((due - now) / NS_MS));
+	    (unsigned long long)version, (long long)((apply_at - now) / NS_MS));
 	return true;
 }
--- a/agent_look.c
+++ b/agent_look.c
@@ -12,61 +12,66 @@
 #include "slog.h"
 
 /*
- * A second call that notices what a watch cannot: a watch waits for a change,
- * and where its connection has gone silent that looks like a day without any.
- * So the first two of those that watch ask now and then, with a call that does
- * not wait, whether there is anything new.  What it brings is as good as what
- * the watch would have brought, and one without an answer tells of the silence.
+ * Polls that detect a watch whose connection is silent.  A watch waits for a
+ * change, so that a dead connection cannot be told from a time without changes.
+ * So some of the boxes that watch also poll at intervals, with a call that
+ * does not wait for a change.  The changes that a poll returns are applied like
+ * those of the watch, and a poll that times out shows that the platform does
+ * not answer.
  *
- * The answer must be of now: a stale one, which costs a tenth, cannot tell that
- * nothing has changed in the last seconds, and nothing else looks there.
+ * A poll must return the current state.  A stale answer, which costs a tenth,
+ * cannot show that nothing changed in the last seconds, and no other call
+ * checks that.
  */
 
 enum {
-	LOOKERS = 1, /* and as many as it takes that two see */
-	/* The rules at each look, the other feeds at one in so many. */
-	OTHERS_ONE_IN = 3,
-	WAIT_MS = 1000 /* a slow platform takes some 300 ms */
+	/* More boxes poll until the platform answers MEMB_SEEING_MIN of them.
+	 */
+	POLLERS = 1,
+	/* The first feed is polled each time, the others each third time. */
+	OTHER_FEEDS_EVERY = 3,
+	WAIT_MS = 1000 /* a slow platform answers in about 300 ms */
 };
 
-struct look {
+struct poll {
 	struct agent *agent;
 	struct agent_feed *feed;
-	int64_t asked_at;
+	int64_t started_at;
 };
 
-static void on_due(void *);
+static void on_poll_timer(void *);
 
-/* While the platform is silent we go on, to know when it is back. */
+/* During a silence of the platform polls go on, to detect its end. */
 static bool
-is_looker(struct agent *a)
+is_poller(struct agent *a)
 {
 	return a->unheard ||
-	    (agent_is_watcher(a) && memb_watches(a->memb, a->set.box, LOOKERS));
+	    (agent_is_watcher(a) && memb_watches(a->memb, a->set.box, POLLERS));
 }
 
 /*
- * A platform that refuses is not silent: its watches are cut.  Looks overlap,
- * so that a later one may have been answered before.
+ * An early failure is a refusal, not a silence: a platform that refuses calls
+ * also closes its watches.  Polls overlap, so that a later one may already have
+ * been answered.
  */
 static void
-note_silence(const struct look *l)
+record_timeout(const struct poll *poll)
 {
-	struct agent *a = l->agent;
+	struct agent *a = poll->agent;
 
-	if (clk_ns(a->clk) - l->asked_at < WAIT_MS * NS_MS ||
-	    l->asked_at < a->look_answered)
+	if (clk_ns(a->clk) - poll->started_at < WAIT_MS * NS_MS ||
+	    poll->started_at < a->look_answered)
 		return;
 	a->unheard = true;
 	agent_call_ended(a, PLAT_DOWN);
 }
 
 static void
-note_answer(const struct look *l)
+record_answer(const struct poll *poll)
 {
-	struct agent *a = l->agent;
+	struct agent *a = poll->agent;
 
-	a->look_answered = MAX(a->look_answered, l->asked_at);
+	a->look_answered = MAX(a->look_answered, poll->started_at);
 	if (!a->unheard)
 		return;
 	a->unheard = false;
@@ -74,69 +79,69 @@
 }
 
 static void
-on_looked(void *ctx, enum plat_result result, json_t *body)
+on_poll_done(void *ctx, enum plat_result result, json_t *body)
 {
-	struct look *l = ctx;
+	struct poll *poll = ctx;
 
 	if (result == PLAT_DOWN)
-		note_silence(l);
+		record_timeout(poll);
 	else
-		note_answer(l);
+		record_answer(poll);
 	if (result == PLAT_OK)
-		agent_watch_told(l->feed, body);
+		agent_watch_told(poll->feed, body);
 	else if (result == PLAT_TOO_OLD)
-		agent_watch_missed(l->feed);
-	g_free(l);
+		agent_watch_missed(poll->feed);
+	g_free(poll);
 }
 
 static void
-look_at(struct agent_feed *f)
+poll_feed(struct agent_feed *f)
 {
 	struct agent *a = f->agent;
 	struct plat_request rq = {.op = PLAT_WATCH,
 	    .kind = str_c(f->kinds),
 	    .version = f->since,
 	    .timeout_ms = WAIT_MS};
-	struct look *l;
+	struct poll *poll;
 
 	if (f->since == 0 || !agent_scope_has(a, f))
 		return;
-	l = g_new0(struct look, 1);
-	l->agent = a;
-	l->feed = f;
-	l->asked_at = clk_ns(a->clk);
+	poll = g_new0(struct poll, 1);
+	poll->agent = a;
+	poll->feed = f;
+	poll->started_at = clk_ns(a->clk);
 	cnt_add(a->cnt, AC_LOOKS, 1);
-	if (agent_call(a, &rq, on_looked, l) == NULL)
-		g_free(l);
+	if (agent_call(a, &rq, on_poll_done, poll) == NULL)
+		g_free(poll);
 }
 
-/* Without a setting we wake up all the same, as it may be read anew. */
+/* The timer runs even if polls are disabled, as a reload may enable them. */
 static void
-look_later(struct agent *a)
+schedule_poll(struct agent *a)
 {
-	int64_t in =
+	int64_t delay =
 	    a->set.look_ms > 0 ? a->set.look_ms * NS_MS : AGENT_RECHECK_NS;
 
 	tmr_set(&a->tmr, &a->look_timer,
-	    clk_ns(a->clk) + rnd_jitter(a->rnd, in), on_due, a);
+	    clk_ns(a->clk) + rnd_jitter(a->rnd, delay), on_poll_timer, a);
 }
 
 static void
-on_due(void *ctx)
+on_poll_timer(void *ctx)
 {
 	struct agent *a = ctx;
 	unsigned i, n;
 
-	look_later(a);
-	if (a->set.look_ms == 0 || a->leaving || !is_looker(a))
+	schedule_poll(a);
+	if (a->set.look_ms == 0 || a->leaving || !is_poller(a))
 		return;
-	n = a->looks++ % OTHERS_ONE_IN == 0 ? a->nfeeds : 1;
+	n = a->looks++ % OTHER_FEEDS_EVERY == 0 ? a->nfeeds : 1;
 	for (i = 0; i < n; i++)
-		look_at(&a->feeds[i]);
+		poll_feed(&a->feeds[i]);
 }
 
 void
 agent_look_open(struct agent *a)
 {
-	look_later(a);
+	schedule_poll(a);
 }
--- a/agent_open.c
+++ b/agent_open.c
@@ -15,30 +15,32 @@
 #include "slog.h"
 
 /*
- * The agent's settings, its start and its end, and the tick that all its parts
- * share.
+ * The agent's settings, its start and shutdown, and the periodic tick that runs
+ * all its parts.
  */
 
+/* Time to send the last messages before the process exits. */
 enum { LEAVE_MS = 300, ADMIN_BODY_MAX = 4096 };
 /*
- * Rules that were confirmed no later than this ago are not late: a word of the
- * platform takes a second from box to box, and another one to the last.
+ * A change is logged as late if the rules were confirmed longer ago than this.
+ * A confirmation by the platform takes up to a second from box to box, and a
+ * second more to the last box.
  */
 enum { LATE_MS = 3000 };
-/* Between two looks, with probes to start or without. */
+/* Interval of the tick, with probes enabled or disabled. */
 #define TICK_NS (100 * NS_MS)
 #define TICK_IDLE_NS (500 * NS_MS)
-/* A tick that comes so late tells that the process was paused. */
+/* A longer gap between two ticks means that the process was suspended. */
 #define PAUSE_NS (2 * NS_S)
 
 static void on_tick(void *);
 static void on_signal(uv_signal_t *, int);
-static void on_left(void *);
+static void on_shutdown_timer(void *);
 static void on_conf_changed(void *, const struct conf_entry *);
 
 #define F(member) offsetof(struct agent_set, member)
 
-static const char *const words_status_by[] = {"all", "hubs", NULL};
+static const char *const status_by_names[] = {"all", "hubs", NULL};
 
 static const struct field fields[] = {
     {.name = "box", .type = FIELD_NAME, .offset = F(box), .required = true},
@@ -145,7 +147,7 @@
     {.name = "status_by",
 	.type = FIELD_WORD,
 	.offset = F(status_by),
-	.words = words_status_by},
+	.words = status_by_names},
     {.name = "contracts",
 	.type = FIELD_STR,
 	.offset = F(contracts),
@@ -157,8 +159,8 @@
 };
 
 /*
- * Read the settings anew and take over what may change while the agent runs.
- * A file that is not valid changes nothing.
+ * Reads the settings file again and applies the settings that may change while
+ * the agent runs.  An invalid file changes nothing.
  */
 void
 agent_reload(struct agent *a)
@@ -169,9 +171,8 @@
 
 	if (!set_load(a->file, a->section, fields, G_N_ELEMENTS(fields), &set,
 		&err)) {
-		slog(SLOG_AGENT,
-		    "settings are kept, the new ones are not valid", "why=%s",
-		    slog_quote(err->message));
+		slog(SLOG_AGENT, "settings are kept, the new file is invalid",
+		    "why=%s", slog_quote(err->message));
 		g_error_free(err);
 		return;
 	}
@@ -262,7 +263,7 @@
 
 	if (!a->shares_conf)
 		slog(SLOG_CONF,
-		    e->deleted ? "object is deleted" : "object is known",
+		    e->deleted ? "object deleted" : "object version applied",
 		    "key=%.*s version=%llu from=%.*s", STR_ARG(e->key),
 		    (unsigned long long)e->version, STR_ARG(e->source));
 	if (e->kind != OBJ_BACKEND && sync_age_ms(&a->sync) > LATE_MS)
@@ -300,7 +301,7 @@
 }
 
 static void
-on_left(void *ctx)
+on_shutdown_timer(void *ctx)
 {
 	struct agent *a = ctx;
 
@@ -310,7 +311,7 @@
 static void
 on_signal(uv_signal_t *signal, int signum)
 {
-	static struct tmr_item left;
+	static struct tmr_item shutdown_timer;
 	struct agent *a = signal->data;
 
 	(void)signum;
@@ -318,21 +319,26 @@
 		uv_stop(a->loop);
 		return;
 	}
-	slog(SLOG_AGENT, "leaves", "boxes=%zu", memb_count_alive(a->memb));
+	slog(SLOG_AGENT, "agent shuts down", "boxes=%zu",
+	    memb_count_alive(a->memb));
 	a->leaving = true;
 	agent_peer_leave(a);
-	tmr_set(&a->tmr, &left, clk_ns(a->clk) + LEAVE_MS * NS_MS, on_left, a);
+	tmr_set(&a->tmr, &shutdown_timer, clk_ns(a->clk) + LEAVE_MS * NS_MS,
+	    on_shutdown_timer, a);
 }
 
 void
 agent_start(struct agent *a)
 {
 	tmr_set(&a->tmr, &a->tick, clk_ns(a->clk), on_tick, a);
-	slog(SLOG_AGENT, "started", "box=%s hall=%s inbox=%s platform=%s",
+	slog(SLOG_AGENT, "agent started", "box=%s hall=%s inbox=%s platform=%s",
 	    a->set.box.p, a->set.hall.p, a->set.inbox.p, a->set.platform.p);
 }
 
-/* Leave on a signal; an agent beside its gate leaves with the gate. */
+/*
+ * Shuts down on SIGTERM or SIGINT.  An agent in the same process as its gate
+ * does not use this, as the gate handles the signals for both.
+ */
 void
 agent_on_signals(struct agent *a)
 {
--- a/agent_peer.c
+++ b/agent_peer.c
@@ -13,14 +13,14 @@
 #include "spread.h"
 
 /*
- * What this box says to the others, and what it makes of theirs: membership,
- * which gossip.c decides on, and configuration that differs.
+ * Messages to and from other boxes: membership, which gossip.c handles, and
+ * comparison of configurations.
  */
 
-/* Hubs that do not watch list the boxes this seldom. */
+/* Interval at which hubs that do not watch fetch the list of boxes. */
 #define LIST_OTHER_NS (60 * NS_S)
 
-static void on_due(void *);
+static void run_gossip(void *);
 
 static void
 send_to(void *ctx, struct str to, const struct msg *m)
@@ -31,7 +31,7 @@
 	wire_send(a->wire, to, &copy);
 }
 
-/* A hello to our own gate: who we are and what configuration we have. */
+/* Returns a status message with this box's state and configuration digests. */
 struct msg
 agent_peer_hello_of(const struct agent *a)
 {
@@ -43,7 +43,7 @@
 }
 
 static void
-op_hello(void *ctx, struct str to, const struct msg_hello *h)
+op_send_status(void *ctx, struct str to, const struct msg_hello *h)
 {
 	struct msg m = {.kind = MSG_HELLO, .u.hello = *h};
 	struct agent *a = ctx;
@@ -52,7 +52,7 @@
 }
 
 static void
-op_beat(void *ctx, struct str to, const struct msg_beat *b)
+op_send_heartbeat(void *ctx, struct str to, const struct msg_beat *b)
 {
 	struct msg m = {.kind = MSG_BEAT, .u.beat = *b};
 	struct agent *a = ctx;
@@ -61,7 +61,7 @@
 }
 
 static void
-op_members(void *ctx, struct str to, const struct msg_members *list)
+op_send_members(void *ctx, struct str to, const struct msg_members *list)
 {
 	struct msg m = {.kind = MSG_MEMBERS, .u.members = *list};
 	struct agent *a = ctx;
@@ -70,7 +70,7 @@
 }
 
 static struct msg_holds
-op_holds(void *ctx)
+op_config(void *ctx)
 {
 	struct agent *a = ctx;
 
@@ -78,7 +78,7 @@
 }
 
 static void
-op_list(void *ctx)
+op_list_boxes(void *ctx)
 {
 	agent_box_list(ctx);
 }
@@ -100,8 +100,8 @@
 void
 agent_peer_open(struct agent *a)
 {
-	const struct gossip_ops ops = {
-	    op_hello, op_beat, op_members, op_holds, op_list, a};
+	const struct gossip_ops ops = {op_send_status, op_send_heartbeat,
+	    op_send_members, op_config, op_list_boxes, a};
 
 	a->sync.conf = a->conf;
 	a->sync.send = send_to;
@@ -109,12 +109,12 @@
 	a->sync.ctx = a;
 	a->gossip = gossip_new(&ops, a->memb, a->clk, a->rnd);
 	agent_peer_configure(a);
-	on_due(a);
+	run_gossip(a);
 }
 
-/* The boxes near are known: our gate may serve. */
+/* Once the boxes of the hall are known, the gate may serve. */
 static void
-look_settled(struct agent *a)
+check_peers_known(struct agent *a)
 {
 	if (a->settled || !gossip_settled(a->gossip))
 		return;
@@ -125,9 +125,12 @@
 	agent_gate_tell_ready(a);
 }
 
-/* Who watches needs nobody to tell it of changes. */
+/*
+ * A box is unattended while no hub that has contact with the platform answers
+ * it, so that it receives no changes.  A watcher reads changes by itself.
+ */
 static void
-look_unattended(struct agent *a)
+check_unattended(struct agent *a)
 {
 	bool unattended =
 	    !agent_is_watcher(a) && gossip_is_unattended(a->gossip);
@@ -145,88 +148,88 @@
 		agent_watch_unattended(a);
 }
 
-/* Do what is due, and wake up for what is due next. */
+/* Runs the gossip actions that are due and sets the timer for the next. */
 static void
-on_due(void *ctx)
+run_gossip(void *ctx)
 {
 	struct agent *a = ctx;
 	int64_t next = gossip_run(a->gossip);
 
-	look_settled(a);
-	look_unattended(a);
-	tmr_set(&a->tmr, &a->gossip_timer, next, on_due, a);
+	check_peers_known(a);
+	check_unattended(a);
+	tmr_set(&a->tmr, &a->gossip_timer, next, run_gossip, a);
 }
 
-/* The platform's list of boxes is here. */
+/* Handles a new list of boxes, which is in memb already. */
 void
 agent_peer_listed(struct agent *a)
 {
 	gossip_listed(a->gossip);
 	agent_scope_look(a);
-	on_due(a);
+	run_gossip(a);
 }
 
-/* Does a box of our hall, or this one, hear from the platform? */
-struct sight {
+/* Whether this box or another of its hall has contact with the platform. */
+struct hall_contact {
 	const struct agent *agent;
-	bool seeing;
+	bool has_platform;
 };
 
 static void
-look_for_sight(void *ctx, const struct memb_member *m)
+find_hall_contact(void *ctx, const struct memb_member *m)
 {
-	struct sight *s = ctx;
+	struct hall_contact *s = ctx;
 
 	if (memb_alive(m) && !m->info.blind &&
 	    str_eq(m->info.hall, s->agent->set.hall))
-		s->seeing = true;
+		s->has_platform = true;
 }
 
 static bool
-should_compare(struct agent *a, struct str hall, const struct msg_holds *holds,
+should_compare(struct agent *a, struct str hall, const struct msg_holds *config,
     int64_t now)
 {
-	struct sight s = {a, a->platform_up};
+	struct hall_contact s = {a, a->platform_up};
 	struct spread_difference d = {.near = str_eq(hall, a->set.hall),
 	    .complete = agent_is_complete(a),
 	    .alone = gossip_is_left_alone(a->gossip)};
 
-	if (sync_equal(&a->sync, holds))
+	if (sync_equal(&a->sync, config))
 		a->differs_since = 0;
 	else if (a->differs_since == 0)
 		a->differs_since = now;
 	if (a->differs_since != 0)
 		d.lasts = MAX(now - a->differs_since, 1);
-	if (!s.seeing)
-		memb_each(a->memb, look_for_sight, &s);
-	d.seeing = s.seeing;
+	if (!s.has_platform)
+		memb_each(a->memb, find_hall_contact, &s);
+	d.seeing = s.has_platform;
 	return spread_should_compare(&d);
 }
 
-/* A box has told which configuration it has. */
+/* Handles the digests of another box's configuration. */
 static void
-take_holds(struct agent *a, struct str from, struct str hall,
-    const struct msg_holds *holds)
+handle_config(struct agent *a, struct str from, struct str hall,
+    const struct msg_holds *config)
 {
-	sync_hear(&a->sync, holds);
-	if (should_compare(a, hall, holds, clk_ns(a->clk)))
-		sync_compare(&a->sync, from, holds);
+	sync_hear(&a->sync, config);
+	if (should_compare(a, hall, config, clk_ns(a->clk)))
+		sync_compare(&a->sync, from, config);
 }
 
 static void
-take_hello(struct agent *a, const struct msg *m)
+handle_status(struct agent *a, const struct msg *m)
 {
 	const struct msg_hello *h = &m->u.hello;
 
 	gossip_take_hello(a->gossip, m->from, h);
-	take_holds(a, m->from, h->self.hall, &h->holds);
+	handle_config(a, m->from, h->self.hall, &h->holds);
 	agent_gate_tell_ready(a);
 	agent_gate_members_soon(a);
-	on_due(a);
+	run_gossip(a);
 }
 
 static void
-take_beat(struct agent *a, const struct msg *m)
+handle_heartbeat(struct agent *a, const struct msg *m)
 {
 	const struct msg_beat *b = &m->u.beat;
 	const struct memb_member *member;
@@ -234,17 +237,17 @@
 	gossip_take_beat(a->gossip, m->from, b);
 	member = memb_find(a->memb, b->box);
 	if (member != NULL)
-		take_holds(a, m->from, member->info.hall, &b->holds);
+		handle_config(a, m->from, member->info.hall, &b->holds);
 	agent_gate_tell_ready(a);
-	on_due(a);
+	run_gossip(a);
 }
 
 static void
-take_members(struct agent *a, const struct msg_members *list)
+handle_members(struct agent *a, const struct msg_members *list)
 {
 	gossip_take_members(a->gossip, list);
 	agent_gate_members_soon(a);
-	on_due(a);
+	run_gossip(a);
 }
 
 void
@@ -257,7 +260,7 @@
 	agent_box_tick(a);
 }
 
-/* Tell the others that the platform does, or does not, answer us. */
+/* Announces to other boxes whether the platform answers this box. */
 void
 agent_peer_blind(struct agent *a, bool blind)
 {
@@ -267,35 +270,35 @@
 }
 
 /*
- * Our gate serves now, and may be home: all whom it concerns are told at once.
- * Left to the next hellos, each box takes itself for home of everything for a
- * second after a fault that took all of them, and they crowd the backend
- * servers.
+ * Announces at once that the gate serves and may own services.  If this were
+ * left to the periodic status messages, then after a loss of all boxes each box
+ * would take itself for the owner of all services for a second, and together
+ * they would overload the backend servers.
  */
 void
 agent_peer_ready(struct agent *a)
 {
 	gossip_announce(a->gossip, false);
-	on_due(a);
+	run_gossip(a);
 }
 
 void
 agent_peer_leave(struct agent *a)
 {
-	slog(SLOG_PEER, "tells the other boxes that this one leaves",
-	    "boxes=%zu", memb_count_alive(a->memb));
+	slog(SLOG_PEER, "box announces that it is leaving", "boxes=%zu",
+	    memb_count_alive(a->memb));
 	memb_self(a->memb)->leaving = true;
 	memb_changed(a->memb);
 	gossip_announce(a->gossip, true);
 	agent_box_status_soon(a);
 }
 
-/* Our gate got no answer of another one. */
+/* The gate got no answer from the gate of another box; probes that box. */
 void
 agent_peer_doubt(struct agent *a, struct str box)
 {
 	gossip_doubt(a->gossip, box);
-	on_due(a);
+	run_gossip(a);
 }
 
 void
@@ -305,10 +308,10 @@
 
 	switch (m->kind) {
 	case MSG_HELLO:
-		take_hello(a, m);
+		handle_status(a, m);
 		break;
 	case MSG_BEAT:
-		take_beat(a, m);
+		handle_heartbeat(a, m);
 		break;
 	case MSG_SUSPECTS:
 		agent_poison_take(a, &m->u.suspects);
@@ -317,7 +320,7 @@
 		agent_gate_take(a, m);
 		break;
 	case MSG_MEMBERS:
-		take_members(a, &m->u.members);
+		handle_members(a, &m->u.members);
 		break;
 	case MSG_HEALTH:
 		agent_probe_take(a, &m->u.health);
--- a/agent_poison.c
+++ b/agent_poison.c
@@ -14,19 +14,20 @@
 #include "poison_msg.h"
 
 /*
- * Requests that are refused because they end backend servers, kept in the
- * box's status on the platform: after a loss of all boxes nobody else could
- * tell those that start.  All boxes read all statuses when they start, so that
- * this costs a write for each request that is proved, and no call besides.
+ * Stores the requests that are refused because they crash backend servers in
+ * the box's status on the platform, so that they outlive a loss of all boxes.
+ * Each box reads all statuses when it starts, so that this costs one write for
+ * each request that is proved, and no other call.
  *
- * A status has them as hexadecimal texts, and the time of the last end in
- * seconds since 1970: in ms it would seem to change from look to look.
+ * A status has fingerprints and trial ids as hexadecimal strings, and the time
+ * of the last crash in seconds since 1970.  In ms that time would vary with
+ * rounding, and an unchanged status would seem to differ from the written one.
  */
 
-enum { HEX_SIZE = 17, HEX_BASE = 16, MS_A_SECOND = 1000 };
+enum { HEX_SIZE = 17, HEX_BASE = 16, MS_PER_S = 1000 };
 
 static uint64_t
-hex_of(const json_t *o, const char *key)
+get_hex(const json_t *o, const char *key)
 {
 	const char *text = json_string_value(json_object_get(o, key));
 
@@ -49,7 +50,7 @@
 }
 
 static void
-tell_gate(struct agent *a)
+send_to_gate(struct agent *a)
 {
 	struct msg_suspect items[POISON_WORDS];
 	struct msg m = {.kind = MSG_SUSPECTS};
@@ -60,7 +61,7 @@
 		wire_send(a->wire, a->set.gate_inbox, &m);
 }
 
-/* Our gate has proved something, by trials of its own. */
+/* Merges records of the gate, which has proved a request by its own trials. */
 void
 agent_poison_take(struct agent *a, const struct msg_suspects *m)
 {
@@ -70,7 +71,7 @@
 }
 
 static json_t *
-word_spec(struct agent *a, const struct poison_word *w)
+record_to_json(struct agent *a, const struct poison_word *w)
 {
 	int64_t ago = (clk_ns(a->clk) - w->ended) / NS_MS;
 	int64_t ended = clk_wall_ms(a->clk) - ago;
@@ -81,22 +82,26 @@
 	add_hex(o, "caller", w->print.caller);
 	add_hex(o, "first", w->trials[0]);
 	add_hex(o, "second", w->trials[1]);
-	json_object_set_new(o, "ended_s",
-	    json_integer((ended + MS_A_SECOND / 2) / MS_A_SECOND));
+	json_object_set_new(
+	    o, "ended_s", json_integer((ended + MS_PER_S / 2) / MS_PER_S));
 	return o;
 }
 
-/* What is proved, for our status; NULL if there is nothing. */
+/*
+ * Returns the proved requests as a JSON array for the status, which the caller
+ * owns; NULL if there are none.
+ */
 json_t *
 agent_poison_spec(struct agent *a)
 {
-	struct poison_word words[POISON_WORDS];
-	unsigned i, n = poison_words(a->poison, words);
+	struct poison_word records[POISON_WORDS];
+	unsigned i, n = poison_words(a->poison, records);
 	json_t *list = json_array();
 
 	for (i = 0; i < n; i++)
-		if (poison_look(a->poison, words[i].print) == POISON_PROVED)
-			json_array_append_new(list, word_spec(a, &words[i]));
+		if (poison_look(a->poison, records[i].print) == POISON_PROVED)
+			json_array_append_new(
+			    list, record_to_json(a, &records[i]));
 	if (json_array_size(list) > 0)
 		return list;
 	json_decref(list);
@@ -104,14 +109,14 @@
 }
 
 static void
-take_word(struct agent *a, const json_t *o)
+merge_json(struct agent *a, const json_t *o)
 {
 	int64_t now = clk_ns(a->clk);
 	int64_t at = json_integer_value(json_object_get(o, "ended_s"));
-	int64_t ago = clk_wall_ms(a->clk) - at * MS_A_SECOND;
+	int64_t ago = clk_wall_ms(a->clk) - at * MS_PER_S;
 	struct poison_word w = {
-	    .print = {hex_of(o, "hi"), hex_of(o, "lo"), hex_of(o, "caller")},
-	    .trials = {hex_of(o, "first"), hex_of(o, "second")}};
+	    .print = {get_hex(o, "hi"), get_hex(o, "lo"), get_hex(o, "caller")},
+	    .trials = {get_hex(o, "first"), get_hex(o, "second")}};
 
 	if (at <= 0 || ago >= POISON_HOLD_NS / NS_MS)
 		return;
@@ -119,7 +124,7 @@
 	poison_take(a->poison, &w);
 }
 
-/* The platform listed a box, and what it had proved. */
+/* Merges the records in the listed status of a box; `list` may be NULL. */
 void
 agent_poison_listed(struct agent *a, const json_t *list)
 {
@@ -127,13 +132,13 @@
 	size_t i;
 
 	json_array_foreach (list, i, o)
-		take_word(a, o);
+		merge_json(a, o);
 }
 
-/* The whole list has been read: our gate is told before it serves. */
+/* Called after the whole list of boxes was read, before the gate may serve. */
 void
 agent_poison_tell(struct agent *a)
 {
 	poison_tick(a->poison);
-	tell_gate(a);
+	send_to_gate(a);
 }
--- a/agent_probe.c
+++ b/agent_probe.c
@@ -14,24 +14,26 @@
 #include "slog.h"
 
 /*
- * Probes of backend servers, what other boxes found, and what of both is told
- * on.
+ * Probes backend servers, sends the results to other boxes and to the gate, and
+ * stores the results of other boxes.
  */
 
+/* Interval at which the list of targets is updated. */
 #define TARGETS_NS (1 * NS_S)
+/* Interval at which servers that are down or draining are sent again. */
 #define HEALTH_AGAIN_NS (10 * NS_S)
 #define PROBE_TIMEOUT_NS (1 * NS_S)
-/* What nobody has said again for so long is no longer held against one. */
+/* A state that was not sent again for this time expires. */
 #define HEALTH_KEEP_MS 35000
 
-/* What is thought of a backend server, by us or by the box that probes it. */
-struct agent_health {
+/* State of a backend server, by probes of this box or of another one. */
+struct health {
 	enum msg_state state;
 	uint64_t at_ms;
 };
 
-/* One probe under way. */
-struct flight {
+/* One probe in flight. */
+struct probe_call {
 	struct agent *agent;
 	struct str backend;
 	struct up_call *call;
@@ -39,24 +41,24 @@
 	enum probe_found found;
 };
 
-static void start_probe(void *, struct str, struct str, struct str);
-static void on_changed(void *, struct str, enum msg_state);
+static void on_probe_start(void *, struct str, struct str, struct str);
+static void on_state_changed(void *, struct str, enum msg_state);
 static void
 on_head(void *, struct up_call *, int, const h2o_header_t *, size_t);
 static void on_end(void *, struct up_call *);
 static void on_fail(void *, struct up_call *, enum err_kind);
 static void on_timeout(void *);
-static void land(struct flight *, enum probe_found);
-static void remember(struct agent *, struct str, enum msg_state, uint64_t);
-static void want_service(void *, const struct route_service *);
+static void finish_probe(struct probe_call *, enum probe_found);
+static void store_state(struct agent *, struct str, enum msg_state, uint64_t);
+static void add_service_targets(void *, const struct route_service *);
 
-static const struct up_ops probe_flight_ops = {
+static const struct up_ops probe_call_ops = {
     up_ignore, on_head, up_skip_body, on_end, on_fail};
 
 void
 agent_probe_open(struct agent *a)
 {
-	struct probe_ops ops = {start_probe, on_changed, a};
+	struct probe_ops ops = {on_probe_start, on_state_changed, a};
 
 	a->probe = probe_new(&ops, a->rnd, (double)a->set.probe_rate);
 	a->health =
@@ -64,63 +66,64 @@
 }
 
 static void
-start_probe(void *ctx, struct str backend, struct str address, struct str path)
+on_probe_start(
+    void *ctx, struct str backend, struct str address, struct str path)
 {
 	struct agent *a = ctx;
-	struct flight *f = g_new0(struct flight, 1);
+	struct probe_call *pc = g_new0(struct probe_call, 1);
 	struct up_request rq = {.address = address,
 	    .method = STR_LIT("GET"),
 	    .path = path,
 	    .host = address};
 
-	f->agent = a;
-	f->backend = str_dup(backend);
-	tmr_set(&a->tmr, &f->timer, clk_ns(a->clk) + PROBE_TIMEOUT_NS,
-	    on_timeout, f);
-	f->call = up_start(a->up, &rq, &probe_flight_ops, f);
+	pc->agent = a;
+	pc->backend = str_dup(backend);
+	tmr_set(&a->tmr, &pc->timer, clk_ns(a->clk) + PROBE_TIMEOUT_NS,
+	    on_timeout, pc);
+	pc->call = up_start(a->up, &rq, &probe_call_ops, pc);
 }
 
 static void
-land(struct flight *f, enum probe_found found)
+finish_probe(struct probe_call *pc, enum probe_found found)
 {
-	struct agent *a = f->agent;
+	struct agent *a = pc->agent;
 
-	tmr_clear(&a->tmr, &f->timer);
-	probe_result(a->probe, f->backend, found, clk_ns(a->clk));
-	str_free(&f->backend);
-	g_free(f);
+	tmr_clear(&a->tmr, &pc->timer);
+	probe_result(a->probe, pc->backend, found, clk_ns(a->clk));
+	str_free(&pc->backend);
+	g_free(pc);
 }
 
 static void
 on_timeout(void *ctx)
 {
-	struct flight *f = ctx;
+	struct probe_call *pc = ctx;
 
-	up_cancel(f->call);
-	land(f, PROBE_FAILED);
+	up_cancel(pc->call);
+	finish_probe(pc, PROBE_FAILED);
 }
 
 static void
 on_head(void *ctx, struct up_call *call, int status,
     const h2o_header_t *headers, size_t n)
 {
-	struct flight *f = ctx;
+	struct probe_call *pc = ctx;
 	struct dial_word word;
 
 	(void)call;
-	f->found = status < 400 ? PROBE_OK : PROBE_FAILED;
-	f->agent->form->dial->word(status, headers, n, &word);
+	pc->found = status < 400 ? PROBE_OK : PROBE_FAILED;
+	pc->agent->form->dial->word(status, headers, n, &word);
 	if (word.leaves)
-		f->found = PROBE_DRAINING;
+		pc->found = PROBE_DRAINING;
 }
 
 static void
 on_end(void *ctx, struct up_call *call)
 {
-	struct flight *f = ctx;
+	struct probe_call *pc = ctx;
 
 	(void)call;
-	land(f, f->found);
+	finish_probe(pc, pc->found);
 }
 
 static void
@@ -128,35 +131,35 @@
 {
 	(void)call;
 	(void)kind;
-	land(ctx, PROBE_FAILED);
+	finish_probe(ctx, PROBE_FAILED);
 }
 
 static void
-remember(
+store_state(
     struct agent *a, struct str backend, enum msg_state state, uint64_t at_ms)
 {
 	char *key = g_strndup(backend.p, backend.n);
-	struct agent_health *h = g_hash_table_lookup(a->health, key);
+	struct health *health = g_hash_table_lookup(a->health, key);
 
-	if (h == NULL) {
-		h = g_new0(struct agent_health, 1);
-		g_hash_table_insert(a->health, g_strdup(key), h);
+	if (health == NULL) {
+		health = g_new0(struct health, 1);
+		g_hash_table_insert(a->health, g_strdup(key), health);
 	}
 	g_free(key);
-	if (at_ms < h->at_ms)
+	if (at_ms < health->at_ms)
 		return;
-	h->state = state;
-	h->at_ms = at_ms;
+	health->state = state;
+	health->at_ms = at_ms;
 }
 
 static void
-tell(struct agent *a, struct str backend, enum msg_state state, bool all)
+send_state(struct agent *a, struct str backend, enum msg_state state, bool all)
 {
 	struct msg_state_of st = {
 	    backend, state, (uint64_t)clk_wall_ms(a->clk)};
 	struct msg m = {.kind = MSG_HEALTH};
 
-	remember(a, backend, state, st.at_ms);
+	store_state(a, backend, state, st.at_ms);
 	m.u.health.states.items = &st;
 	m.u.health.states.n = 1;
 	wire_send(a->wire, a->set.gate_inbox, &m);
@@ -165,17 +168,17 @@
 }
 
 static void
-on_changed(void *ctx, struct str backend, enum msg_state state)
+on_state_changed(void *ctx, struct str backend, enum msg_state state)
 {
 	static const char *const names[] = {
 	    "unknown", "up", "down", "draining"};
 
-	slog(SLOG_PROBE, "backend server by probes", "backend=%.*s state=%s",
-	    STR_ARG(backend), names[state]);
-	tell(ctx, backend, state, true);
+	slog(SLOG_PROBE, "backend server changed state by probes",
+	    "backend=%.*s state=%s", STR_ARG(backend), names[state]);
+	send_state(ctx, backend, state, true);
 }
 
-/* Passed on to the gate unless we know something newer. */
+/* Stores states from another box, unless older, and forwards them. */
 void
 agent_probe_take(struct agent *a, const struct msg_health *health)
 {
@@ -184,7 +187,7 @@
 	size_t i;
 
 	for (i = 0; i < health->states.n; i++)
-		remember(
+		store_state(
 		    a, st[i].backend, (enum msg_state)st[i].state, st[i].at_ms);
 	m.u.health = *health;
 	wire_send(a->wire, a->set.gate_inbox, &m);
@@ -193,44 +196,45 @@
 void
 agent_probe_tell_gate(struct agent *a)
 {
-	const struct agent_health *h;
+	const struct health *health;
 	GHashTableIter it;
 	gpointer key, value;
 
 	g_hash_table_iter_init(&it, a->health);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
-		h = value;
-		tell(a, str_c(key), h->state, false);
+		health = value;
+		send_state(a, str_c(key), health->state, false);
 	}
 }
 
 /*
- * One hub of a hall probes each backend server there; where a hall has none,
- * one of all hubs does.
+ * Returns whether this box probes a backend server.  One hub of its hall does;
+ * if the hall has no hub, one of all hubs.
  */
 static bool
 is_prober(struct agent *a, struct str backend, struct str hall)
 {
 	const struct memb_info *hubs[MEMB_HUBS];
-	bool served = memb_hubs(a->memb, hall, hubs) > 0;
+	bool has_hubs = memb_hubs(a->memb, hall, hubs) > 0;
 
-	return memb_is_first(a->memb, backend, served ? hall : str_c(NULL), 1);
+	return memb_is_first(
+	    a->memb, backend, has_hubs ? hall : str_c(NULL), 1);
 }
 
 static void
-want_service(void *ctx, const struct route_service *svc)
+add_service_targets(void *ctx, const struct route_service *svc)
 {
 	struct agent *a = ctx;
 	int64_t now = clk_ns(a->clk);
-	const struct route_hall *h;
+	const struct route_hall *hall;
 	unsigned i, j;
 
 	for (i = 0; i < svc->nhalls; i++) {
-		h = &svc->halls[i];
-		for (j = 0; j < h->n; j++)
-			if (is_prober(a, h->backends[j].name, h->hall))
-				probe_want(a->probe, h->backends[j].name,
-				    h->backends[j].address,
+		hall = &svc->halls[i];
+		for (j = 0; j < hall->n; j++)
+			if (is_prober(a, hall->backends[j].name, hall->hall))
+				probe_want(a->probe, hall->backends[j].name,
+				    hall->backends[j].address,
 				    svc->obj->probe_path,
 				    svc->obj->probe_ms * NS_MS, now);
 	}
@@ -245,33 +249,37 @@
 		a->targets_dirty = false;
 	}
 	probe_begin(a->probe);
-	route_each(a->routes, want_service, a);
+	route_each(a->routes, add_service_targets, a);
 	probe_commit(a->probe);
 }
 
 static void
-tell_again(void *ctx, struct str backend, enum msg_state state)
+resend_state(void *ctx, struct str backend, enum msg_state state)
 {
 	if (state == STATE_DOWN || state == STATE_DRAINING)
-		tell(ctx, backend, state, true);
+		send_state(ctx, backend, state, true);
 }
 
-/* Nobody says any more that it is down: it may be tried again. */
+/*
+ * A state that is no longer confirmed expires, so that the gate may use a
+ * backend server that was down again.
+ */
 static void
-forget_old(struct agent *a)
+expire_states(struct agent *a)
 {
 	uint64_t now = (uint64_t)clk_wall_ms(a->clk);
-	struct agent_health *h;
+	struct health *health;
 	GHashTableIter it;
 	gpointer key, value;
 
 	g_hash_table_iter_init(&it, a->health);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
-		h = value;
-		if (now - h->at_ms < HEALTH_KEEP_MS)
+		health = value;
+		if (now - health->at_ms < HEALTH_KEEP_MS)
 			continue;
-		if (h->state == STATE_DOWN || h->state == STATE_DRAINING)
-			tell(a, str_c(key), STATE_UNKNOWN, false);
+		if (health->state == STATE_DOWN ||
+		    health->state == STATE_DRAINING)
+			send_state(a, str_c(key), STATE_UNKNOWN, false);
 		else
 			g_hash_table_iter_remove(&it);
 	}
@@ -288,8 +296,8 @@
 	}
 	if (now - a->health_at > HEALTH_AGAIN_NS) {
 		a->health_at = now;
-		probe_each(a->probe, tell_again, a);
-		forget_old(a);
+		probe_each(a->probe, resend_state, a);
+		expire_states(a);
 	}
 	probe_tick(a->probe, now);
 }
--- a/agent_push.c
+++ b/agent_push.c
@@ -11,29 +11,30 @@
 #include "libagent.h"
 #include "spread.h"
 
-/* Messages to many boxes; spread.c has who hands a change on to whom. */
+/* Messages to many boxes; spread.c decides which box forwards to which. */
 
 enum {
-	PUSH_SMALL_MAX = 8192, /* bytes of an object that several push */
+	/* Bytes; larger objects are sent by fewer hubs. */
+	SMALL_OBJECT_MAX = 8192,
 	/*
-	 * A hub that has heard of more changes at once was cut off, and its
-	 * leaves know them from other hubs.
+	 * More changes at once are not forwarded: the hub was disconnected,
+	 * and its leaves have them from other hubs.
 	 */
 	FORWARD_MAX = 128
 };
 
-/* Changes of one origin, written down once. */
+/* Encoded changes of one origin. */
 struct changes {
 	struct sync_pack *small, *large; /* rules */
 	struct sync_pack *backends;
 };
 
-/* The changes that are on their way out. */
+/* The changes of one turn of the loop. */
 struct push {
 	struct agent *agent;
-	struct changes told; /* by the platform */
-	struct changes heard; /* of other boxes */
-	unsigned nheard;
+	struct changes from_platform;
+	struct changes from_boxes;
+	unsigned nfrom_boxes;
 };
 
 static void on_push(void *);
@@ -45,8 +46,8 @@
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-/* A message to many boxes. */
-struct many {
+/* Context of send_one(). */
+struct broadcast {
 	struct agent *agent;
 	struct msg *msg;
 };
@@ -54,17 +55,17 @@
 static void
 send_one(void *ctx, const struct memb_member *m)
 {
-	struct many *many = ctx;
+	struct broadcast *broadcast = ctx;
 
-	wire_send(many->agent->wire, m->info.inbox, many->msg);
+	wire_send(broadcast->agent->wire, m->info.inbox, broadcast->msg);
 }
 
 void
 agent_push_all(struct agent *a, struct msg *msg)
 {
-	struct many many = {a, msg};
+	struct broadcast broadcast = {a, msg};
 
-	memb_each(a->memb, send_one, &many);
+	memb_each(a->memb, send_one, &broadcast);
 }
 
 static void
@@ -77,7 +78,7 @@
 
 	if (small)
 		sync_pack_send(&a->sync, c->small, inbox);
-	/* A weak box holds no backend servers: agent_scope.c. */
+	/* Weak boxes store no backend servers; see agent_scope.c. */
 	if (small && (to->strong || !agent_scope_divides(a)))
 		sync_pack_send(&a->sync, c->backends, inbox);
 	if (spread_to(a->memb, to, origin, true))
@@ -89,17 +90,18 @@
 {
 	struct push *p = ctx;
 
-	send_changes(p, &p->told, SPREAD_TOLD, m);
-	if (p->nheard <= FORWARD_MAX)
-		send_changes(p, &p->heard, SPREAD_HEARD, m);
+	send_changes(p, &p->from_platform, SPREAD_TOLD, m);
+	if (p->nfrom_boxes <= FORWARD_MAX)
+		send_changes(p, &p->from_boxes, SPREAD_HEARD, m);
 }
 
 /*
- * A box that has just started reads what all know, and leaves only read.  Each
- * box would else send a whole configuration to its hall after a loss of all.
+ * Only a hub that has a complete configuration forwards changes.  A box that
+ * has just started reads objects that the others have already; after a loss of
+ * all boxes, each would otherwise send a whole configuration to its hall.
  */
 static bool
-tells_others(struct agent *a)
+forwards_changes(struct agent *a)
 {
 	return gossip_settled(a->gossip) && agent_is_complete(a) &&
 	    memb_is_hub(a->memb, a->set.box);
@@ -122,30 +124,32 @@
 }
 
 static void
-add_change(const struct conf_entry *e, struct changes *c)
+pack_change(const struct conf_entry *e, struct changes *c)
 {
 	if (e->kind == OBJ_BACKEND)
 		sync_pack_add(c->backends, e);
-	else if (sync_pack_add(c->small, e) > PUSH_SMALL_MAX &&
+	else if (sync_pack_add(c->small, e) > SMALL_OBJECT_MAX &&
 	    e->bad_version == 0)
 		sync_pack_move_last(c->small, c->large);
 }
 
 static void
-gather_unsent(struct push *p)
+collect_unsent(struct push *p)
 {
 	struct agent *a = p->agent;
 	const struct conf_entry *e;
 	GHashTableIter it;
-	gpointer key, told;
+	gpointer key, from_platform;
 
 	g_hash_table_iter_init(&it, a->unsent);
-	while (g_hash_table_iter_next(&it, &key, &told)) {
+	while (g_hash_table_iter_next(&it, &key, &from_platform)) {
 		e = conf_get(a->conf, str_c(key));
 		if (e == NULL)
 			continue;
-		add_change(e, GPOINTER_TO_INT(told) ? &p->told : &p->heard);
-		p->nheard += !GPOINTER_TO_INT(told);
+		pack_change(e,
+		    GPOINTER_TO_INT(from_platform) ? &p->from_platform
+						   : &p->from_boxes);
+		p->nfrom_boxes += !GPOINTER_TO_INT(from_platform);
 	}
 }
 
@@ -157,34 +161,34 @@
 	sync_pack_send(&a->sync, c->large, a->set.gate_inbox);
 }
 
-/* What has changed goes out in few messages, written down once. */
+/* Encodes the unsent changes once and sends them in few messages. */
 static void
 on_push(void *ctx)
 {
 	struct agent *a = ctx;
 	struct push p = {.agent = a};
 
-	changes_open(&p.told);
-	changes_open(&p.heard);
-	gather_unsent(&p);
+	changes_open(&p.from_platform);
+	changes_open(&p.from_boxes);
+	collect_unsent(&p);
 	g_hash_table_remove_all(a->unsent);
 	if (!a->shares_conf) {
-		send_to_gate(a, &p.told);
-		send_to_gate(a, &p.heard);
+		send_to_gate(a, &p.from_platform);
+		send_to_gate(a, &p.from_boxes);
 	}
-	if (tells_others(a))
+	if (forwards_changes(a))
 		memb_each(a->memb, push_one, &p);
-	changes_free(&p.told);
-	changes_free(&p.heard);
+	changes_free(&p.from_platform);
+	changes_free(&p.from_boxes);
 }
 
-/* A change is to be told; those of one turn of the loop go out together. */
+/* Queues a change; all changes of one turn of the loop are sent together. */
 void
 agent_push_change(struct agent *a, const struct conf_entry *e)
 {
 	if (a->unattended && a->from_platform)
 		gossip_hurry(a->gossip);
-	if (a->shares_conf && !tells_others(a))
+	if (a->shares_conf && !forwards_changes(a))
 		return;
 	g_hash_table_insert(
 	    a->unsent, g_strdup(e->key.p), GINT_TO_POINTER(a->from_platform));
--- a/agent_scope.c
+++ b/agent_scope.c
@@ -12,20 +12,20 @@
 #include "slog.h"
 
 /*
- * What a box holds of the configuration.  A weak box is home of nothing: it
- * passes requests to homes, for which the rules are enough.  So it neither
- * lists backend servers nor is told of them, which is most of what a start of
- * all boxes takes it: on boxes of a tenth of a processor, with 719 backend
- * servers, a list of them takes 0.3 s and 3 MB.
+ * Which parts of the configuration a box stores.  A weak box, one with much
+ * less processor time than the strongest of its hall, owns no services: it
+ * forwards requests to their owners, and needs only the rules for that.  So it
+ * neither lists nor receives backend servers.  On a box with a tenth of a
+ * processor a list of 719 backend servers takes 0.3 s and 3 MB, which would be
+ * most of the work at a start of all boxes.
  *
- * Whether a box is weak it learns from the platform's list of boxes.  Where
- * the platform lists backend servers together with all else, all boxes hold
- * all.
+ * A box learns from the platform's list of boxes whether it is weak.  If the
+ * platform does not list backend servers separately, all boxes store all parts.
  */
 
-/* The feed that lists backend servers only; NULL if there is none. */
+/* Returns the feed that lists backend servers only; NULL if there is none. */
 static struct agent_feed *
-backends_feed(struct agent *a)
+find_backends_feed(struct agent *a)
 {
 	unsigned i;
 
@@ -38,19 +38,20 @@
 bool
 agent_scope_divides(struct agent *a)
 {
-	return backends_feed(a) != NULL;
+	return find_backends_feed(a) != NULL;
 }
 
-/* Is a feed of use to a box of our scope, as far as that is known? */
+/* Returns whether this box needs a feed, by its scope as far as known. */
 bool
 agent_scope_has(struct agent *a, const struct agent_feed *f)
 {
-	return f != backends_feed(a) || a->scope == SCOPE_ALL;
+	return f != find_backends_feed(a) || a->scope == SCOPE_ALL;
 }
 
 /*
- * Until it is known, a box takes no backend servers: the few that it would hear
- * of meanwhile would stay, and lead its requests to the halls that they are in.
+ * A box accepts no backend servers until its scope is known.  The few that it
+ * would receive until then would stay, and its requests would all go to the
+ * halls of these few.
  */
 void
 agent_scope_open(struct agent *a)
@@ -59,7 +60,7 @@
 }
 
 static void
-enter(struct agent *a, enum agent_scope scope)
+set_scope(struct agent *a, enum agent_scope scope)
 {
 	if (a->scope == scope)
 		return;
@@ -67,24 +68,24 @@
 	a->sync.partial = scope != SCOPE_ALL;
 	slog(SLOG_AGENT, "knows what to hold", "backends=%d",
 	    scope == SCOPE_ALL);
-	if (scope == SCOPE_ALL && backends_feed(a) != NULL)
-		agent_watch_now(backends_feed(a));
+	if (scope == SCOPE_ALL && find_backends_feed(a) != NULL)
+		agent_watch_now(find_backends_feed(a));
 	agent_gate_tell_ready(a);
 }
 
-/* Boxes have come or gone, or time has passed: what do we hold now? */
+/* Updates the scope after a change of the members, and at intervals. */
 void
 agent_scope_look(struct agent *a)
 {
 	if (a->scope == SCOPE_ALL)
 		return;
 	if (!agent_scope_divides(a))
-		enter(a, SCOPE_ALL);
+		set_scope(a, SCOPE_ALL);
 	else if (gossip_knows_power(a->gossip))
-		enter(a, memb_is_strong(a->memb) ? SCOPE_ALL : SCOPE_RULES);
+		set_scope(a, memb_is_strong(a->memb) ? SCOPE_ALL : SCOPE_RULES);
 }
 
-/* Have we seen complete lists of all that we hold? */
+/* Returns whether complete lists of all parts in the scope have been seen. */
 bool
 agent_is_complete(const struct agent *a)
 {
--- a/agent_stat.c
+++ b/agent_stat.c
@@ -10,7 +10,7 @@
  */
 #include "libagent.h"
 
-/* The agent's counters and its admin page. */
+/* The agent's counters and gauges, and the page /metrics. */
 
 static const struct cnt_desc descs[AC_MAX] = {
     [AC_PLATFORM_CALLS] = {"fern_platform_calls_total",
@@ -59,9 +59,9 @@
 }
 
 static void
-refresh(struct agent *a)
+update_counters(struct agent *a)
 {
-	const struct wire_totals *lc = wire_counts(a->wire);
+	const struct wire_totals *totals = wire_counts(a->wire);
 
 	cnt_set(a->cnt, AC_MEMBERS, memb_count_alive(a->memb));
 	cnt_set(a->cnt, AC_OBJECTS, conf_count(a->conf));
@@ -69,10 +69,10 @@
 	cnt_set(a->cnt, AC_PROBES, probe_started(a->probe));
 	cnt_set(a->cnt, AC_PROBES_PUT_OFF, probe_put_off(a->probe));
 	cnt_set(a->cnt, AC_PROBE_TARGETS, probe_count(a->probe));
-	cnt_set(a->cnt, AC_CONTROL_IN, lc->bytes_in);
-	cnt_set(a->cnt, AC_CONTROL_OUT, lc->bytes_out);
-	cnt_set(a->cnt, AC_CONTROL_DROPPED, lc->dropped);
-	cnt_set(a->cnt, AC_MALFORMED, lc->malformed);
+	cnt_set(a->cnt, AC_CONTROL_IN, totals->bytes_in);
+	cnt_set(a->cnt, AC_CONTROL_OUT, totals->bytes_out);
+	cnt_set(a->cnt, AC_CONTROL_DROPPED, totals->dropped);
+	cnt_set(a->cnt, AC_MALFORMED, totals->malformed);
 	cnt_set(a->cnt, AC_CONF_AGE, (uint64_t)MAX(sync_age_ms(&a->sync), 0));
 }
 
@@ -86,7 +86,7 @@
 		hsrv_answer(req, 404, "text/plain", str_c("pages: /metrics\n"));
 		return;
 	}
-	refresh(a);
+	update_counters(a);
 	out = g_string_new(NULL);
 	cnt_print(a->cnt, out);
 	hsrv_answer(
--- a/agent_watch.c
+++ b/agent_watch.c
@@ -12,45 +12,51 @@
 #include "slog.h"
 
 /*
- * Few boxes of the fleet watch the platform; the others learn from them.  A
- * box lists by itself only if it is a watcher, if no peer has given it a
- * complete configuration soon after its start, or while nobody attends to it.
- * All calls to the platform share a budget, a backoff and the belief whether it
- * answers.
+ * Lists and watches of the platform's objects.  Few boxes of the fleet, the
+ * watchers, watch the platform; the others get changes from them.  A box calls
+ * the platform itself if it is a watcher, if no peer has sent it a complete
+ * configuration soon after its start, or while it is unattended: while no hub
+ * that has contact with the platform answers it.
+ *
+ * All calls to the platform share a rate limit, a backoff and one state of
+ * whether the platform answers.
  */
 
 #define BACKOFF_FIRST_NS (250 * NS_MS)
-/* Watches that were cut together are not renewed all at once. */
+/* Spreads the restarts of watches that were closed at the same time. */
 #define CUT_NS (20 * NS_MS)
 /*
- * So long after news came past a watch its own answer is waited for; a slow
- * store takes some 300 ms.
+ * After a change arrived by another way, the watch has this time to return it.
+ * A slow platform takes about 300 ms.
  */
 #define PASSED_NS (1 * NS_S)
-/* What a box that does not watch knows of the platform's outage holds on. */
+/* A box that does not watch assumes that an outage is over after this time. */
 #define BLIND_NS (10 * NS_S)
-/* Boxes that start know each other sooner than that. */
+/* Boxes that start have found each other within this time. */
 #define FIRST_WATCH_NS (1 * NS_S)
-/* Boxes that nobody attends to are many, and ask again this seldom. */
+/* Retry interval of unattended boxes; long, as there may be many of them. */
 #define UNATTENDED_RETRY_NS (4 * NS_S)
 
 enum {
-	LIST_TIMEOUT_MS = 2000, /* a page; a slow store takes some 250 ms */
+	LIST_TIMEOUT_MS = 2000, /* a page; a slow platform takes 250 ms */
 	/*
-	 * Of a hall's boxes so many a second begin to ask where its hubs say
-	 * that the platform does not answer them; one that learns of a change
-	 * tells it to the hubs.
+	 * If the hubs of a hall report that the platform does not answer them,
+	 * this number of its boxes per second start to call the platform.  A
+	 * box that receives a change forwards it to the hubs.
 	 */
 	UNATTENDED_RATE = 4,
 	BACKOFF_SHIFT_MAX = 7
 };
 
-static void watch_soon(struct agent_feed *, int64_t);
-static void on_watch_due(void *);
-static void on_list(void *, enum plat_result, json_t *);
-static void on_watch(void *, enum plat_result, json_t *);
+static void schedule_call(struct agent_feed *, int64_t);
+static void start_next_call(void *);
+static void on_list_done(void *, enum plat_result, json_t *);
+static void on_watch_done(void *, enum plat_result, json_t *);
 
-/* Start a call if the budget has one; NULL if it must be put off. */
+/*
+ * Starts a call to the platform within the rate limit.  Returns NULL if the
+ * limit is reached; the caller then tries again later.
+ */
 struct plat_call *
 agent_call(struct agent *a, const struct plat_request *rq, plat_done_fn *done,
     void *ctx)
@@ -64,7 +70,7 @@
 	return plat_start(a->plat, rq, done, ctx);
 }
 
-/* How long to wait after so many failures in a row. */
+/* Returns the delay in ns after a number of consecutive failures. */
 int64_t
 agent_backoff(struct agent *a, int fails)
 {
@@ -73,26 +79,26 @@
 	return rnd_jitter(a->rnd, MIN(ns, a->set.retry_ms * NS_MS));
 }
 
-/* What was left to the first feed's calls goes on. */
+/* After an outage, restarts the calls of all feeds. */
 static void
-resume_calls(struct agent *a)
+restart_calls(struct agent *a)
 {
 	struct agent_feed *f;
 	unsigned i;
 
 	for (i = 0; i < a->nfeeds; i++) {
 		f = &a->feeds[i];
-		/* A call of before the outage may never be answered. */
+		/* A call from before the outage may never be answered. */
 		if (f->call != NULL)
 			plat_cancel(a->plat, f->call);
 		if (f->call != NULL || (i > 0 && !f->timer.set))
-			watch_soon(f, 0);
+			schedule_call(f, 0);
 		f->call = NULL;
 	}
 	agent_box_resume_calls(a);
 }
 
-/* A call's result tells whether the platform answers. */
+/* Updates the state of the platform by the result of a call. */
 void
 agent_call_ended(struct agent *a, enum plat_result result)
 {
@@ -114,12 +120,13 @@
 		agent_peer_blind(a, !up);
 	a->platform_up = up;
 	if (back)
-		resume_calls(a);
+		restart_calls(a);
 }
 
 /*
- * While the platform is away, the first feed's calls find out when it is
- * back, and all others wait; each call has its price, a refused one too.
+ * Returns whether only the first feed may call the platform.  During an outage
+ * its calls detect that the platform answers again, and all others wait, as
+ * calls are expensive even if they are refused.
  */
 bool
 agent_first_feed_asks(struct agent *a)
@@ -128,7 +135,7 @@
 	    (agent_asks_platform(a) || !agent_is_complete(a));
 }
 
-/* Is our box one of the few that watch the platform for the fleet? */
+/* Returns whether this box is one of the few that watch for the fleet. */
 bool
 agent_is_watcher(struct agent *a)
 {
@@ -137,8 +144,9 @@
 }
 
 /*
- * Must the box find out by itself what changes?  Who watches for the fleet is
- * dealt among strong boxes, and these may all be dead, frozen or refused.
+ * Returns whether this box has to read changes from the platform itself.  An
+ * unattended box has to, as the watchers, which are strong boxes, may all be
+ * dead, frozen or refused by the platform.
  */
 bool
 agent_asks_platform(struct agent *a)
@@ -146,7 +154,7 @@
 	return agent_is_watcher(a) || a->unattended;
 }
 
-/* Boxes that watch for the fleet ask soon again; the others are many. */
+/* Watchers retry soon; unattended boxes rarely, as they may be many. */
 static int64_t
 watch_backoff(struct agent_feed *f)
 {
@@ -158,9 +166,9 @@
 	return agent_backoff(a, fails);
 }
 
-/* The kinds that a feed's text names, as bits. */
+/* Returns the bit mask of comma-separated kinds. */
 static unsigned
-mask_of(const char *kinds)
+parse_kinds(const char *kinds)
 {
 	char **names = g_strsplit(kinds, ",", -1);
 	enum obj_kind kind;
@@ -174,9 +182,9 @@
 	return mask;
 }
 
-/* Watching what cannot be there would cost calls all day. */
+/* A feed without objects on this platform would cost calls for nothing. */
 static bool
-has_feed(const struct agent *a, const char *feed)
+feed_exists(const struct agent *a, const char *feed)
 {
 	return a->form->has_feed == NULL ||
 	    a->form->has_feed(a->set.contracts, feed);
@@ -190,18 +198,21 @@
 
 	a->platform_up = true;
 	for (i = 0; a->form->feeds[i] != NULL; i++) {
-		if (!has_feed(a, a->form->feeds[i]))
+		if (!feed_exists(a, a->form->feeds[i]))
 			continue;
 		g_assert(a->nfeeds < AGENT_FEEDS_MAX);
 		f = &a->feeds[a->nfeeds++];
 		f->agent = a;
 		f->kinds = a->form->feeds[i];
-		f->mask = mask_of(f->kinds);
-		watch_soon(f, rnd_jitter(a->rnd, a->set.first_ms * NS_MS));
+		f->mask = parse_kinds(f->kinds);
+		schedule_call(f, rnd_jitter(a->rnd, a->set.first_ms * NS_MS));
 	}
 }
 
-/* After a pause nothing that we held of the platform is taken for new. */
+/*
+ * Lists everything again after the process was suspended, as the state of the
+ * feeds may be old.
+ */
 void
 agent_watch_resume(struct agent *a)
 {
@@ -214,44 +225,49 @@
 			plat_cancel(a->plat, f->call);
 		f->call = NULL;
 		f->listed_at = 0;
-		watch_soon(f, 0);
+		schedule_call(f, 0);
 	}
 }
 
-/* Nobody attends to the box any more. */
+/*
+ * Starts lists because the box has become unattended.  If the hubs report that
+ * the platform does not answer them, the boxes of the hall start at random
+ * times, UNATTENDED_RATE per second.
+ */
 void
 agent_watch_unattended(struct agent *a)
 {
-	uint64_t crowd = MAX(gossip_crowd(a->gossip), 1), in = 0;
+	uint64_t serving_gates = MAX(gossip_crowd(a->gossip), 1), delay = 0;
 	unsigned i;
 
 	if (gossip_hubs_are_blind(a->gossip))
-		in = rnd_below(a->rnd, crowd * NS_S / UNATTENDED_RATE);
+		delay =
+		    rnd_below(a->rnd, serving_gates * NS_S / UNATTENDED_RATE);
 	for (i = 0; i < a->nfeeds; i++) {
 		if (a->feeds[i].call != NULL)
 			continue;
 		a->feeds[i].listed_at = 0;
-		watch_soon(&a->feeds[i], (int64_t)in);
+		schedule_call(&a->feeds[i], (int64_t)delay);
 	}
 }
 
 void
 agent_watch_now(struct agent_feed *f)
 {
-	watch_soon(f, 0);
+	schedule_call(f, 0);
 }
 
 static void
-watch_soon(struct agent_feed *f, int64_t in)
+schedule_call(struct agent_feed *f, int64_t delay)
 {
 	struct agent *a = f->agent;
 
-	tmr_set(&a->tmr, &f->timer, clk_ns(a->clk) + in, on_watch_due, f);
+	tmr_set(&a->tmr, &f->timer, clk_ns(a->clk) + delay, start_next_call, f);
 }
 
 /*
- * The first list may be a stale one: a watch goes on from its revision, or
- * peers tell what is newer.
+ * The first list may be stale: a watch continues from its revision, or peers
+ * send newer changes.
  */
 static void
 start_list(struct agent_feed *f)
@@ -264,9 +280,9 @@
 	f->copy = rq.stale;
 	f->asked_at = clk_ns(f->agent->clk);
 	f->watches = false;
-	f->call = agent_call(f->agent, &rq, on_list, f);
+	f->call = agent_call(f->agent, &rq, on_list_done, f);
 	if (f->call == NULL)
-		watch_soon(f, rnd_jitter(f->agent->rnd, AGENT_RECHECK_NS));
+		schedule_call(f, rnd_jitter(f->agent->rnd, AGENT_RECHECK_NS));
 }
 
 static void
@@ -280,18 +296,18 @@
 
 	f->asked_at = clk_ns(a->clk);
 	f->watches = true;
-	f->call = agent_call(a, &rq, on_watch, f);
+	f->call = agent_call(a, &rq, on_watch_done, f);
 	if (f->call == NULL)
-		watch_soon(f, rnd_jitter(a->rnd, AGENT_RECHECK_NS));
+		schedule_call(f, rnd_jitter(a->rnd, AGENT_RECHECK_NS));
 }
 
 /*
- * A box that does not watch does not find out when the platform answers again.
- * After a while it counts as one that it answers, so that it watches where too
- * few others can.
+ * A box that does not call the platform cannot detect the end of an outage.
+ * After BLIND_NS it assumes the end, so that it can become a watcher if the
+ * platform answers too few of the others.
  */
 static void
-forget_outage(struct agent *a)
+expire_outage(struct agent *a)
 {
 	if (a->platform_up || clk_ns(a->clk) - a->platform_lost < BLIND_NS)
 		return;
@@ -301,11 +317,12 @@
 }
 
 /*
- * A watch may skip a change, so a watcher lists anew now and then; a list
- * names its revision, so that a stale one does no harm.
+ * Starts the next list or watch of a feed.  A watch may miss a change, so that
+ * a watcher lists again at intervals.  A list has a revision, so that a stale
+ * list does no harm.
  */
 static void
-on_watch_due(void *ctx)
+start_next_call(void *ctx)
 {
 	struct agent_feed *f = ctx;
 	struct agent *a = f->agent;
@@ -317,9 +334,9 @@
 	    (f != &a->feeds[0] && agent_first_feed_asks(a)))
 		return;
 	if (!asks && (f->complete > 0 || agent_is_complete(a))) {
-		forget_outage(a);
+		expire_outage(a);
 		f->listed_at = 0;
-		watch_soon(f, rnd_jitter(a->rnd, AGENT_RECHECK_NS));
+		schedule_call(f, rnd_jitter(a->rnd, AGENT_RECHECK_NS));
 		return;
 	}
 	if (f->listed_at == 0 || f->since == 0 ||
@@ -330,7 +347,7 @@
 }
 
 static const char *
-why_rejected(struct agent *a, const char *key, const GError *err)
+rejection_reason(struct agent *a, const char *key, const GError *err)
 {
 	const struct conf_entry *e = conf_get(a->conf, str_c(key));
 
@@ -340,7 +357,7 @@
 }
 
 static void
-offer(struct agent *a, json_t *o, GHashTable *keys)
+offer_object(struct agent *a, json_t *o, GHashTable *keys)
 {
 	const char *kind = json_string_value(json_object_get(o, "kind"));
 	const char *name = json_string_value(json_object_get(o, "name"));
@@ -348,7 +365,7 @@
 	    (uint64_t)json_integer_value(json_object_get(o, "version"));
 	bool deleted = json_is_true(json_object_get(o, "deleted"));
 	json_t *spec = json_object_get(o, "spec");
-	enum conf_result got = CONF_KNOWN;
+	enum conf_result result = CONF_KNOWN;
 	GError *err = NULL;
 	char *key;
 
@@ -357,18 +374,18 @@
 	key = g_strdup_printf("%s/%s", kind, name);
 	if (!deleted ||
 	    !agent_lapse_hold(a, conf_get(a->conf, str_c(key)), version))
-		got = conf_offer(a->conf, str_c(key), version, deleted, spec,
+		result = conf_offer(a->conf, str_c(key), version, deleted, spec,
 		    a->from_copy ? STR_LIT("platform-copy")
 				 : STR_LIT("platform"),
 		    &err);
-	if (got == CONF_REJECTED)
+	if (result == CONF_REJECTED)
 		slog(SLOG_CONF,
 		    strcmp(kind, obj_kind_name(OBJ_BACKEND)) == 0
-			? "object is rejected, it ends"
-			: "object is rejected, the last good one stays",
+			? "object is rejected, its last version is withdrawn"
+			: "object is rejected, its last valid version stays",
 		    "key=%s version=%llu why=%s", key,
 		    (unsigned long long)version,
-		    slog_quote(why_rejected(a, key, err)));
+		    slog_quote(rejection_reason(a, key, err)));
 	g_clear_error(&err);
 	if (keys != NULL)
 		g_hash_table_add(keys, key);
@@ -376,47 +393,49 @@
 		g_free(key);
 }
 
-/* `copy`: the answer may be stale. */
 static void
-offer_all(struct agent *a, json_t *body, GHashTable *keys, bool copy)
+offer_all(struct agent *a, json_t *body, GHashTable *keys, bool may_be_stale)
 {
 	json_t *objects = json_object_get(body, "objects"), *o;
 	size_t i;
 
 	a->from_platform = true;
-	a->from_copy = copy;
+	a->from_copy = may_be_stale;
 	json_array_foreach (objects, i, o)
-		offer(a, o, keys);
+		offer_object(a, o, keys);
 	a->from_platform = a->from_copy = false;
 }
 
 static uint64_t
-revision_of(json_t *body)
+get_revision(json_t *body)
 {
 	return (uint64_t)json_integer_value(json_object_get(body, "revision"));
 }
 
-/* What a list lacks, and whether that may have lapsed only. */
-struct absent {
+/*
+ * Finds objects that are in force but missing from a list.  Those whose
+ * deletion is held are treated as if they were on the list.
+ */
+struct missing {
 	struct agent_feed *feed;
 	GHashTable *keys;
 	uint64_t revision;
 };
 
 static void
-hold_absent(void *ctx, const struct conf_entry *e)
+hold_missing(void *ctx, const struct conf_entry *e)
 {
-	struct absent *ab = ctx;
+	struct missing *missing = ctx;
 
-	if ((ab->feed->mask >> e->kind & 1) == 0 || e->deleted ||
-	    e->version > ab->revision ||
-	    g_hash_table_contains(ab->keys, e->key.p))
+	if ((missing->feed->mask >> e->kind & 1) == 0 || e->deleted ||
+	    e->version > missing->revision ||
+	    g_hash_table_contains(missing->keys, e->key.p))
 		return;
-	if (agent_lapse_hold(ab->feed->agent, e, ab->revision))
-		g_hash_table_add(ab->keys, g_strdup(e->key.p));
+	if (agent_lapse_hold(missing->feed->agent, e, missing->revision))
+		g_hash_table_add(missing->keys, g_strdup(e->key.p));
 }
 
-/* Has a feed kinds of a part of the configuration? */
+/* Returns whether a feed has kinds of a part of the configuration. */
 static bool
 has_part(const struct agent_feed *f, enum conf_part part)
 {
@@ -425,7 +444,10 @@
 	return (f->mask & (part == CONF_BACKENDS ? backends : ~backends)) != 0;
 }
 
-/* A part's floor is what the lists of all feeds that have it have reached. */
+/*
+ * The floor of a part is the lowest revision of the complete lists of all feeds
+ * that have kinds of it.
+ */
 static void
 raise_floor(struct agent *a, enum conf_part part)
 {
@@ -438,9 +460,12 @@
 	conf_raise_floor(a->conf, part, floor);
 }
 
-/* Is a list at least as new as all complete ones of what is on it? */
+/*
+ * Returns whether a list is at least as new as the floors of the parts that it
+ * covers.
+ */
 static bool
-is_newest(const struct agent_feed *f, uint64_t revision)
+is_up_to_date(const struct agent_feed *f, uint64_t revision)
 {
 	int part;
 
@@ -452,41 +477,42 @@
 	return true;
 }
 
-/* The feed that is asked first has the rules. */
+/* The first feed has the rules; its answers confirm them. */
 static void
-confirm(struct agent_feed *f)
+confirm_rules(struct agent_feed *f)
 {
 	if (f == &f->agent->feeds[0])
 		sync_confirm(&f->agent->sync);
 }
 
 static void
-on_list(void *ctx, enum plat_result result, json_t *body)
+on_list_done(void *ctx, enum plat_result result, json_t *body)
 {
 	struct agent_feed *f = ctx;
 	struct agent *a = f->agent;
-	uint64_t revision = revision_of(body);
-	struct absent ab = {f, NULL, revision};
+	uint64_t revision = get_revision(body);
+	struct missing missing = {f, NULL, revision};
 	bool first = f->complete == 0;
 
 	f->call = NULL;
 	agent_call_ended(a, result);
 	if (result != PLAT_OK ||
 	    !json_is_array(json_object_get(body, "objects"))) {
-		watch_soon(f, watch_backoff(f));
+		schedule_call(f, watch_backoff(f));
 		return;
 	}
 	f->fails = 0;
-	ab.keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	offer_all(a, body, ab.keys, f->copy);
-	conf_each(a->conf, hold_absent, &ab);
+	missing.keys =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	offer_all(a, body, missing.keys, f->copy);
+	conf_each(a->conf, hold_missing, &missing);
 	a->from_platform = true;
-	if (is_newest(f, revision))
-		conf_complete_kinds(a->conf, f->mask, revision, ab.keys);
+	if (is_up_to_date(f, revision))
+		conf_complete_kinds(a->conf, f->mask, revision, missing.keys);
 	a->from_platform = false;
-	g_hash_table_destroy(ab.keys);
+	g_hash_table_destroy(missing.keys);
 	if (!f->copy)
-		confirm(f);
+		confirm_rules(f);
 	f->listed_at = clk_ns(a->clk);
 	f->since = MAX(f->since, revision);
 	f->complete = MAX(f->complete, revision);
@@ -497,12 +523,12 @@
 	    "kinds=%s revision=%llu in_force=%zu copy=%d", f->kinds,
 	    (unsigned long long)revision, conf_count(a->conf), f->copy);
 	agent_box_status_soon(a);
-	/* A weak box that starts hears first whether it must watch at all. */
-	watch_soon(f, first && !agent_asks_platform(a) ? FIRST_WATCH_NS : 0);
+	/* A starting box waits until it is known whether it has to watch. */
+	schedule_call(f, first && !agent_asks_platform(a) ? FIRST_WATCH_NS : 0);
 }
 
 static void
-note_broken(struct agent_feed *f)
+record_broken_watch(struct agent_feed *f)
 {
 	struct agent *a = f->agent;
 
@@ -513,89 +539,89 @@
 }
 
 /*
- * A watch that breaks off says nothing of the platform yet, which may cut those
- * that wait, as it does when it has forgotten its history.  So a list is asked
- * for at once: with the backoff of an outage a change of that moment came half
- * a second later to the whole fleet.  A new watch from where the old one was
- * may wait for seconds before it says that this history is gone.
+ * A broken watch is not yet an outage, as the platform closes waiting watches
+ * when it has lost its history, for example.  So the first failure leads to a
+ * list at once: with the backoff of an outage, a change at that moment reached
+ * the whole fleet half a second later.  A new watch from the old revision could
+ * wait for seconds until the platform reports that the history is gone.
  */
 static void
-on_watch(void *ctx, enum plat_result result, json_t *body)
+on_watch_done(void *ctx, enum plat_result result, json_t *body)
 {
 	struct agent_feed *f = ctx;
 	struct agent *a = f->agent;
 
 	f->call = NULL;
 	if (result == PLAT_DOWN)
-		note_broken(f);
+		record_broken_watch(f);
 	if (result == PLAT_DOWN && f->fails == 0) {
 		f->fails++;
 		f->listed_at = 0;
-		watch_soon(f, rnd_jitter(a->rnd, CUT_NS));
+		schedule_call(f, rnd_jitter(a->rnd, CUT_NS));
 		return;
 	}
 	agent_call_ended(a, result);
 	if (result == PLAT_TOO_OLD) {
 		f->listed_at = 0;
-		watch_soon(f, 0);
+		schedule_call(f, 0);
 		return;
 	}
 	if (result != PLAT_OK) {
-		/* What happened meanwhile is asked for whole. */
+		/* A list then also returns the changes in between. */
 		f->listed_at = 0;
-		watch_soon(f, watch_backoff(f));
+		schedule_call(f, watch_backoff(f));
 		return;
 	}
 	f->fails = 0;
 	slog(SLOG_WATCH, "watched", "kinds=%s revision=%llu changes=%zu",
-	    f->kinds, (unsigned long long)revision_of(body),
+	    f->kinds, (unsigned long long)get_revision(body),
 	    json_array_size(json_object_get(body, "objects")));
 	offer_all(a, body, NULL, false);
-	confirm(f);
-	f->since = MAX(f->since, revision_of(body));
-	/* Changes come in rows; those of a moment are fetched together. */
-	watch_soon(f, a->set.gather_ms * NS_MS);
+	confirm_rules(f);
+	f->since = MAX(f->since, get_revision(body));
+	/* Changes often come in bursts, which one watch then returns. */
+	schedule_call(f, a->set.gather_ms * NS_MS);
 }
 
-/* The watch has had its time to bring what came past it. */
+/* The watch has not returned a change that arrived by another way. */
 static void
-on_passed(void *ctx)
+on_bypass_timeout(void *ctx)
 {
 	struct agent_feed *f = ctx;
 
 	if (f->call == NULL || !f->watches ||
 	    clk_ns(f->agent->clk) - f->asked_at < PASSED_NS)
 		return;
-	note_broken(f);
+	record_broken_watch(f);
 	plat_cancel(f->agent->plat, f->call);
 	f->call = NULL;
-	watch_soon(f, 0);
+	schedule_call(f, 0);
 }
 
 /*
- * Other calls or peers brought what a watch should have: nobody may hear any
- * more on its connection.
+ * A poll or a peer brought a change that the watch should have returned: its
+ * connection may be dead.  The watch gets some time to return it too.
  */
 static void
-wait_for_watch(struct agent_feed *f)
+expect_watch_answer(struct agent_feed *f)
 {
 	struct agent *a = f->agent;
 
 	if (f->call != NULL && f->watches && !f->passed_timer.set)
 		tmr_set(&a->tmr, &f->passed_timer, clk_ns(a->clk) + PASSED_NS,
-		    on_passed, f);
+		    on_bypass_timeout, f);
 }
 
 void
 agent_watch_told(struct agent_feed *f, json_t *body)
 {
-	uint64_t revision = revision_of(body);
+	uint64_t revision = get_revision(body);
 
 	if (json_array_size(json_object_get(body, "objects")) > 0) {
 		offer_all(f->agent, body, NULL, false);
-		wait_for_watch(f);
+		expect_watch_answer(f);
 	}
-	confirm(f);
+	confirm_rules(f);
 	f->since = MAX(f->since, revision);
 }
 
@@ -608,7 +634,7 @@
 		plat_cancel(f->agent->plat, f->call);
 	f->call = NULL;
 	f->listed_at = 0;
-	watch_soon(f, 0);
+	schedule_call(f, 0);
 }
 
 void
@@ -622,6 +648,6 @@
 	for (i = 0; i < a->nfeeds; i++) {
 		f = &a->feeds[i];
 		if ((f->mask >> e->kind & 1) != 0 && e->version > f->since)
-			wait_for_watch(f);
+			expect_watch_answer(f);
 	}
 }
--- a/fernagent.c
+++ b/fernagent.c
@@ -11,16 +11,16 @@
 #include "daemon.h"
 #include "libagent.h"
 
-/* The control of a box as a process of its own. */
+/* Runs the agent of a box as a process of its own, apart from the gate. */
 
 static bool
-load(void *ctx, const char *file, GError **err)
+load_settings(void *ctx, const char *file, GError **err)
 {
 	return agent_load(ctx, file, NULL, err);
 }
 
 static bool
-open_all(void *ctx, GError **err)
+open_agent(void *ctx, GError **err)
 {
 	return agent_open(ctx, err);
 }
@@ -47,8 +47,8 @@
 {
 	static struct agent agent;
 	const struct daemon_ops ops = {"fernagent",
-	    "The control process of a fernjunction box.", load, open_all, run,
-	    &agent};
+	    "The control process of a fernjunction box.", load_settings,
+	    open_agent, run, &agent};
 
 	agent.clk = clk_system();
 	agent.rnd = rnd_system();
--- a/libagent.h
+++ b/libagent.h
@@ -29,7 +29,7 @@
 #include "tmr.h"
 #include "up.h"
 
-/* What fernagent's settings file holds; fernagent(8) describes each key. */
+/* The settings of fernagent; fernagent(8) describes each key. */
 struct agent_set {
 	struct str box;
 	struct str hall;
@@ -39,7 +39,7 @@
 	struct str admin_listen;
 	struct str platform;
 	json_t *seeds;
-	double power; /* share of a processor that the box has */
+	double power; /* number of processors that the box may use */
 	int64_t watchers;
 	int64_t probe_rate;
 	int64_t platform_rate;
@@ -53,39 +53,43 @@
 	int64_t retry_ms;
 	int64_t status_ms;
 	int status_by; /* enum agent_status_by */
-	struct str form; /* the platform's form, by name */
-	struct str contracts; /* what it has, in its own words; empty: all */
+	struct str form; /* name of the platform's API */
+	struct str contracts; /* API parts that exist there; empty: all */
 };
 
-/* What a box holds of the configuration. */
+/* The parts of the configuration that a box stores. */
 enum agent_scope { SCOPE_UNKNOWN, SCOPE_RULES, SCOPE_ALL };
 
-/* Which boxes tell of themselves on the platform. */
+/* Which boxes write their status to the platform. */
 enum agent_status_by { STATUS_BY_ALL, STATUS_BY_HUBS };
 
-/* Kinds of configuration that are listed and watched together. */
+/* A set of object kinds that are listed and watched with the same calls. */
 struct agent_feed {
 	struct agent *agent;
-	const char *kinds; /* joined by commas */
-	unsigned mask; /* a bit 1 << kind for each */
-	struct tmr_item timer;
-	struct plat_call *call;
-	bool watches; /* the call is a watch */
-	bool copy; /* its list may be stale */
-	uint64_t since; /* revision that the watch has reached */
+	const char *kinds; /* comma-separated names */
+	unsigned mask; /* bit 1 << kind is set for each kind */
+	struct tmr_item timer; /* starts the next call */
+	struct plat_call *call; /* in flight; NULL: none */
+	bool watches; /* the call is a watch, not a list */
+	bool copy; /* the list in flight may be stale */
+	uint64_t since; /* revision up to which changes are known */
 	uint64_t complete; /* revision of the last complete list */
-	int64_t listed_at; /* monotonic ns of it; 0: list anew */
-	int64_t asked_at; /* the call on its way; monotonic ns */
-	struct tmr_item passed_timer; /* news came past the watch */
-	int fails; /* calls in a row without an answer */
+	int64_t listed_at; /* its monotonic time, ns; 0: a list is needed */
+	int64_t asked_at; /* start of the last call, monotonic ns */
+	/* Runs after a change arrived by another way than the watch. */
+	struct tmr_item passed_timer;
+	int fails; /* consecutive calls that failed */
 };
 
 enum { AGENT_FEEDS_MAX = 4 };
 
-/* What had to wait, for the budget or for us to watch, looks again after it. */
+/*
+ * Delay before a call that could not start is tried again, because the call
+ * budget was spent or this box does not watch the platform.
+ */
 #define AGENT_RECHECK_NS (1 * NS_S)
 
-/* Counters, in the order of the table in agent_stat.c. */
+/* Counters and gauges; agent_stat.c describes each. */
 enum agent_cnt {
 	AC_PLATFORM_CALLS,
 	AC_PLATFORM_PUT_OFF,
@@ -111,8 +115,8 @@
 
 struct agent {
 	struct agent_set set;
-	char *file; /* of the settings */
-	const char *section; /* its table; NULL: the whole file */
+	char *file;
+	const char *section; /* table in it; NULL: the whole file */
 	struct reload reload;
 	uv_loop_t *loop;
 	const struct clk *clk;
@@ -124,9 +128,9 @@
 	struct wire *wire;
 	struct plat *plat;
 	const struct plat_form *form;
-	struct limit plat_budget;
-	struct conf *conf; /* set before agent_open(): the gate's too */
-	bool shares_conf;
+	struct limit plat_budget; /* rate limit of calls to the platform */
+	struct conf *conf; /* if set before agent_open(): the gate's */
+	bool shares_conf; /* the gate uses the same conf */
 	struct sync sync;
 	struct memb *memb;
 	struct probe *probe;
@@ -135,64 +139,75 @@
 	/* agent_watch.c */
 	struct agent_feed feeds[AGENT_FEEDS_MAX];
 	unsigned nfeeds;
-	bool from_platform; /* offers of now come from the platform */
-	bool from_copy; /* by an answer that may be stale */
-	bool platform_up;
-	int64_t platform_back; /* it answered again after an outage; 0: never */
-	int64_t platform_lost; /* it did not answer, as far as we know */
+	bool from_platform; /* objects offered now come from the platform */
+	bool from_copy; /* from a list that may be stale */
+	bool platform_up; /* the platform answered the last call */
+	/* Monotonic ns of the end of the last outage; 0: there was none. */
+	int64_t platform_back;
+	int64_t platform_lost; /* last call without an answer, monotonic ns */
 	enum agent_scope scope;
 	/* agent_box.c */
 	struct tmr_item boxes_timer, status_timer;
 	struct plat_call *boxes_call, *status_call;
-	bool boxes_wanted; /* the list of boxes has not come yet */
-	bool is_listed; /* the platform lists our box as it is */
-	int boxes_fails, status_fails;
-	int64_t status_at; /* the last status was written; 0: never */
-	uint64_t status_version;
-	uint64_t status_digest; /* of what the last status told */
-	uint64_t status_told; /* the configuration it was asked for last */
+	bool boxes_wanted; /* the list of boxes has yet to be fetched */
+	bool is_listed; /* the platform lists this box as it is now */
+	int boxes_fails, status_fails; /* consecutive failed calls */
+	int64_t status_at; /* last write of the status; 0: never */
+	uint64_t status_version; /* on the platform; 0: none is known */
+	uint64_t status_digest; /* of the status that was sent last */
+	/* Digest of the configuration when a status was last scheduled. */
+	uint64_t status_told;
 	/* agent_look.c */
 	struct tmr_item look_timer;
-	unsigned looks;
-	int64_t look_answered; /* when the last answered one was asked; ns */
-	bool unheard; /* one was not answered, and none after it */
+	unsigned looks; /* rounds of polls since the start */
+	/* Start of the latest poll that was answered, monotonic ns. */
+	int64_t look_answered;
+	bool unheard; /* a poll timed out, and no later one was answered */
 	/* agent_poison.c */
 	struct poison *poison;
-	bool poison_unsaved; /* our status does not tell it all yet */
+	bool poison_unsaved; /* the written status lacks a new record */
 	/* agent_lapse.c */
-	GHashTable *lapses; /* char * key to struct agent_lapse * */
+	GHashTable *lapses; /* char * key to struct held_deletion * */
 	/* agent_push.c */
 	struct tmr_item push_timer;
-	GHashTable *unsent; /* char * key to whether the platform told it */
+	/* char * key to a bool: whether the platform sent the change */
+	GHashTable *unsent;
 	/* agent_peer.c */
 	struct gossip *gossip;
 	struct tmr_item gossip_timer;
-	bool settled; /* it was told that the boxes near are known */
-	bool unattended; /* nobody who hears from the platform answers */
-	/* our digest differs from another hall's; 0: it does not */
+	bool settled; /* the boxes of the hall are known */
+	/* No box that has contact with the platform answers this one. */
+	bool unattended;
+	/*
+	 * Since when another hall's configuration differs from ours, in
+	 * monotonic ns; 0: it does not.
+	 */
 	int64_t differs_since;
 	/* agent_gate.c */
-	bool told_ready; /* the gate knows that it may serve */
-	uint64_t gate_boot, gate_digest;
-	int64_t gate_heard;
-	int64_t gate_greeted; /* it was told what we have */
-	bool gate_ready;
-	uint64_t members_hash; /* of what the gate was told last */
-	int64_t members_sent;
+	bool told_ready; /* the gate was sent that it may serve */
+	uint64_t gate_boot; /* start time that the gate reported */
+	uint64_t gate_digest; /* of the gate's configuration */
+	int64_t gate_heard; /* last message from the gate, monotonic ns */
+	int64_t gate_greeted; /* last state sent to it, monotonic ns */
+	bool gate_ready; /* the gate reported that it serves */
+	uint64_t members_hash; /* of the members that the gate was sent */
+	int64_t members_sent; /* monotonic ns; 0: send them again */
 	struct tmr_item members_timer;
 	/* agent_probe.c */
-	GHashTable *health; /* char * backend to struct agent_health * */
-	bool targets_dirty;
+	GHashTable *health; /* char * backend to struct health * */
+	bool targets_dirty; /* the configuration changed since `routes` */
 	struct route_table *routes;
-	int64_t targets_at, health_at;
+	int64_t targets_at; /* last update of the targets, monotonic ns */
+	int64_t health_at; /* last resend of probe results, monotonic ns */
 	/* agent_open.c */
-	int64_t last_tick;
+	int64_t last_tick; /* monotonic ns; 0: none yet */
 	bool leaving;
 };
 
 /*
- * agent_open.c: settings, all that an agent opens, and its tick.  `section`
- * is the table of the settings file, NULL for the whole file.
+ * agent_open.c: settings, start, shutdown and the periodic tick.  `section`
+ * is the table of the settings file, NULL for the whole file.  The caller sets
+ * clk and rnd, and conf if it is shared, before agent_open().
  */
 bool
 agent_load(struct agent *, const char *file, const char *section, GError **);
@@ -201,7 +216,10 @@
 void agent_on_signals(struct agent *);
 void agent_reload(struct agent *);
 
-/* agent_watch.c: the platform's objects, and what all calls to it share. */
+/*
+ * agent_watch.c: lists and watches of the platform's objects, and the budget,
+ * backoff and outage detection that all calls to the platform share.
+ */
 void agent_watch_open(struct agent *);
 void agent_watch_resume(struct agent *);
 bool agent_is_watcher(struct agent *);
@@ -214,36 +232,40 @@
 int64_t agent_backoff(struct agent *, int fails);
 bool agent_first_feed_asks(struct agent *);
 
-/*
- * What another call than a feed's watch brought; that the platform no longer
- * has what changed since the feed's last answer; and that a peer brought what
- * the watch should have.
- */
+/* Applies the changes that a poll of the feed's kinds returned. */
 void agent_watch_told(struct agent_feed *, json_t *body);
+
+/* The platform no longer has the changes since the feed's last answer. */
 void agent_watch_missed(struct agent_feed *);
+
+/* A change has come into force; detects watches that should have sent it. */
 void agent_watch_passed(struct agent *, const struct conf_entry *);
 
-/* agent_look.c: a second look at what watches wait for. */
+/* agent_look.c: short polls that detect silent watches. */
 void agent_look_open(struct agent *);
 
-/* agent_poison.c: requests that end backend servers, kept on the platform. */
+/*
+ * agent_poison.c: requests that crash backend servers, stored in the box's
+ * status on the platform.
+ */
 void agent_poison_open(struct agent *);
 void agent_poison_take(struct agent *, const struct msg_suspects *);
 json_t *agent_poison_spec(struct agent *);
 void agent_poison_listed(struct agent *, const json_t *);
 void agent_poison_tell(struct agent *);
 
-/* agent_box.c: the platform's list of boxes, and the status of ours. */
+/* agent_box.c: the platform's list of boxes, and the status of this box. */
 void agent_box_list(struct agent *);
 void agent_box_tick(struct agent *);
 void agent_box_resume_calls(struct agent *);
 void agent_box_status_soon(struct agent *);
 
-/* agent_lapse.c: backend servers whose entries have gone from the platform. */
+/* agent_lapse.c: delayed deletions of backend servers' entries. */
 void agent_lapse_open(struct agent *);
-bool agent_lapse_hold(struct agent *, const struct conf_entry *, uint64_t);
+bool
+agent_lapse_hold(struct agent *, const struct conf_entry *, uint64_t version);
 
-/* agent_peer.c: what goes between boxes. */
+/* agent_peer.c: messages between boxes. */
 void agent_peer_open(struct agent *);
 void agent_peer_configure(struct agent *);
 void agent_peer_take(void *, const struct msg *);
@@ -255,14 +277,14 @@
 struct msg agent_peer_hello_of(const struct agent *);
 void agent_peer_blind(struct agent *, bool blind);
 
-/* agent_gate.c: what goes between us and our gate. */
+/* agent_gate.c: messages between the agent and the gate of its box. */
 void agent_gate_hello(struct agent *);
 void agent_gate_tell_ready(struct agent *);
 void agent_gate_members_soon(struct agent *);
 void agent_gate_take(struct agent *, const struct msg *);
 void agent_gate_tick(struct agent *, int64_t now);
 
-/* agent_scope.c: what the box holds of the configuration. */
+/* agent_scope.c: the parts of the configuration that the box stores. */
 void agent_scope_open(struct agent *);
 void agent_scope_look(struct agent *);
 bool agent_scope_divides(struct agent *);
@@ -274,13 +296,13 @@
 void agent_push_all(struct agent *, struct msg *);
 void agent_push_change(struct agent *, const struct conf_entry *);
 
-/* agent_probe.c: probes of backend servers, and what others found. */
+/* agent_probe.c: probes of backend servers, and results from other boxes. */
 void agent_probe_open(struct agent *);
 void agent_probe_tick(struct agent *, int64_t now);
 void agent_probe_take(struct agent *, const struct msg_health *);
 void agent_probe_tell_gate(struct agent *);
 
-/* agent_stat.c */
+/* agent_stat.c: counters and the page /metrics. */
 struct cnt *agent_stat_open(void);
 void agent_stat_page(void *, h2o_req_t *);
 
