--- a/home.c
+++ b/home.c
@@ -26,7 +26,7 @@
 	return memb_weight(str_n(key, (size_t)MIN(n, KEY_MAX - 1)), box);
 }
 
-/* An order that does not follow names, equal on all boxes. */
+/* Orders services by a hash of their names, which is the same on all boxes. */
 static int
 by_hash(const void *pa, const void *pb)
 {
@@ -39,14 +39,14 @@
 
 static struct home_gate *
 best_gate(struct str hall, struct str service, struct home_gate *gates,
-    size_t n, unsigned most)
+    size_t n, unsigned max_services)
 {
 	struct home_gate *best = NULL;
 	uint64_t w, best_w = 0;
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		if (gates[i].homes >= most)
+		if (gates[i].homes >= max_services)
 			continue;
 		w = home_weight(service, hall, gates[i].box);
 		if (best != NULL && w < best_w)
@@ -61,16 +61,16 @@
 home_deal(struct str hall, struct home_service *services, size_t nservices,
     struct home_gate *gates, size_t ngates)
 {
-	unsigned most;
+	unsigned max_services;
 	size_t i;
 
 	if (ngates == 0)
 		return;
-	most = (unsigned)((nservices + ngates - 1) / ngates);
+	max_services = (unsigned)((nservices + ngates - 1) / ngates);
 	qsort(services, nservices, sizeof(*services), by_hash);
 	for (i = 0; i < nservices; i++) {
-		struct home_gate *gate =
-		    best_gate(hall, services[i].name, gates, ngates, most);
+		struct home_gate *gate = best_gate(
+		    hall, services[i].name, gates, ngates, max_services);
 
 		gate->homes++;
 		services[i].gate = gate;
--- a/home.h
+++ b/home.h
@@ -18,35 +18,43 @@
 #include "str.h"
 
 /*
- * Which gate is home for which service in a hall.  Pure: from the same gates
- * and services each box finds the same homes, without any agreement.
+ * Assigns each service of a hall to one gate, its home, which dispatches all
+ * its requests.  A pure function: boxes that know the same gates and services
+ * get the same result without any agreement.
  *
- * Load pattern: a hall of few strong boxes and few services, one of which has
- * half of all requests.  With each service by hashing alone, all of a hall's
- * requests meet on one of three boxes in one hall of nine, and two thirds or
- * more of them in most.  So services are dealt: no gate gets more than its
- * share of their number, and each goes to the gate that has the highest weight
- * for it among those that still take one.
+ * Rendezvous hashing alone would give some gates many more services than
+ * others.  In a hall of three boxes and few services, one of which gets half of
+ * all requests, all requests would go to one box in one hall of nine, and two
+ * thirds or more in most halls.  So no gate gets more than its share of the
+ * number of services, and each service goes to the gate with the highest weight
+ * for it among those below their share.
  */
 
-/* A gate that may be home. */
+/* A gate that services may be assigned to. */
 struct home_gate {
 	struct str box;
-	unsigned homes; /* services that it has got so far */
-	void *data; /* the owner's */
+	unsigned homes; /* number of services assigned so far */
+	void *data; /* for the caller */
 };
 
-/* One service, and the gate that it was dealt to. */
+/* A service and the gate that it is assigned to. */
 struct home_service {
 	struct str name;
-	const struct home_gate *gate; /* NULL where there is none */
+	const struct home_gate *gate; /* NULL: none */
 };
 
-/* Deal the services of a hall; their order is changed. */
+/*
+ * Assigns the services of a hall to gates; sets `gate` in each service, counts
+ * services in each gate, and reorders the services.  Gates start with a count
+ * of 0.
+ */
 void home_deal(struct str hall, struct home_service *, size_t nservices,
     struct home_gate *, size_t ngates);
 
-/* The weight of a box for a service in a hall. */
+/*
+ * Returns the weight of a box for a service in a hall; the box with the highest
+ * weight is preferred.
+ */
 uint64_t home_weight(struct str service, struct str hall, struct str box);
 
 #endif
--- a/poison.c
+++ b/poison.c
@@ -14,17 +14,17 @@
 #include "poison.h"
 
 /*
- * A word that went to another box and back is a little later each time; what
- * differs by less is the same.
+ * Times that differ by less are taken as equal, as the time in a record shifts
+ * a little whenever the record goes to another box and back.
  */
 #define SAME_NS (200 * NS_MS)
 
 struct poison {
 	const struct clk *clk;
 	const struct rnd *rnd;
-	GPtrArray *words; /* struct poison_word * */
-	bool news;
-	poison_fn *changed; /* NULL: nobody listens */
+	GPtrArray *records; /* struct poison_word * */
+	bool has_unsent_trial;
+	poison_fn *changed; /* may be NULL */
 	void *ctx;
 };
 
@@ -35,7 +35,7 @@
 
 	p->clk = clk;
 	p->rnd = rnd;
-	p->words = g_ptr_array_new_with_free_func(g_free);
+	p->records = g_ptr_array_new_with_free_func(g_free);
 	return p;
 }
 
@@ -49,278 +49,290 @@
 void
 poison_free(struct poison *p)
 {
-	g_ptr_array_free(p->words, TRUE);
+	g_ptr_array_free(p->records, TRUE);
 	g_free(p);
 }
 
 static unsigned
-trials(const struct poison_word *w)
+count_trials(const struct poison_word *rec)
 {
 	unsigned i, n = 0;
 
 	for (i = 0; i < POISON_TRIALS; i++)
-		n += w->trials[i] != 0;
+		n += rec->trials[i] != 0;
 	return n;
 }
 
-/* What a word says of its caller's request by itself. */
+/* Returns the status of a request by the record of one caller alone. */
 static enum poison_verdict
-judge(const struct poison_word *w, int64_t now)
+record_status(const struct poison_word *rec, int64_t now)
 {
-	int64_t age = now - w->ended;
+	int64_t age = now - rec->ended;
 
-	if (w->cleared >= w->ended)
+	if (rec->cleared >= rec->ended)
 		return POISON_NONE;
 	if (age < POISON_HOLD_NS)
-		return trials(w) == POISON_TRIALS ? POISON_PROVED
-						  : POISON_SUSPECT;
-	/* What was tried stays a suspect for the same time again. */
-	return trials(w) > 0 && age < 2 * POISON_HOLD_NS ? POISON_SUSPECT
-							 : POISON_NONE;
+		return count_trials(rec) == POISON_TRIALS ? POISON_PROVED
+							  : POISON_SUSPECT;
+	/* A request with trials stays a suspect for the same time again. */
+	return count_trials(rec) > 0 && age < 2 * POISON_HOLD_NS
+	    ? POISON_SUSPECT
+	    : POISON_NONE;
 }
 
 static struct poison_word *
-find(const struct poison *p, struct fprint print)
+find(const struct poison *p, struct fprint fingerprint)
 {
-	struct poison_word *w;
+	struct poison_word *rec;
 	guint i;
 
-	for (i = 0; i < p->words->len; i++) {
-		w = g_ptr_array_index(p->words, i);
-		if (fprint_eq(w->print, print))
-			return w;
+	for (i = 0; i < p->records->len; i++) {
+		rec = g_ptr_array_index(p->records, i);
+		if (fprint_eq(rec->print, fingerprint))
+			return rec;
 	}
 	return NULL;
 }
 
-/* What the words of all callers say of a request. */
-struct opinion {
-	const struct poison_word *own; /* the caller's; NULL: none */
-	unsigned tried; /* callers whose trials ended backend servers lately */
-	int64_t ended; /* the last end; 0: it is no suspect */
+/* The records of all callers for a request. */
+struct combined_status {
+	const struct poison_word *caller_record; /* NULL: none */
+	unsigned callers_tried; /* callers with a recent crash in a trial */
+	int64_t last_crash; /* monotonic ns; 0: no suspect */
 };
 
-static struct opinion
-opinion_of(const struct poison *p, struct fprint print, int64_t now)
+static struct combined_status
+combine_records(const struct poison *p, struct fprint fingerprint, int64_t now)
 {
-	struct opinion o = {0};
-	const struct poison_word *w;
+	struct combined_status combined = {0};
+	const struct poison_word *rec;
 	guint i;
 
-	for (i = 0; i < p->words->len; i++) {
-		w = g_ptr_array_index(p->words, i);
-		if (!fprint_same(w->print, print))
+	for (i = 0; i < p->records->len; i++) {
+		rec = g_ptr_array_index(p->records, i);
+		if (!fprint_same(rec->print, fingerprint))
 			continue;
-		if (fprint_eq(w->print, print))
-			o.own = w;
-		if (judge(w, now) == POISON_NONE)
+		if (fprint_eq(rec->print, fingerprint))
+			combined.caller_record = rec;
+		if (record_status(rec, now) == POISON_NONE)
 			continue;
-		o.ended = MAX(o.ended, w->ended);
-		o.tried += trials(w) > 0 && now - w->ended < POISON_HOLD_NS;
+		combined.last_crash = MAX(combined.last_crash, rec->ended);
+		combined.callers_tried +=
+		    count_trials(rec) > 0 && now - rec->ended < POISON_HOLD_NS;
 	}
-	return o;
+	return combined;
 }
 
 enum poison_verdict
-poison_look(const struct poison *p, struct fprint print)
+poison_look(const struct poison *p, struct fprint fingerprint)
 {
 	int64_t now = clk_ns(p->clk);
-	struct opinion o = opinion_of(p, print, now);
+	struct combined_status combined = combine_records(p, fingerprint, now);
 
-	if (o.ended == 0 || (o.own != NULL && o.own->cleared >= o.ended))
+	if (combined.last_crash == 0 ||
+	    (combined.caller_record != NULL &&
+		combined.caller_record->cleared >= combined.last_crash))
 		return POISON_NONE;
-	if (o.own != NULL && judge(o.own, now) == POISON_PROVED)
+	if (combined.caller_record != NULL &&
+	    record_status(combined.caller_record, now) == POISON_PROVED)
 		return POISON_PROVED;
-	return o.tried >= POISON_CALLERS ? POISON_PROVED : POISON_SUSPECT;
+	return combined.callers_tried >= POISON_CALLERS ? POISON_PROVED
+							: POISON_SUSPECT;
 }
 
-/* Tell who listens, if something is thought now that was not before. */
+/* Calls the callback if the status differs from the one before. */
 static void
-note(struct poison *p, struct fprint print, enum poison_verdict before)
+notify_change(
+    struct poison *p, struct fprint fingerprint, enum poison_verdict before)
 {
-	enum poison_verdict now = poison_look(p, print);
+	enum poison_verdict now = poison_look(p, fingerprint);
 
 	if (now != before && p->changed != NULL)
-		p->changed(p->ctx, print, now);
+		p->changed(p->ctx, fingerprint, now);
 }
 
 int64_t
-poison_until(const struct poison *p, struct fprint print)
+poison_until(const struct poison *p, struct fprint fingerprint)
 {
-	struct opinion o = opinion_of(p, print, clk_ns(p->clk));
+	struct combined_status combined =
+	    combine_records(p, fingerprint, clk_ns(p->clk));
 
-	return o.ended == 0 ? 0 : o.ended + POISON_HOLD_NS;
+	return combined.last_crash == 0 ? 0
+					: combined.last_crash + POISON_HOLD_NS;
 }
 
-/* Does one word matter more than another? */
+/* Order of records: those with more trials first, then the newer ones. */
 static bool
-is_weightier(const struct poison_word *a, const struct poison_word *b)
+ranks_before(const struct poison_word *a, const struct poison_word *b)
 {
-	if (trials(a) != trials(b))
-		return trials(a) > trials(b);
+	if (count_trials(a) != count_trials(b))
+		return count_trials(a) > count_trials(b);
 	return MAX(a->ended, a->cleared) > MAX(b->ended, b->cleared);
 }
 
-/* What matters least makes room for something new. */
+/* If the store is full, removes the record that ranks last. */
 static void
-make_room(struct poison *p)
+evict_least(struct poison *p)
 {
-	struct poison_word *least = NULL, *w;
+	struct poison_word *lowest = NULL, *rec;
 	guint i;
 
-	if (p->words->len < POISON_MAX)
+	if (p->records->len < POISON_MAX)
 		return;
-	for (i = 0; i < p->words->len; i++) {
-		w = g_ptr_array_index(p->words, i);
-		if (least == NULL || is_weightier(least, w))
-			least = w;
+	for (i = 0; i < p->records->len; i++) {
+		rec = g_ptr_array_index(p->records, i);
+		if (lowest == NULL || ranks_before(lowest, rec))
+			lowest = rec;
 	}
-	g_ptr_array_remove_fast(p->words, least);
+	g_ptr_array_remove_fast(p->records, lowest);
 }
 
 static struct poison_word *
-find_or_add(struct poison *p, struct fprint print)
+find_or_add(struct poison *p, struct fprint fingerprint)
 {
-	struct poison_word *w = find(p, print);
-
-	if (w != NULL)
-		return w;
-	make_room(p);
-	w = g_new0(struct poison_word, 1);
-	w->print = print;
-	g_ptr_array_add(p->words, w);
-	return w;
+	struct poison_word *rec = find(p, fingerprint);
+
+	if (rec != NULL)
+		return rec;
+	evict_least(p);
+	rec = g_new0(struct poison_word, 1);
+	rec->print = fingerprint;
+	g_ptr_array_add(p->records, rec);
+	return rec;
 }
 
 static void
-add_trial(struct poison_word *w, uint64_t number)
+add_trial(struct poison_word *rec, uint64_t id)
 {
 	unsigned i;
 
 	for (i = 0; i < POISON_TRIALS; i++)
-		if (w->trials[i] == number)
+		if (rec->trials[i] == id)
 			return;
 	for (i = 0; i < POISON_TRIALS; i++)
-		if (w->trials[i] == 0) {
-			w->trials[i] = number;
+		if (rec->trials[i] == 0) {
+			rec->trials[i] = id;
 			return;
 		}
 }
 
-/* Trials from before an answer, or from before its time was over, are void. */
+/* Drops trials that an answer has cleared or that have expired. */
 static void
-begin_anew(struct poison_word *w, int64_t now)
+reset_expired_trials(struct poison_word *rec, int64_t now)
 {
-	if (judge(w, now) == POISON_NONE)
-		memset(w->trials, 0, sizeof(w->trials));
+	if (record_status(rec, now) == POISON_NONE)
+		memset(rec->trials, 0, sizeof(rec->trials));
 }
 
 void
-poison_ended(struct poison *p, struct fprint print, bool trial)
+poison_ended(struct poison *p, struct fprint fingerprint, bool trial)
 {
-	enum poison_verdict before = poison_look(p, print);
+	enum poison_verdict before = poison_look(p, fingerprint);
 	int64_t now = clk_ns(p->clk);
-	struct poison_word *w;
+	struct poison_word *rec;
 
-	if (fprint_is_none(print))
+	if (fprint_is_none(fingerprint))
 		return;
-	w = find_or_add(p, print);
-	begin_anew(w, now);
-	w->ended = MAX(now, w->cleared + 1);
+	rec = find_or_add(p, fingerprint);
+	reset_expired_trials(rec, now);
+	rec->ended = MAX(now, rec->cleared + 1);
 	if (trial)
-		add_trial(w, MAX(p->rnd->next(p->rnd->ctx), 1));
-	p->news = p->news || trial;
-	note(p, print, before);
+		add_trial(rec, MAX(p->rnd->next(p->rnd->ctx), 1));
+	p->has_unsent_trial = p->has_unsent_trial || trial;
+	notify_change(p, fingerprint, before);
 }
 
 void
-poison_accuse(struct poison *p, struct fprint print)
+poison_accuse(struct poison *p, struct fprint fingerprint)
 {
-	if (poison_look(p, print) == POISON_NONE)
-		poison_ended(p, print, false);
+	if (poison_look(p, fingerprint) == POISON_NONE)
+		poison_ended(p, fingerprint, false);
 }
 
 void
-poison_served(struct poison *p, struct fprint print)
+poison_served(struct poison *p, struct fprint fingerprint)
 {
-	enum poison_verdict before = poison_look(p, print);
-	struct poison_word *w;
+	enum poison_verdict before = poison_look(p, fingerprint);
+	struct poison_word *rec;
 
 	if (before == POISON_NONE)
 		return;
-	w = find_or_add(p, print);
-	w->cleared = MAX(clk_ns(p->clk), w->ended);
-	memset(w->trials, 0, sizeof(w->trials));
-	note(p, print, before);
+	rec = find_or_add(p, fingerprint);
+	rec->cleared = MAX(clk_ns(p->clk), rec->ended);
+	memset(rec->trials, 0, sizeof(rec->trials));
+	notify_change(p, fingerprint, before);
 }
 
-/* The union of both, without what an answer has made void. */
+/* Merges a record into another; trials before an answer are left out. */
 static void
-merge(struct poison_word *w, const struct poison_word *told)
+merge(struct poison_word *rec, const struct poison_word *received)
 {
 	unsigned i;
 
-	if (told->cleared > w->cleared + SAME_NS)
-		w->cleared = told->cleared;
-	if (told->ended > w->ended + SAME_NS)
-		w->ended = told->ended;
-	if (w->cleared >= w->ended) {
-		memset(w->trials, 0, sizeof(w->trials));
+	if (received->cleared > rec->cleared + SAME_NS)
+		rec->cleared = received->cleared;
+	if (received->ended > rec->ended + SAME_NS)
+		rec->ended = received->ended;
+	if (rec->cleared >= rec->ended) {
+		memset(rec->trials, 0, sizeof(rec->trials));
 		return;
 	}
-	for (i = 0; told->ended > w->cleared && i < POISON_TRIALS; i++)
-		if (told->trials[i] != 0)
-			add_trial(w, told->trials[i]);
+	for (i = 0; received->ended > rec->cleared && i < POISON_TRIALS; i++)
+		if (received->trials[i] != 0)
+			add_trial(rec, received->trials[i]);
 }
 
 void
-poison_take(struct poison *p, const struct poison_word *told)
+poison_take(struct poison *p, const struct poison_word *received)
 {
-	enum poison_verdict before = poison_look(p, told->print);
+	enum poison_verdict before = poison_look(p, received->print);
 
-	if (fprint_is_none(told->print) || told->ended > clk_ns(p->clk))
+	if (fprint_is_none(received->print) || received->ended > clk_ns(p->clk))
 		return;
-	merge(find_or_add(p, told->print), told);
-	note(p, told->print, before);
+	merge(find_or_add(p, received->print), received);
+	notify_change(p, received->print, before);
 }
 
 static gint
-by_weight(gconstpointer pa, gconstpointer pb)
+by_rank(gconstpointer pa, gconstpointer pb)
 {
 	const struct poison_word *const *a = pa, *const *b = pb;
 
-	if (is_weightier(*a, *b))
+	if (ranks_before(*a, *b))
 		return -1;
-	return is_weightier(*b, *a);
+	return ranks_before(*b, *a);
 }
 
 unsigned
 poison_words(struct poison *p, struct poison_word *out)
 {
-	unsigned i, n = MIN(p->words->len, (guint)POISON_WORDS);
+	unsigned i, n = MIN(p->records->len, (guint)POISON_WORDS);
 
-	g_ptr_array_sort(p->words, by_weight);
+	g_ptr_array_sort(p->records, by_rank);
 	for (i = 0; i < n; i++)
-		out[i] =
-		    *(const struct poison_word *)g_ptr_array_index(p->words, i);
+		out[i] = *(const struct poison_word *)g_ptr_array_index(
+		    p->records, i);
 	return n;
 }
 
 bool
 poison_has_news(struct poison *p)
 {
-	bool news = p->news;
+	bool unsent = p->has_unsent_trial;
 
-	p->news = false;
-	return news;
+	p->has_unsent_trial = false;
+	return unsent;
 }
 
-/* An answer is remembered as long as an end, so that no old word undoes it. */
+/*
+ * An answer is stored as long as a crash, so that an old record from another
+ * box cannot make the request a suspect again.
+ */
 static bool
-is_over(const struct poison_word *w, int64_t now)
+is_expired(const struct poison_word *rec, int64_t now)
 {
-	return judge(w, now) == POISON_NONE &&
-	    now - MAX(w->ended, w->cleared) >= POISON_HOLD_NS;
+	return record_status(rec, now) == POISON_NONE &&
+	    now - MAX(rec->ended, rec->cleared) >= POISON_HOLD_NS;
 }
 
 void
@@ -329,21 +341,21 @@
 	int64_t now = clk_ns(p->clk);
 	guint i;
 
-	for (i = p->words->len; i-- > 0;)
-		if (is_over(g_ptr_array_index(p->words, i), now))
-			g_ptr_array_remove_index_fast(p->words, i);
+	for (i = p->records->len; i-- > 0;)
+		if (is_expired(g_ptr_array_index(p->records, i), now))
+			g_ptr_array_remove_index_fast(p->records, i);
 }
 
 unsigned
 poison_proved(const struct poison *p)
 {
-	const struct poison_word *w;
+	const struct poison_word *rec;
 	unsigned n = 0;
 	guint i;
 
-	for (i = 0; i < p->words->len; i++) {
-		w = g_ptr_array_index(p->words, i);
-		n += poison_look(p, w->print) == POISON_PROVED;
+	for (i = 0; i < p->records->len; i++) {
+		rec = g_ptr_array_index(p->records, i);
+		n += poison_look(p, rec->print) == POISON_PROVED;
 	}
 	return n;
 }
--- a/poison.h
+++ b/poison.h
@@ -18,54 +18,57 @@
 #include "fprint.h"
 
 /*
- * Requests that end the backend servers which run them, by their fingerprints.
+ * Detects requests that crash the backend servers which run them.  Requests are
+ * identified by their fingerprints.
  *
- * A request that was at a backend server when it ended is a suspect, as all
- * are that ran beside it, and so is the same request of other callers.  A
- * suspect is sent again by itself only: such a try is a trial, and what ends
- * in it was not ended by another request.  After POISON_TRIALS trials of one
- * caller that ended so the request is proved to be poison for that caller, and
- * after trials of POISON_CALLERS callers for all: backend servers do not see
- * from where it comes.  An answer of a backend server clears it for the caller
- * who got it, so that nobody is refused for what others' requests do.
+ * All requests in flight at a backend server that crashes become suspects, and
+ * so do the same requests of other callers.  A suspect is retried only on a
+ * backend server that runs no other request.  Such a try is a trial: if the
+ * backend server crashes, no other request is the cause.  After POISON_TRIALS
+ * trials with a crash the request is proved to be poison for its caller, and
+ * after such trials of POISON_CALLERS callers it is proved for all, as backend
+ * servers do not see where a request comes from.  An answer clears the request
+ * for the caller who got it, so that no caller is refused because of the
+ * requests of others.
  *
- * What one box learns the others take as words; these may come in any order,
- * and more than once.  No I/O is done here.
+ * Boxes exchange their records, which may arrive in any order and more than
+ * once.  No I/O is done here.
  */
 
 enum {
 	/*
-	 * With the end that made it a suspect that makes three: one may be
-	 * chance, as backend servers end for reasons of their own too.
+	 * With the crash that made the request a suspect this makes three
+	 * crashes.  One may be chance, as backend servers also crash for other
+	 * reasons.
 	 */
 	POISON_TRIALS = 2,
 	POISON_CALLERS = 2,
-	/* Words that a box remembers: 56 bytes each, looked through in turn. */
+	/* Records that a box stores: 56 bytes each, searched linearly. */
 	POISON_MAX = 256,
-	/* Of these, how many a message carries: 70 bytes each. */
+	/* Records in one message: 70 bytes each. */
 	POISON_WORDS = 32
 };
 
 /*
- * How long after the last end poison is refused, and a suspect is one.  After
- * that one more trial of what was tried before decides, as the backend servers'
- * software may have been mended.  So a request whose callers do not give up
- * costs a backend server each ten minutes.
+ * Time after the last crash for which poison is refused, and for which a
+ * request is a suspect.  After it, a request that has had a trial gets one more
+ * trial, as the software of the backend servers may have been repaired.  So a
+ * request whose callers keep retrying costs one backend server in ten minutes.
  */
 #define POISON_HOLD_NS (600 * NS_S)
 
 enum poison_verdict { POISON_NONE, POISON_SUSPECT, POISON_PROVED };
 
-/* What is known of one request, as boxes tell each other. */
+/* What is known of one request of one caller; boxes exchange these. */
 struct poison_word {
 	struct fprint print;
-	/* Numbers of the trials that ended so; 0: none. */
+	/* Random ids of the trials with a crash; 0: unused. */
 	uint64_t trials[POISON_TRIALS];
-	int64_t ended; /* the last end; monotonic ns of whoever holds this */
-	int64_t cleared; /* the last answer; 0: none */
+	int64_t ended; /* last crash, in ns of the local monotonic clock */
+	int64_t cleared; /* last answer, likewise; 0: none */
 };
 
-/* What is thought of a request has changed. */
+/* Called when the status of a request has changed. */
 typedef void poison_fn(void *, struct fprint, enum poison_verdict);
 
 struct poison;
@@ -73,40 +76,46 @@
 struct poison *poison_new(const struct clk *, const struct rnd *);
 void poison_free(struct poison *);
 
-/* Call this whenever a word or an event changes what is thought. */
+/* Sets the callback for changes of status by an event or a record. */
 void poison_listen(struct poison *, poison_fn *, void *);
 
-/* What is thought of a request now. */
+/* Returns the present status of a request. */
 enum poison_verdict poison_look(const struct poison *, struct fprint);
 
-/* When a request that is proved to be poison may be tried again; ns. */
+/*
+ * Returns when a request that is proved to be poison may be tried again, in
+ * monotonic ns; 0 if it is no suspect.
+ */
 int64_t poison_until(const struct poison *, struct fprint);
 
-/* It was at a backend server when that ended; in a trial, or beside others. */
+/*
+ * The request was in flight at a backend server that crashed; `trial`: as the
+ * only request there.
+ */
 void poison_ended(struct poison *, struct fprint, bool trial);
 
-/* A box that passed it on takes it for a suspect. */
+/* The box that forwarded the request here marked it as a suspect. */
 void poison_accuse(struct poison *, struct fprint);
 
-/* A backend server answered it, below 500. */
+/* A backend server answered the request with a status below 500. */
 void poison_served(struct poison *, struct fprint);
 
-/* Take another box's word, its times in ns of our own clock. */
+/* Merges a record of another box, with times converted to the local clock. */
 void poison_take(struct poison *, const struct poison_word *);
 
 /*
- * The words worth telling, at most POISON_WORDS: those with trials first, then
- * the newest.
+ * Writes up to POISON_WORDS records to an array and returns their number: those
+ * with the most trials first, then the newest.
  */
 unsigned poison_words(struct poison *, struct poison_word *);
 
-/* Has a trial ended, here, since this was asked last? */
+/* Returns whether a local trial ended in a crash since the last call. */
 bool poison_has_news(struct poison *);
 
-/* Forget what is too old. */
+/* Removes expired records. */
 void poison_tick(struct poison *);
 
-/* Requests that are refused now, by caller. */
+/* Returns the number of requests that are refused now, counted per caller. */
 unsigned poison_proved(const struct poison *);
 
 #endif
--- a/poison_msg.c
+++ b/poison_msg.c
@@ -10,9 +10,9 @@
  */
 #include "poison_msg.h"
 
-/* Ages are in ms, and 0 stands for a time that there is not. */
+/* An age is in ms plus 1, and 0 stands for no time. */
 static int64_t
-ns_ago(int64_t now, uint64_t ms)
+to_time(int64_t now, uint64_t ms)
 {
 	return ms == 0
 	    ? 0
@@ -20,40 +20,41 @@
 }
 
 static uint64_t
-ms_ago(int64_t now, int64_t at)
+to_age_ms(int64_t now, int64_t at)
 {
 	return at == 0 ? 0 : (uint64_t)((now - at) / NS_MS + 1);
 }
 
 static void
-write_word(struct msg_suspect *out, const struct poison_word *w, int64_t now)
+encode_record(struct msg_suspect *out, const struct poison_word *w, int64_t now)
 {
 	out->print_hi = w->print.hi;
 	out->print_lo = w->print.lo;
 	out->print_caller = w->print.caller;
 	memcpy(out->trials, w->trials, sizeof(out->trials));
-	out->ended_ms = ms_ago(now, w->ended);
-	out->cleared_ms = ms_ago(now, w->cleared);
+	out->ended_ms = to_age_ms(now, w->ended);
+	out->cleared_ms = to_age_ms(now, w->cleared);
 }
 
 static void
-read_word(struct poison_word *out, const struct msg_suspect *in, int64_t now)
+decode_record(
+    struct poison_word *out, const struct msg_suspect *in, int64_t now)
 {
 	*out = (struct poison_word){
 	    .print = {in->print_hi, in->print_lo, in->print_caller},
-	    .ended = ns_ago(now, in->ended_ms),
-	    .cleared = ns_ago(now, in->cleared_ms)};
+	    .ended = to_time(now, in->ended_ms),
+	    .cleared = to_time(now, in->cleared_ms)};
 	memcpy(out->trials, in->trials, sizeof(out->trials));
 }
 
 unsigned
 poison_msg_write(struct poison *p, int64_t now, struct msg_suspect *out)
 {
-	struct poison_word words[POISON_WORDS];
-	unsigned i, n = poison_words(p, words);
+	struct poison_word records[POISON_WORDS];
+	unsigned i, n = poison_words(p, records);
 
 	for (i = 0; i < n; i++)
-		write_word(&out[i], &words[i], now);
+		encode_record(&out[i], &records[i], now);
 	return n;
 }
 
@@ -61,11 +62,11 @@
 poison_msg_take(struct poison *p, int64_t now, const struct msg_suspects *m)
 {
 	const struct msg_suspect *v = m->suspects.items;
-	struct poison_word word;
+	struct poison_word record;
 	size_t i;
 
 	for (i = 0; i < MIN(m->suspects.n, (size_t)POISON_WORDS); i++) {
-		read_word(&word, &v[i], now);
-		poison_take(p, &word);
+		decode_record(&record, &v[i], now);
+		poison_take(p, &record);
 	}
 }
--- a/poison_msg.h
+++ b/poison_msg.h
@@ -14,12 +14,15 @@
 #include "msg.h"
 #include "poison.h"
 
-/* Words of poison.h as messages between processes: ages in place of times. */
+/*
+ * Conversion of the records of poison.h to and from messages, which have ages
+ * in place of times.
+ */
 
-/* Write the words worth telling, at most POISON_WORDS; how many. */
+/* Writes up to POISON_WORDS records to an array; returns their number. */
 unsigned poison_msg_write(struct poison *, int64_t now, struct msg_suspect *);
 
-/* Take a message's words, no more of them than one may have. */
+/* Merges the records of a message, POISON_WORDS at most. */
 void poison_msg_take(struct poison *, int64_t now, const struct msg_suspects *);
 
 #endif
--- a/spread.c
+++ b/spread.c
@@ -11,32 +11,37 @@
 #include "spread.h"
 
 /*
- * Hubs of a hall that send the same to one of its leaves, or a few more: one
- * that is cut off is then not missed.  What is large takes a weak link long.
+ * Number of hubs, or a few more, that send the same change to a leaf of their
+ * hall, so that the leaf gets it even if one of them is disconnected.  Large
+ * changes are sent by fewer hubs, as they take a slow link a long time.
  */
-enum { SMALL_COPIES = 3, LARGE_COPIES = 2 };
+enum { SMALL_SENDERS = 3, LARGE_SENDERS = 2 };
 
-/* Of a leaf's hubs, one in `share` sends to it: the `own` one. */
+/*
+ * Returns whether this box is one of the hubs that send changes to a leaf.  One
+ * in `stride` hubs does; a hash of the leaf's name selects which.
+ */
 static bool
-is_our_leaf(struct memb *mb, const struct memb_member *to, bool large)
+forwards_to_leaf(struct memb *mb, const struct memb_member *to, bool large)
 {
 	const struct memb_info *hubs[MEMB_HUBS];
 	const struct memb_info *self = memb_self(mb);
-	unsigned n = (unsigned)memb_hubs(mb, self->hall, hubs), own;
-	unsigned share =
-	    MAX(n / (unsigned)(large ? LARGE_COPIES : SMALL_COPIES), 1);
+	unsigned n = (unsigned)memb_hubs(mb, self->hall, hubs), own_rank;
+	unsigned stride =
+	    MAX(n / (unsigned)(large ? LARGE_SENDERS : SMALL_SENDERS), 1);
 
-	for (own = 0; own < n; own++)
-		if (hubs[own] == self)
+	for (own_rank = 0; own_rank < n; own_rank++)
+		if (hubs[own_rank] == self)
 			break;
-	return own < n &&
-	    memb_weight(STR_LIT("spread"), to->info.box) % share == own % share;
+	return own_rank < n &&
+	    memb_weight(STR_LIT("spread"), to->info.box) % stride ==
+	    own_rank % stride;
 }
 
 /*
- * All hubs get a change from each box that the platform tells it.  With each
- * such box sending to some of them, a change that only one box was told took
- * two seconds to the hubs that this one left to others.
+ * Each box that receives a change from the platform forwards it to all hubs.
+ * With each such box forwarding to some hubs only, a change that the platform
+ * sent to one box only took two seconds to reach the other hubs.
  */
 bool
 spread_to(struct memb *mb, const struct memb_member *to,
@@ -48,28 +53,30 @@
 		return false;
 	if (memb_is_hub(mb, to->info.box))
 		return origin == SPREAD_TOLD;
-	return str_eq(to->info.hall, self->hall) && is_our_leaf(mb, to, large);
+	return str_eq(to->info.hall, self->hall) &&
+	    forwards_to_leaf(mb, to, large);
 }
 
-/* A difference to another hall that lasts so long is healed from there. */
-#define AWAY_WAIT_NS (1500 * NS_MS)
+/* A difference to a box of another hall is compared after this time. */
+#define OTHER_HALL_DELAY_NS (1500 * NS_MS)
 /*
- * So long the first lists of a box that starts may take: they are on their way
- * from the platform.  Compared at once, the versions of all objects crossed
- * between halls for each hub that started: with 296 boxes and 3,000 backend
- * servers 10 of 37 MB of a day, most of them after a loss of all boxes.
+ * Time for the first lists of a starting box to arrive from the platform.  If
+ * configurations were compared at once, each starting hub would exchange the
+ * versions of all objects between halls: with 296 boxes and 3,000 backend
+ * servers this made 10 of 37 MB a day, most of them after a loss of all boxes.
  */
-#define START_WAIT_NS (700 * NS_MS)
+#define START_DELAY_NS (700 * NS_MS)
 
 /*
- * A difference to a box of another hall heals by itself while our own hall
- * hears from the platform; bytes between halls are dear.
+ * A difference to a box of another hall usually disappears by itself while our
+ * own hall has contact with the platform.  Traffic between halls is expensive,
+ * so that such a box is compared with only if the difference lasts.
  */
 bool
 spread_should_compare(const struct spread_difference *d)
 {
-	int64_t wait = d->complete ? AWAY_WAIT_NS : START_WAIT_NS;
+	int64_t delay = d->complete ? OTHER_HALL_DELAY_NS : START_DELAY_NS;
 
 	return d->near || d->alone || !d->seeing || d->lasts == 0 ||
-	    d->lasts > wait;
+	    d->lasts > delay;
 }
--- a/spread.h
+++ b/spread.h
@@ -14,32 +14,36 @@
 #include "memb.h"
 
 /*
- * Who hands a change of the configuration on to whom.  Pure.
+ * Decides which box forwards a change of the configuration to which.  Pure
+ * functions without I/O.
  *
- * What the platform tells a hub it hands on to all hubs; what it has from
- * there or from another hub, to leaves of its hall.  So each box sends to its
- * own hall and to hubs only, and a change is two steps from each box.
+ * A hub forwards a change from the platform to all hubs, and a change from the
+ * platform or from another hub to leaves of its hall.  So each box sends to its
+ * own hall and to hubs only, and a change takes two hops to reach all boxes.
  */
 
 enum spread_origin {
-	SPREAD_TOLD, /* by the platform */
-	SPREAD_HEARD /* of another box */
+	SPREAD_TOLD, /* received from the platform */
+	SPREAD_HEARD /* received from another box */
 };
 
-/* Does our box hand a change on to another one? */
+/*
+ * Returns whether this box forwards a change to another box.  Large changes
+ * are sent to each leaf by fewer hubs.
+ */
 bool spread_to(struct memb *, const struct memb_member *to, enum spread_origin,
     bool large);
 
-/* What is known where another box holds another configuration than ours. */
+/* A difference between our configuration and that of another box. */
 struct spread_difference {
-	bool near; /* it is of our hall */
+	bool near; /* the other box is in our hall */
 	bool complete; /* we have seen complete lists */
 	bool seeing; /* the platform answers us or a box of our hall */
 	bool alone; /* a box of our hall does not answer us */
-	int64_t lasts; /* ns for which it has been so */
+	int64_t lasts; /* ns since configurations differ; 0: equal */
 };
 
-/* Is the difference to be found out and healed by that box? */
+/* Returns whether to compare configurations with that box now. */
 bool spread_should_compare(const struct spread_difference *);
 
 #endif
--- a/sync.c
+++ b/sync.c
@@ -11,11 +11,11 @@
 #include "libsync.h"
 #include "slog.h"
 
-/* An age that a peer tells is taken up to here: a year. */
+/* A longer age that a peer reports is reduced to this one, a year. */
 #define AGE_MAX_MS (UINT64_C(366) * 24 * 3600 * 1000)
 
-/* What goes on while versions of some buckets are gathered. */
-struct gather {
+/* Collects the versions of the objects in some buckets. */
+struct version_list {
 	const struct sync *sync;
 	uint64_t buckets;
 	GArray *versions; /* struct msg_version */
@@ -23,10 +23,10 @@
 
 static void send_buckets(struct sync *, struct str);
 static void send_versions(struct sync *, struct str, uint64_t);
-static void take_buckets(struct sync *, const struct msg *);
-static void take_versions(struct sync *, const struct msg *);
-static void take_want(struct sync *, const struct msg *);
-static void take_objects(struct sync *, const struct msg *);
+static void handle_buckets(struct sync *, const struct msg *);
+static void handle_versions(struct sync *, const struct msg *);
+static void handle_request(struct sync *, const struct msg *);
+static void handle_objects(struct sync *, const struct msg *);
 
 struct msg_holds
 sync_holds(const struct sync *s)
@@ -55,12 +55,12 @@
 void
 sync_hear(struct sync *s, const struct msg_holds *h)
 {
-	int64_t ago = (int64_t)MIN(h->confirmed, AGE_MAX_MS) - 1;
+	int64_t age_ms = (int64_t)MIN(h->confirmed, AGE_MAX_MS) - 1;
 
 	if (h->confirmed == 0 ||
 	    h->rules != conf_digest_of(s->conf, CONF_RULES))
 		return;
-	s->confirmed = MAX(s->confirmed, clk_ns(s->clk) - ago * NS_MS);
+	s->confirmed = MAX(s->confirmed, clk_ns(s->clk) - age_ms * NS_MS);
 }
 
 int64_t
@@ -107,7 +107,7 @@
 }
 
 static void
-take_buckets(struct sync *s, const struct msg *m)
+handle_buckets(struct sync *s, const struct msg *m)
 {
 	const struct msg_list *list = &m->u.buckets.digests;
 	const struct msg_u64 *digests = list->items;
@@ -126,28 +126,28 @@
 }
 
 static void
-gather_version(void *ctx, const struct conf_entry *e)
+add_version(void *ctx, const struct conf_entry *e)
 {
-	struct gather *g = ctx;
+	struct version_list *list = ctx;
 	struct msg_version v = {e->key, e->version, e->bad_version, e->hash};
 
-	if (g->buckets >> conf_bucket(e->key) & 1)
-		g_array_append_val(g->versions, v);
+	if (list->buckets >> conf_bucket(e->key) & 1)
+		g_array_append_val(list->versions, v);
 }
 
 static void
 send_versions(struct sync *s, struct str to, uint64_t buckets)
 {
-	struct gather g = {s, buckets, NULL};
+	struct version_list list = {s, buckets, NULL};
 	struct msg m = {.kind = MSG_VERSIONS};
 
-	g.versions = g_array_new(FALSE, FALSE, sizeof(struct msg_version));
-	conf_each(s->conf, gather_version, &g);
+	list.versions = g_array_new(FALSE, FALSE, sizeof(struct msg_version));
+	conf_each(s->conf, add_version, &list);
 	m.u.versions.buckets = buckets;
-	m.u.versions.versions.items = g.versions->data;
-	m.u.versions.versions.n = g.versions->len;
+	m.u.versions.versions.items = list.versions->data;
+	m.u.versions.versions.n = list.versions->len;
 	sync_post(s, to, &m);
-	g_array_free(g.versions, TRUE);
+	g_array_free(list.versions, TRUE);
 }
 
 static void
@@ -157,7 +157,7 @@
 	sync_pack_free(p);
 }
 
-/* Offer the peer all of its buckets that it did not list. */
+/* Finds our objects in some buckets that the peer did not list. */
 struct missing {
 	struct sync_pack *pack;
 	GHashTable *listed;
@@ -167,14 +167,17 @@
 static void
 add_missing(void *ctx, const struct conf_entry *e)
 {
-	struct missing *mi = ctx;
+	struct missing *missing = ctx;
 
-	if ((mi->buckets >> conf_bucket(e->key) & 1) &&
-	    !g_hash_table_contains(mi->listed, e->key.p))
-		sync_pack_add(mi->pack, e);
+	if ((missing->buckets >> conf_bucket(e->key) & 1) &&
+	    !g_hash_table_contains(missing->listed, e->key.p))
+		sync_pack_add(missing->pack, e);
 }
 
-/* Compare one version of the peer's; true if its object is wanted. */
+/*
+ * Compares one version of the peer.  Adds our object to the pack if it is
+ * newer; returns true if the peer's object is needed.
+ */
 static bool
 compare_version(
     struct sync *s, struct sync_pack *pack, const struct msg_version *v)
@@ -200,38 +203,38 @@
 }
 
 static void
-take_versions(struct sync *s, const struct msg *m)
+handle_versions(struct sync *s, const struct msg *m)
 {
 	const struct msg_list *list = &m->u.versions.versions;
 	const struct msg_version *v = list->items;
 	struct msg want = {.kind = MSG_WANT};
-	struct missing mi;
+	struct missing missing;
 	GArray *keys = g_array_new(FALSE, FALSE, sizeof(struct msg_key));
 	size_t i;
 
-	mi.pack = sync_pack_new();
-	mi.buckets = m->u.versions.buckets;
-	mi.listed =
+	missing.pack = sync_pack_new();
+	missing.buckets = m->u.versions.buckets;
+	missing.listed =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	for (i = 0; i < list->n; i++) {
 		struct msg_key k = {v[i].key};
 
-		g_hash_table_add(mi.listed, g_strndup(k.key.p, k.key.n));
-		if (compare_version(s, mi.pack, &v[i]))
+		g_hash_table_add(missing.listed, g_strndup(k.key.p, k.key.n));
+		if (compare_version(s, missing.pack, &v[i]))
 			g_array_append_val(keys, k);
 	}
-	conf_each(s->conf, add_missing, &mi);
-	send_and_free(s, mi.pack, m->from);
+	conf_each(s->conf, add_missing, &missing);
+	send_and_free(s, missing.pack, m->from);
 	want.u.want.keys.items = keys->data;
 	want.u.want.keys.n = keys->len;
 	if (keys->len > 0)
 		sync_post(s, m->from, &want);
-	g_hash_table_destroy(mi.listed);
+	g_hash_table_destroy(missing.listed);
 	g_array_free(keys, TRUE);
 }
 
 static void
-take_want(struct sync *s, const struct msg *m)
+handle_request(struct sync *s, const struct msg *m)
 {
 	const struct msg_list *list = &m->u.want.keys;
 	const struct msg_key *keys = list->items;
@@ -247,15 +250,15 @@
 	send_and_free(s, pack, m->from);
 }
 
-/* A backend server is no business of ours. */
+/* Returns whether this process does not store the object with this key. */
 static bool
-is_beyond(const struct sync *s, struct str key)
+is_out_of_scope(const struct sync *s, struct str key)
 {
 	return s->partial &&
 	    conf_part_of_bucket(conf_bucket(key)) == CONF_BACKENDS;
 }
 
-/* The same contents came before, so that they need not be read again. */
+/* Returns whether the same contents are stored and need not be decoded. */
 static bool
 is_known(const struct sync *s, const struct msg_object *o)
 {
@@ -266,34 +269,34 @@
 }
 
 static void
-take_objects(struct sync *s, const struct msg *m)
+handle_objects(struct sync *s, const struct msg *m)
 {
 	const struct msg_list *list = &m->u.objects.objects;
 	const struct msg_object *o = list->items;
-	enum conf_result got;
+	enum conf_result result;
 	GError *err = NULL;
 	json_t *spec;
 	size_t i;
 
 	for (i = 0; i < list->n; i++) {
-		if (is_beyond(s, o[i].key) || is_known(s, &o[i]))
+		if (is_out_of_scope(s, o[i].key) || is_known(s, &o[i]))
 			continue;
 		spec = o[i].deleted ? NULL : sync_read_spec(&o[i]);
 		if (!o[i].deleted && spec == NULL) {
-			slog(SLOG_CONF, "an object of a peer's cannot be read",
+			slog(SLOG_CONF, "object from a peer cannot be decoded",
 			    "from=%.*s key=%.*s", STR_ARG(m->from),
 			    STR_ARG(o[i].key));
 			continue;
 		}
-		got = conf_offer(s->conf, o[i].key, o[i].version, o[i].deleted,
-		    spec, m->from, &err);
+		result = conf_offer(s->conf, o[i].key, o[i].version,
+		    o[i].deleted, spec, m->from, &err);
 		json_decref(spec);
 		if (err != NULL)
-			slog(SLOG_CONF, "an object of a peer's is refused",
+			slog(SLOG_CONF, "object from a peer is invalid",
 			    "from=%.*s why=%s", STR_ARG(m->from),
 			    slog_quote(err->message));
-		else if (got == CONF_REJECTED)
-			slog(SLOG_CONF, "an object of a peer's is rejected",
+		else if (result == CONF_REJECTED)
+			slog(SLOG_CONF, "object from a peer is rejected",
 			    "from=%.*s key=%.*s version=%llu", STR_ARG(m->from),
 			    STR_ARG(o[i].key),
 			    (unsigned long long)o[i].version);
@@ -306,16 +309,16 @@
 {
 	switch (m->kind) {
 	case MSG_BUCKETS:
-		take_buckets(s, m);
+		handle_buckets(s, m);
 		break;
 	case MSG_VERSIONS:
-		take_versions(s, m);
+		handle_versions(s, m);
 		break;
 	case MSG_WANT:
-		take_want(s, m);
+		handle_request(s, m);
 		break;
 	case MSG_OBJECTS:
-		take_objects(s, m);
+		handle_objects(s, m);
 		break;
 	default:
 		break;
--- a/sync.h
+++ b/sync.h
@@ -16,64 +16,81 @@
 #include "msg.h"
 
 /*
- * The exchange of configuration between two processes, in at most four
- * messages: digests that differ lead to the digests of all buckets, buckets
- * that differ to the versions in them, and versions that differ to objects.
- * What crosses the wire grows with the difference, not with what is kept.
- * Used between agents and between an agent and its gate.  No I/O is done
- * here: replies go out through a callback.
+ * Anti-entropy exchange of configuration between two processes, in at most
+ * four messages.  If their digests differ, one sends the digests of all
+ * buckets; the other answers with the versions in the buckets that differ; and
+ * objects whose versions differ are sent or requested.  The number of bytes
+ * sent grows with the difference, not with the size of the configuration.
+ *
+ * Used between agents, and between an agent and its gate.  No I/O is done
+ * here: messages are sent through a callback.
  */
 
-/* Send a message to an inbox.  The message is valid during the call only. */
+/* Sends a message to an inbox.  The message is valid during the call only. */
 typedef void sync_send_fn(void *, struct str to, const struct msg *);
 
 struct sync {
 	struct conf *conf;
 	sync_send_fn *send;
 	void *ctx;
-	bool partial; /* we hold rules only, and no backend servers */
-	uint64_t messages; /* sent, for the counters */
-	const struct clk *clk; /* for `confirmed` */
-	int64_t confirmed; /* the platform last did, for our rules; 0: never */
+	bool partial; /* this process stores rules, but no backend servers */
+	uint64_t messages; /* number of messages sent */
+	const struct clk *clk;
+	/*
+	 * Monotonic ns of the last confirmation by the platform that the rules
+	 * here are current; 0: never.
+	 */
+	int64_t confirmed;
 };
 
-/* What we hold, to be told to a peer. */
+/* Returns the digests, floor and age of our configuration, for a peer. */
 struct msg_holds sync_holds(const struct sync *);
 
+/* The platform confirmed just now that the rules here are current. */
+void sync_confirm(struct sync *);
+
 /*
- * The platform has said, now, that our rules are the ones that it has.  What a
- * peer with the same rules was told counts as well: sync_hear().
+ * Applies the time at which the platform last confirmed the rules of a peer,
+ * if the peer has the same rules.
  */
-void sync_confirm(struct sync *);
 void sync_hear(struct sync *, const struct msg_holds *);
 
-/* How long ago that was, in ms; -1: it never was. */
+/* Returns the time since the last confirmation in ms; -1: never. */
 int64_t sync_age_ms(const struct sync *);
 
-/* Does a peer hold the same, as far as both hold it? */
+/*
+ * Returns whether a peer has the same configuration, in the parts that both
+ * store.
+ */
 bool sync_equal(const struct sync *, const struct msg_holds *);
 
 /*
- * A peer has told what it holds.  Where that equals ours, its floor is taken
- * over; where not, the exchange begins.
+ * Compares our configuration with that of a peer.  If they are equal, the
+ * floor of the peer is applied; if not, the exchange starts.
  */
 void sync_compare(struct sync *, struct str from, const struct msg_holds *);
 
-/* Take one of MSG_BUCKETS, MSG_VERSIONS, MSG_WANT and MSG_OBJECTS. */
+/*
+ * Handles MSG_BUCKETS, MSG_VERSIONS, MSG_WANT and MSG_OBJECTS; ignores other
+ * messages.
+ */
 void sync_take(struct sync *, const struct msg *);
 
-/* Objects written down once, to be sent to many peers. */
+/* Objects that are encoded once, to be sent to many peers. */
 struct sync_pack;
 struct sync_pack *sync_pack_new(void);
 void sync_pack_free(struct sync_pack *);
 
-/* Add an object in the state that is known here; the bytes that it takes. */
+/*
+ * Adds the present state of an object, whose key must outlive the pack.
+ * Returns the size of its encoded text in bytes.
+ */
 size_t sync_pack_add(struct sync_pack *, const struct conf_entry *);
 
-/* Move the object that was added last; it must have a text. */
+/* Moves the object that was added last; it must have a text. */
 void sync_pack_move_last(struct sync_pack *from, struct sync_pack *to);
 
-/* Send what a pack holds, in as many messages as it takes. */
+/* Sends all objects of a pack, in as many messages as needed. */
 void sync_pack_send(struct sync *, const struct sync_pack *, struct str to);
 
 #endif
--- a/sync_pack.c
+++ b/sync_pack.c
@@ -12,14 +12,14 @@
 #include "libsync.h"
 #include "zip.h"
 
-/* Objects as they go between processes: written down, and read. */
+/* Encodes and decodes the objects in messages between processes. */
 
 enum {
 	OBJECTS_PER_MESSAGE = 128,
-	DEFLATE_MIN = 4096 /* bytes of text */
+	DEFLATE_MIN = 4096 /* bytes of text; shorter texts are not deflated */
 };
 
-/* Objects on their way out.  Keys are those of whoever added them. */
+/* Encoded objects.  The keys belong to the caller. */
 struct sync_pack {
 	GArray *objects; /* struct msg_object */
 	GPtrArray *texts;
@@ -43,70 +43,70 @@
 	g_free(p);
 }
 
-/* Large texts are deflated: links of boxes may be slow. */
+/* Deflates large texts, as the links between boxes may be slow. */
 static void
-write_spec(struct msg_object *o, const json_t *spec)
+encode_spec(struct msg_object *o, const json_t *spec)
 {
 	char *text = json_dumps(spec, JSON_COMPACT);
-	size_t n = strlen(text);
+	size_t size = strlen(text);
 	struct str packed = {0};
 
-	if (n >= DEFLATE_MIN)
-		packed = zip_deflate(str_n(text, n));
-	o->spec = packed.n > 0 ? packed : str_dup(str_n(text, n));
-	o->size = packed.n > 0 ? n : 0;
+	if (size >= DEFLATE_MIN)
+		packed = zip_deflate(str_n(text, size));
+	o->spec = packed.n > 0 ? packed : str_dup(str_n(text, size));
+	o->size = packed.n > 0 ? size : 0;
 	free(text);
 }
 
-/* Returns the bytes that the object's text takes. */
+/* Appends a copy of an object and its contents; returns their size in bytes. */
 static size_t
-pack_put(struct sync_pack *p, const struct msg_object *what, const json_t *spec)
+pack_append(
+    struct sync_pack *p, const struct msg_object *object, const json_t *spec)
 {
-	struct msg_object o = *what;
+	struct msg_object o = *object;
 
 	if (spec != NULL) {
-		write_spec(&o, spec);
+		encode_spec(&o, spec);
 		g_ptr_array_add(p->texts, (void *)o.spec.p);
 	}
 	g_array_append_val(p->objects, o);
 	return o.spec.n;
 }
 
-/* Add one that is not known here, as it was deleted at or before a version. */
 void
 sync_pack_add_gone(struct sync_pack *p, struct str key, uint64_t version)
 {
-	struct msg_object gone = {
+	struct msg_object deletion = {
 	    .key = key, .version = version, .deleted = true};
 
-	pack_put(p, &gone, NULL);
+	pack_append(p, &deletion, NULL);
 }
 
 size_t
 sync_pack_add(struct sync_pack *p, const struct conf_entry *e)
 {
-	struct msg_object good = {.key = e->key,
+	struct msg_object valid = {.key = e->key,
 	    .version = e->version,
 	    .deleted = e->deleted,
 	    .hash = e->bad_version > 0 ? 0 : e->hash};
-	struct msg_object bad = {.key = e->key, .version = e->bad_version};
-	size_t n = 0;
+	struct msg_object rejected = {.key = e->key, .version = e->bad_version};
+	size_t size = 0;
 
 	if (e->version > 0)
-		n += pack_put(p, &good, e->spec);
+		size += pack_append(p, &valid, e->spec);
 	if (e->bad_version > 0)
-		n += pack_put(p, &bad, e->bad_spec);
-	return n;
+		size += pack_append(p, &rejected, e->bad_spec);
+	return size;
 }
 
 void
 sync_pack_move_last(struct sync_pack *from, struct sync_pack *to)
 {
-	guint at = from->objects->len - 1;
+	guint index = from->objects->len - 1;
 
 	g_array_append_vals(to->objects,
-	    &g_array_index(from->objects, struct msg_object, at), 1);
-	g_array_set_size(from->objects, at);
+	    &g_array_index(from->objects, struct msg_object, index), 1);
+	g_array_set_size(from->objects, index);
 	g_ptr_array_add(to->texts,
 	    g_ptr_array_steal_index(from->texts, from->texts->len - 1));
 }
@@ -122,18 +122,17 @@
 sync_pack_send(struct sync *s, const struct sync_pack *p, struct str to)
 {
 	struct msg m = {.kind = MSG_OBJECTS};
-	guint at;
+	guint index;
 
-	for (at = 0; at < p->objects->len; at += OBJECTS_PER_MESSAGE) {
+	for (index = 0; index < p->objects->len; index += OBJECTS_PER_MESSAGE) {
 		m.u.objects.objects.items =
-		    &g_array_index(p->objects, struct msg_object, at);
+		    &g_array_index(p->objects, struct msg_object, index);
 		m.u.objects.objects.n =
-		    MIN(p->objects->len - at, OBJECTS_PER_MESSAGE);
+		    MIN(p->objects->len - index, OBJECTS_PER_MESSAGE);
 		sync_post(s, to, &m);
 	}
 }
 
-/* The contents of an object that came; NULL if it cannot be read. */
 json_t *
 sync_read_spec(const struct msg_object *o)
 {
