--- a/agent_box.c
+++ b/agent_box.c
@@ -19,14 +19,15 @@
  * this one.
  */
 
-#define STATUS_SOON_NS (300 * NS_MS)
-#define STATUS_AGAIN_NS (60 * NS_S)
+#define STATUS_DELAY_NS (300 * NS_MS)
+/* An unchanged status is written again after this time, or status_ms. */
+#define STATUS_REFRESH_NS (60 * NS_S)
 
 enum {
 	/* Limit of status writes of all boxes together, per second. */
 	STATUS_FLEET_RATE = 150,
 	/* Multiplies the backoff, as a status is less urgent than a list. */
-	STATUS_PATIENCE = 4
+	STATUS_BACKOFF_FACTOR = 4
 };
 
 static void fetch_boxes(void *);
@@ -162,7 +163,7 @@
 	int64_t now = clk_ns(a->clk);
 	int64_t spread =
 	    (int64_t)memb_count_alive(a->memb) * NS_S / STATUS_FLEET_RATE;
-	int64_t at = now + rnd_jitter(a->rnd, STATUS_SOON_NS + spread);
+	int64_t at = now + rnd_jitter(a->rnd, STATUS_DELAY_NS + spread);
 
 	/* Poison records are rare, and must outlive this process. */
 	if (a->poison_unsaved)
@@ -274,8 +275,8 @@
 {
 	struct agent *a = ctx;
 	json_t *current = json_object_get(body, "current");
-	int64_t delay =
-	    rnd_jitter(a->rnd, MAX(STATUS_AGAIN_NS, a->set.status_ms * NS_MS));
+	int64_t delay = rnd_jitter(
+	    a->rnd, MAX(STATUS_REFRESH_NS, a->set.status_ms * NS_MS));
 
 	a->status_call = NULL;
 	agent_call_ended(a, result);
@@ -295,7 +296,8 @@
 		}
 	} else {
 		a->poison_unsaved = poison_proved(a->poison) > 0;
-		delay = STATUS_PATIENCE * agent_backoff(a, a->status_fails++);
+		delay =
+		    STATUS_BACKOFF_FACTOR * agent_backoff(a, a->status_fails++);
 	}
 	tmr_set(
 	    &a->tmr, &a->status_timer, clk_ns(a->clk) + delay, write_status, a);
--- a/agent_gate.c
+++ b/agent_gate.c
@@ -17,10 +17,10 @@
  */
 
 /* An unchanged list of members is sent again after this time. */
-#define MEMBERS_AGAIN_NS (30 * NS_S)
+#define MEMBERS_REFRESH_NS (30 * NS_S)
 /* Delay that combines several changes into one list of members. */
-#define MEMBERS_GAP_NS (40 * NS_MS)
-#define GATE_SILENT_NS (4 * NS_S)
+#define MEMBERS_DELAY_NS (40 * NS_MS)
+#define GATE_TIMEOUT_NS (4 * NS_S)
 
 /*
  * The gate may serve once the configuration is complete and the boxes of the
@@ -54,26 +54,26 @@
 static void
 add_hub(void *ctx, const struct memb_member *m)
 {
-	struct hub_list *l = ctx;
+	struct hub_list *list = ctx;
 
-	if (memb_is_hub(l->agent->memb, m->info.box))
-		g_array_append_val(l->infos, m->info);
+	if (memb_is_hub(list->agent->memb, m->info.box))
+		g_array_append_val(list->infos, m->info);
 }
 
 static void
 send_hubs(struct agent *a)
 {
-	struct hub_list l = {
+	struct hub_list list = {
 	    a, g_array_new(FALSE, FALSE, sizeof(struct memb_info))};
 	struct msg m = {.kind = MSG_MEMBERS};
 
-	memb_each(a->memb, add_hub, &l);
-	m.u.members.members.items = (struct memb_info *)l.infos->data;
-	m.u.members.members.n = l.infos->len;
+	memb_each(a->memb, add_hub, &list);
+	m.u.members.members.items = (struct memb_info *)list.infos->data;
+	m.u.members.members.n = list.infos->len;
 	m.u.members.fleet = memb_fleet(a->memb);
 	m.u.members.hub = memb_is_hub(a->memb, a->set.box);
 	wire_send(a->wire, a->set.gate_inbox, &m);
-	g_array_free(l.infos, TRUE);
+	g_array_free(list.infos, TRUE);
 }
 
 /* Notifies the gate as soon as it may serve. */
@@ -99,7 +99,7 @@
 	uint64_t hash = memb_digest_hubs(a->memb) + memb_fleet(a->memb);
 
 	if (hash == a->members_hash &&
-	    now - a->members_sent <= MEMBERS_AGAIN_NS)
+	    now - a->members_sent <= MEMBERS_REFRESH_NS)
 		return;
 	a->members_hash = hash;
 	a->members_sent = now;
@@ -112,45 +112,46 @@
 {
 	if (!a->members_timer.set)
 		tmr_set(&a->tmr, &a->members_timer,
-		    clk_ns(a->clk) + MEMBERS_GAP_NS, send_members, a);
+		    clk_ns(a->clk) + MEMBERS_DELAY_NS, send_members, a);
 }
 
 /* Handles a status message of the gate. */
 void
 agent_gate_take(struct agent *a, const struct msg *m)
 {
-	const struct msg_gate *gt = &m->u.gate;
+	const struct msg_gate *status = &m->u.gate;
 	struct memb_info *self = memb_self(a->memb);
 	bool was_leaving = self->leaving;
-	bool is_new = gt->boot != a->gate_boot, starts_serving;
+	bool is_new = status->boot != a->gate_boot, starts_serving;
 
 	a->gate_heard = clk_ns(a->clk);
-	if (gt->holds.digest != a->gate_digest || gt->ready != a->gate_ready)
+	if (status->holds.digest != a->gate_digest ||
+	    status->ready != a->gate_ready)
 		agent_box_status_soon(a);
-	a->gate_boot = gt->boot;
-	a->gate_digest = gt->holds.digest;
-	a->gate_ready = gt->ready;
+	a->gate_boot = status->boot;
+	a->gate_digest = status->holds.digest;
+	a->gate_ready = status->ready;
 	if (is_new) {
 		/* The gate restarted: peers must drop the old state. */
-		self->boot = MAX(self->boot + 1, gt->boot);
+		self->boot = MAX(self->boot + 1, status->boot);
 		self->leaving = false;
 		a->members_sent = 0;
 		agent_probe_tell_gate(a);
 	}
-	starts_serving = gt->ready && !self->ready;
-	if (is_new || self->ready != gt->ready) {
-		self->ready = gt->ready;
+	starts_serving = status->ready && !self->ready;
+	if (is_new || self->ready != status->ready) {
+		self->ready = status->ready;
 		memb_changed(a->memb);
 	}
 	if (starts_serving && memb_is_hub(a->memb, self->box))
 		agent_peer_ready(a);
-	if (gt->leaving && !was_leaving)
+	if (status->leaving && !was_leaving)
 		agent_peer_leave(a);
 	else if (is_new)
 		agent_gate_hello(a);
-	if (gt->doubted.n > 0)
-		agent_peer_doubt(a, gt->doubted);
-	sync_compare(&a->sync, m->from, &gt->holds);
+	if (status->doubted.n > 0)
+		agent_peer_doubt(a, status->doubted);
+	sync_compare(&a->sync, m->from, &status->holds);
 	agent_gate_members_soon(a);
 }
 
@@ -159,7 +160,7 @@
 {
 	struct memb_info *self = memb_self(a->memb);
 
-	if (self->ready && now - a->gate_heard > GATE_SILENT_NS) {
+	if (self->ready && now - a->gate_heard > GATE_TIMEOUT_NS) {
 		self->ready = false;
 		memb_changed(a->memb);
 		slog(SLOG_AGENT, "gate does not answer", "for_ms=%lld",
--- a/agent_look.c
+++ b/agent_look.c
@@ -30,7 +30,7 @@
 	POLLERS = 1,
 	/* The first feed is polled each time, the others each third time. */
 	OTHER_FEEDS_EVERY = 3,
-	WAIT_MS = 1000 /* a slow platform answers in about 300 ms */
+	POLL_TIMEOUT_MS = 1000 /* a slow platform answers in about 300 ms */
 };
 
 struct poll {
@@ -59,7 +59,7 @@
 {
 	struct agent *a = poll->agent;
 
-	if (clk_ns(a->clk) - poll->started_at < WAIT_MS * NS_MS ||
+	if (clk_ns(a->clk) - poll->started_at < POLL_TIMEOUT_MS * NS_MS ||
 	    poll->started_at < a->look_answered)
 		return;
 	a->unheard = true;
@@ -101,7 +101,7 @@
 	struct plat_request rq = {.op = PLAT_WATCH,
 	    .kind = str_c(f->kinds),
 	    .version = f->since,
-	    .timeout_ms = WAIT_MS};
+	    .timeout_ms = POLL_TIMEOUT_MS};
 	struct poll *poll;
 
 	if (f->since == 0 || !agent_scope_has(a, f))
--- a/agent_open.c
+++ b/agent_open.c
@@ -20,18 +20,18 @@
  */
 
 /* Time to send the last messages before the process exits. */
-enum { LEAVE_MS = 300, ADMIN_BODY_MAX = 4096 };
+enum { SHUTDOWN_MS = 300, ADMIN_BODY_MAX = 4096 };
 /*
  * A change is logged as late if the rules were confirmed longer ago than this.
  * A confirmation by the platform takes up to a second from box to box, and a
  * second more to the last box.
  */
-enum { LATE_MS = 3000 };
+enum { RULES_LATE_MS = 3000 };
 /* Interval of the tick, with probes enabled or disabled. */
 #define TICK_NS (100 * NS_MS)
 #define TICK_IDLE_NS (500 * NS_MS)
 /* A longer gap between two ticks means that the process was suspended. */
-#define PAUSE_NS (2 * NS_S)
+#define SUSPEND_GAP_NS (2 * NS_S)
 
 static void on_tick(void *);
 static void on_signal(uv_signal_t *, int);
@@ -266,7 +266,7 @@
 		    e->deleted ? "object deleted" : "object version applied",
 		    "key=%.*s version=%llu from=%.*s", STR_ARG(e->key),
 		    (unsigned long long)e->version, STR_ARG(e->source));
-	if (e->kind != OBJ_BACKEND && sync_age_ms(&a->sync) > LATE_MS)
+	if (e->kind != OBJ_BACKEND && sync_age_ms(&a->sync) > RULES_LATE_MS)
 		slog(SLOG_CONF, "our rules had not been confirmed for long",
 		    "key=%.*s version=%llu from=%.*s for_ms=%lld",
 		    STR_ARG(e->key), (unsigned long long)e->version,
@@ -285,7 +285,7 @@
 	struct agent *a = ctx;
 	int64_t now = clk_ns(a->clk), gap = now - a->last_tick;
 
-	if (a->last_tick != 0 && gap > PAUSE_NS) {
+	if (a->last_tick != 0 && gap > SUSPEND_GAP_NS) {
 		slog(SLOG_AGENT, "was paused, looks anew", "gap_ms=%lld",
 		    (long long)(gap / NS_MS));
 		memb_paused(a->memb);
@@ -323,7 +323,7 @@
 	    memb_count_alive(a->memb));
 	a->leaving = true;
 	agent_peer_leave(a);
-	tmr_set(&a->tmr, &shutdown_timer, clk_ns(a->clk) + LEAVE_MS * NS_MS,
+	tmr_set(&a->tmr, &shutdown_timer, clk_ns(a->clk) + SHUTDOWN_MS * NS_MS,
 	    on_shutdown_timer, a);
 }
 
--- a/agent_peer.c
+++ b/agent_peer.c
@@ -18,7 +18,7 @@
  */
 
 /* Interval at which hubs that do not watch fetch the list of boxes. */
-#define LIST_OTHER_NS (60 * NS_S)
+#define HUB_LIST_INTERVAL_NS (60 * NS_S)
 
 static void run_gossip(void *);
 
@@ -89,7 +89,7 @@
 	struct gossip_set set = {
 	    .hello_ns = a->set.hello_ms * NS_MS,
 	    .list_ns = a->set.boxes_ms * NS_MS,
-	    .list_other_ns = LIST_OTHER_NS,
+	    .list_other_ns = HUB_LIST_INTERVAL_NS,
 	    .watchers = (int)a->set.watchers,
 	    .seeds = a->set.seeds,
 	};
@@ -178,18 +178,18 @@
 static void
 find_hall_contact(void *ctx, const struct memb_member *m)
 {
-	struct hall_contact *s = ctx;
+	struct hall_contact *contact = ctx;
 
 	if (memb_alive(m) && !m->info.blind &&
-	    str_eq(m->info.hall, s->agent->set.hall))
-		s->has_platform = true;
+	    str_eq(m->info.hall, contact->agent->set.hall))
+		contact->has_platform = true;
 }
 
 static bool
 should_compare(struct agent *a, struct str hall, const struct msg_holds *config,
     int64_t now)
 {
-	struct hall_contact s = {a, a->platform_up};
+	struct hall_contact contact = {a, a->platform_up};
 	struct spread_difference d = {.near = str_eq(hall, a->set.hall),
 	    .complete = agent_is_complete(a),
 	    .alone = gossip_is_left_alone(a->gossip)};
@@ -200,9 +200,9 @@
 		a->differs_since = now;
 	if (a->differs_since != 0)
 		d.lasts = MAX(now - a->differs_since, 1);
-	if (!s.has_platform)
-		memb_each(a->memb, find_hall_contact, &s);
-	d.seeing = s.has_platform;
+	if (!contact.has_platform)
+		memb_each(a->memb, find_hall_contact, &contact);
+	d.seeing = contact.has_platform;
 	return spread_should_compare(&d);
 }
 
--- a/agent_probe.c
+++ b/agent_probe.c
@@ -19,12 +19,12 @@
  */
 
 /* Interval at which the list of targets is updated. */
-#define TARGETS_NS (1 * NS_S)
+#define TARGETS_INTERVAL_NS (1 * NS_S)
 /* Interval at which servers that are down or draining are sent again. */
-#define HEALTH_AGAIN_NS (10 * NS_S)
+#define HEALTH_RESEND_NS (10 * NS_S)
 #define PROBE_TIMEOUT_NS (1 * NS_S)
 /* A state that was not sent again for this time expires. */
-#define HEALTH_KEEP_MS 35000
+#define HEALTH_EXPIRE_MS 35000
 
 /* State of a backend server, by probes of this box or of another one. */
 struct health {
@@ -275,7 +275,7 @@
 	g_hash_table_iter_init(&it, a->health);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		health = value;
-		if (now - health->at_ms < HEALTH_KEEP_MS)
+		if (now - health->at_ms < HEALTH_EXPIRE_MS)
 			continue;
 		if (health->state == STATE_DOWN ||
 		    health->state == STATE_DRAINING)
@@ -290,11 +290,11 @@
 {
 	if (a->set.probe_rate == 0)
 		return;
-	if (now - a->targets_at > TARGETS_NS) {
+	if (now - a->targets_at > TARGETS_INTERVAL_NS) {
 		a->targets_at = now;
 		refresh_targets(a);
 	}
-	if (now - a->health_at > HEALTH_AGAIN_NS) {
+	if (now - a->health_at > HEALTH_RESEND_NS) {
 		a->health_at = now;
 		probe_each(a->probe, resend_state, a);
 		expire_states(a);
--- a/agent_watch.c
+++ b/agent_watch.c
@@ -24,16 +24,16 @@
 
 #define BACKOFF_FIRST_NS (250 * NS_MS)
 /* Spreads the restarts of watches that were closed at the same time. */
-#define CUT_NS (20 * NS_MS)
+#define RELIST_DELAY_NS (20 * NS_MS)
 /*
  * After a change arrived by another way, the watch has this time to return it.
  * A slow platform takes about 300 ms.
  */
-#define PASSED_NS (1 * NS_S)
+#define BYPASS_TIMEOUT_NS (1 * NS_S)
 /* A box that does not watch assumes that an outage is over after this time. */
-#define BLIND_NS (10 * NS_S)
+#define ASSUMED_OUTAGE_NS (10 * NS_S)
 /* Boxes that start have found each other within this time. */
-#define FIRST_WATCH_NS (1 * NS_S)
+#define FIRST_WATCH_DELAY_NS (1 * NS_S)
 /* Retry interval of unattended boxes; long, as there may be many of them. */
 #define UNATTENDED_RETRY_NS (4 * NS_S)
 
@@ -303,13 +303,14 @@
 
 /*
  * A box that does not call the platform cannot detect the end of an outage.
- * After BLIND_NS it assumes the end, so that it can become a watcher if the
- * platform answers too few of the others.
+ * After ASSUMED_OUTAGE_NS it assumes the end, so that it can become a watcher
+ * if the platform answers too few of the others.
  */
 static void
 expire_outage(struct agent *a)
 {
-	if (a->platform_up || clk_ns(a->clk) - a->platform_lost < BLIND_NS)
+	if (a->platform_up ||
+	    clk_ns(a->clk) - a->platform_lost < ASSUMED_OUTAGE_NS)
 		return;
 	a->platform_up = true;
 	agent_peer_blind(a, false);
@@ -524,7 +525,8 @@
 	    (unsigned long long)revision, conf_count(a->conf), f->copy);
 	agent_box_status_soon(a);
 	/* A starting box waits until it is known whether it has to watch. */
-	schedule_call(f, first && !agent_asks_platform(a) ? FIRST_WATCH_NS : 0);
+	schedule_call(
+	    f, first && !agent_asks_platform(a) ? FIRST_WATCH_DELAY_NS : 0);
 }
 
 static void
@@ -557,7 +559,7 @@
 	if (result == PLAT_DOWN && f->fails == 0) {
 		f->fails++;
 		f->listed_at = 0;
-		schedule_call(f, rnd_jitter(a->rnd, CUT_NS));
+		schedule_call(f, rnd_jitter(a->rnd, RELIST_DELAY_NS));
 		return;
 	}
 	agent_call_ended(a, result);
@@ -590,7 +592,7 @@
 	struct agent_feed *f = ctx;
 
 	if (f->call == NULL || !f->watches ||
-	    clk_ns(f->agent->clk) - f->asked_at < PASSED_NS)
+	    clk_ns(f->agent->clk) - f->asked_at < BYPASS_TIMEOUT_NS)
 		return;
 	record_broken_watch(f);
 	plat_cancel(f->agent->plat, f->call);
@@ -608,8 +610,8 @@
 	struct agent *a = f->agent;
 
 	if (f->call != NULL && f->watches && !f->passed_timer.set)
-		tmr_set(&a->tmr, &f->passed_timer, clk_ns(a->clk) + PASSED_NS,
-		    on_bypass_timeout, f);
+		tmr_set(&a->tmr, &f->passed_timer,
+		    clk_ns(a->clk) + BYPASS_TIMEOUT_NS, on_bypass_timeout, f);
 }
 
 void
--- a/poison.c
+++ b/poison.c
@@ -17,7 +17,7 @@
  * Times that differ by less are taken as equal, as the time in a record shifts
  * a little whenever the record goes to another box and back.
  */
-#define SAME_NS (200 * NS_MS)
+#define SAME_TIME_NS (200 * NS_MS)
 
 struct poison {
 	const struct clk *clk;
@@ -269,9 +269,9 @@
 {
 	unsigned i;
 
-	if (received->cleared > rec->cleared + SAME_NS)
+	if (received->cleared > rec->cleared + SAME_TIME_NS)
 		rec->cleared = received->cleared;
-	if (received->ended > rec->ended + SAME_NS)
+	if (received->ended > rec->ended + SAME_TIME_NS)
 		rec->ended = received->ended;
 	if (rec->cleared >= rec->ended) {
 		memset(rec->trials, 0, sizeof(rec->trials));
