--- a/agent_gate.c
+++ b/agent_gate.c
@@ -24,7 +24,7 @@
 
 /*
  * The gate may serve once the configuration is complete and the boxes of the
- * hall are known: a gate that knows no other box would act as the home of all
+ * hall are known: a gate that knows no other box would act as the owner of all
  * services.  A gate without backend servers needs a hub to forward to.
  */
 static bool
@@ -35,7 +35,7 @@
 	return agent_is_complete(a) && a->settled;
 }
 
-/* Sends the box's state to the gate, with `ready` set if it may serve. */
+/* Sends the box's status to the gate, with `ready` set if it may serve. */
 void
 agent_gate_hello(struct agent *a)
 {
@@ -83,7 +83,7 @@
 	bool ready = gate_may_serve(a);
 
 	if (ready && !a->told_ready) {
-		/* The gate needs the hubs to find homes before it serves. */
+		/* The gate needs the hubs to find the owners of services. */
 		send_hubs(a);
 		agent_gate_hello(a);
 	}
--- a/agent_scope.c
+++ b/agent_scope.c
@@ -12,8 +12,8 @@
 #include "slog.h"
 
 /*
- * Which parts of the configuration a box stores.  A weak box, one with much
- * less processor time than the strongest of its hall, owns no services: it
+ * Which parts of the configuration a box stores.  A weak box, one with less
+ * than half the power of the strongest in its hall, owns no services: it
  * forwards requests to their owners, and needs only the rules for that.  So it
  * neither lists nor receives backend servers.  On a box with a tenth of a
  * processor a list of 719 backend servers takes 0.3 s and 3 MB, which would be
--- a/home.h
+++ b/home.h
@@ -18,9 +18,9 @@
 #include "str.h"
 
 /*
- * Assigns each service of a hall to one gate, its home, which dispatches all
- * its requests.  A pure function: boxes that know the same gates and services
- * get the same result without any agreement.
+ * Assigns each service of a hall to one gate, its owner or home, which
+ * dispatches all its requests.  A pure function: boxes that know the same gates
+ * and services get the same result without any agreement.
  *
  * Rendezvous hashing alone would give some gates many more services than
  * others.  In a hall of three boxes and few services, one of which gets half of
--- a/libagent.h
+++ b/libagent.h
@@ -141,7 +141,7 @@
 	unsigned nfeeds;
 	bool from_platform; /* objects offered now come from the platform */
 	bool from_copy; /* from a list that may be stale */
-	bool platform_up; /* the platform answered the last call */
+	bool platform_up; /* the platform answers, as far as is known */
 	/* Monotonic ns of the end of the last outage; 0: there was none. */
 	int64_t platform_back;
 	int64_t platform_lost; /* last call without an answer, monotonic ns */
@@ -152,7 +152,7 @@
 	bool boxes_wanted; /* the list of boxes has yet to be fetched */
 	bool is_listed; /* the platform lists this box as it is now */
 	int boxes_fails, status_fails; /* consecutive failed calls */
-	int64_t status_at; /* last write of the status; 0: never */
+	int64_t status_at; /* last write, monotonic ns; 0: never */
 	uint64_t status_version; /* on the platform; 0: none is known */
 	uint64_t status_digest; /* of the status that was sent last */
 	/* Digest of the configuration when a status was last scheduled. */
@@ -184,11 +184,11 @@
 	 */
 	int64_t differs_since;
 	/* agent_gate.c */
-	bool told_ready; /* the gate was sent that it may serve */
+	bool told_ready; /* the gate was notified that it may serve */
 	uint64_t gate_boot; /* start time that the gate reported */
 	uint64_t gate_digest; /* of the gate's configuration */
 	int64_t gate_heard; /* last message from the gate, monotonic ns */
-	int64_t gate_greeted; /* last state sent to it, monotonic ns */
+	int64_t gate_greeted; /* last status sent to it, monotonic ns */
 	bool gate_ready; /* the gate reported that it serves */
 	uint64_t members_hash; /* of the members that the gate was sent */
 	int64_t members_sent; /* monotonic ns; 0: send them again */
