--- a/agent_box.c
+++ b/agent_box.c
@@ -161,20 +161,22 @@
 agent_box_status_soon(struct agent *a)
 {
 	int64_t now = clk_ns(a->clk);
-	int64_t spread =
+	int64_t max_spread =
 	    (int64_t)memb_count_alive(a->memb) * NS_S / STATUS_FLEET_RATE;
-	int64_t at = now + rnd_jitter(a->rnd, STATUS_DELAY_NS + spread);
+	int64_t write_at =
+	    now + rnd_jitter(a->rnd, STATUS_DELAY_NS + max_spread);
 
 	/* Poison records are rare, and must outlive this process. */
 	if (a->poison_unsaved)
-		at = now;
+		write_at = now;
 	else if (a->status_at != 0)
-		at = MAX(at, a->status_at + a->set.status_ms * NS_MS);
+		write_at =
+		    MAX(write_at, a->status_at + a->set.status_ms * NS_MS);
 	a->status_told = conf_digest(a->conf);
 	if (a->status_call != NULL ||
-	    (a->status_timer.set && a->status_timer.item.deadline <= at))
+	    (a->status_timer.set && a->status_timer.item.deadline <= write_at))
 		return;
-	tmr_set(&a->tmr, &a->status_timer, at, write_status, a);
+	tmr_set(&a->tmr, &a->status_timer, write_at, write_status, a);
 }
 
 static void
--- a/agent_peer.c
+++ b/agent_peer.c
@@ -43,18 +43,18 @@
 }
 
 static void
-op_send_status(void *ctx, struct str to, const struct msg_hello *h)
+op_send_status(void *ctx, struct str to, const struct msg_hello *status)
 {
-	struct msg m = {.kind = MSG_HELLO, .u.hello = *h};
+	struct msg m = {.kind = MSG_HELLO, .u.hello = *status};
 	struct agent *a = ctx;
 
 	wire_send(a->wire, to, &m);
 }
 
 static void
-op_send_heartbeat(void *ctx, struct str to, const struct msg_beat *b)
+op_send_heartbeat(void *ctx, struct str to, const struct msg_beat *heartbeat)
 {
-	struct msg m = {.kind = MSG_BEAT, .u.beat = *b};
+	struct msg m = {.kind = MSG_BEAT, .u.beat = *heartbeat};
 	struct agent *a = ctx;
 
 	wire_send(a->wire, to, &m);
@@ -190,7 +190,8 @@
     int64_t now)
 {
 	struct hall_contact contact = {a, a->platform_up};
-	struct spread_difference d = {.near = str_eq(hall, a->set.hall),
+	struct spread_difference difference = {
+	    .near = str_eq(hall, a->set.hall),
 	    .complete = agent_is_complete(a),
 	    .alone = gossip_is_left_alone(a->gossip)};
 
@@ -199,11 +200,11 @@
 	else if (a->differs_since == 0)
 		a->differs_since = now;
 	if (a->differs_since != 0)
-		d.lasts = MAX(now - a->differs_since, 1);
+		difference.lasts = MAX(now - a->differs_since, 1);
 	if (!contact.has_platform)
 		memb_each(a->memb, find_hall_contact, &contact);
-	d.seeing = contact.has_platform;
-	return spread_should_compare(&d);
+	difference.seeing = contact.has_platform;
+	return spread_should_compare(&difference);
 }
 
 /* Handles the digests of another box's configuration. */
@@ -219,10 +220,10 @@
 static void
 handle_status(struct agent *a, const struct msg *m)
 {
-	const struct msg_hello *h = &m->u.hello;
+	const struct msg_hello *status = &m->u.hello;
 
-	gossip_take_hello(a->gossip, m->from, h);
-	handle_config(a, m->from, h->self.hall, &h->holds);
+	gossip_take_hello(a->gossip, m->from, status);
+	handle_config(a, m->from, status->self.hall, &status->holds);
 	agent_gate_tell_ready(a);
 	agent_gate_members_soon(a);
 	run_gossip(a);
@@ -231,13 +232,13 @@
 static void
 handle_heartbeat(struct agent *a, const struct msg *m)
 {
-	const struct msg_beat *b = &m->u.beat;
+	const struct msg_beat *heartbeat = &m->u.beat;
 	const struct memb_member *member;
 
-	gossip_take_beat(a->gossip, m->from, b);
-	member = memb_find(a->memb, b->box);
+	gossip_take_beat(a->gossip, m->from, heartbeat);
+	member = memb_find(a->memb, heartbeat->box);
 	if (member != NULL)
-		handle_config(a, m->from, member->info.hall, &b->holds);
+		handle_config(a, m->from, member->info.hall, &heartbeat->holds);
 	agent_gate_tell_ready(a);
 	run_gossip(a);
 }
--- a/agent_poison.c
+++ b/agent_poison.c
@@ -71,19 +71,19 @@
 }
 
 static json_t *
-record_to_json(struct agent *a, const struct poison_word *w)
+record_to_json(struct agent *a, const struct poison_word *rec)
 {
-	int64_t ago = (clk_ns(a->clk) - w->ended) / NS_MS;
-	int64_t ended = clk_wall_ms(a->clk) - ago;
+	int64_t age_ms = (clk_ns(a->clk) - rec->ended) / NS_MS;
+	int64_t crashed_ms = clk_wall_ms(a->clk) - age_ms;
 	json_t *o = json_object();
 
-	add_hex(o, "hi", w->print.hi);
-	add_hex(o, "lo", w->print.lo);
-	add_hex(o, "caller", w->print.caller);
-	add_hex(o, "first", w->trials[0]);
-	add_hex(o, "second", w->trials[1]);
+	add_hex(o, "hi", rec->print.hi);
+	add_hex(o, "lo", rec->print.lo);
+	add_hex(o, "caller", rec->print.caller);
+	add_hex(o, "first", rec->trials[0]);
+	add_hex(o, "second", rec->trials[1]);
 	json_object_set_new(
-	    o, "ended_s", json_integer((ended + MS_PER_S / 2) / MS_PER_S));
+	    o, "ended_s", json_integer((crashed_ms + MS_PER_S / 2) / MS_PER_S));
 	return o;
 }
 
@@ -112,16 +112,16 @@
 merge_json(struct agent *a, const json_t *o)
 {
 	int64_t now = clk_ns(a->clk);
-	int64_t at = json_integer_value(json_object_get(o, "ended_s"));
-	int64_t ago = clk_wall_ms(a->clk) - at * MS_PER_S;
-	struct poison_word w = {
+	int64_t crashed_s = json_integer_value(json_object_get(o, "ended_s"));
+	int64_t age_ms = clk_wall_ms(a->clk) - crashed_s * MS_PER_S;
+	struct poison_word rec = {
 	    .print = {get_hex(o, "hi"), get_hex(o, "lo"), get_hex(o, "caller")},
 	    .trials = {get_hex(o, "first"), get_hex(o, "second")}};
 
-	if (at <= 0 || ago >= POISON_HOLD_NS / NS_MS)
+	if (crashed_s <= 0 || age_ms >= POISON_HOLD_NS / NS_MS)
 		return;
-	w.ended = now - MAX(ago, 0) * NS_MS;
-	poison_take(a->poison, &w);
+	rec.ended = now - MAX(age_ms, 0) * NS_MS;
+	poison_take(a->poison, &rec);
 }
 
 /* Merges the records in the listed status of a box; `list` may be NULL. */
--- a/agent_probe.c
+++ b/agent_probe.c
@@ -38,7 +38,7 @@
 	struct str backend;
 	struct up_call *call;
 	struct tmr_item timer;
-	enum probe_found found;
+	enum probe_found outcome;
 };
 
 static void on_probe_start(void *, struct str, struct str, struct str);
@@ -84,12 +84,12 @@
 }
 
 static void
-finish_probe(struct probe_call *pc, enum probe_found found)
+finish_probe(struct probe_call *pc, enum probe_found outcome)
 {
 	struct agent *a = pc->agent;
 
 	tmr_clear(&a->tmr, &pc->timer);
-	probe_result(a->probe, pc->backend, found, clk_ns(a->clk));
+	probe_result(a->probe, pc->backend, outcome, clk_ns(a->clk));
 	str_free(&pc->backend);
 	g_free(pc);
 }
@@ -108,13 +108,13 @@
     const h2o_header_t *headers, size_t n)
 {
 	struct probe_call *pc = ctx;
-	struct dial_word word;
+	struct dial_word report;
 
 	(void)call;
-	pc->found = status < 400 ? PROBE_OK : PROBE_FAILED;
-	pc->agent->form->dial->word(status, headers, n, &word);
-	if (word.leaves)
-		pc->found = PROBE_DRAINING;
+	pc->outcome = status < 400 ? PROBE_OK : PROBE_FAILED;
+	pc->agent->form->dial->word(status, headers, n, &report);
+	if (report.leaves)
+		pc->outcome = PROBE_DRAINING;
 }
 
 static void
@@ -123,7 +123,7 @@
 	struct probe_call *pc = ctx;
 
 	(void)call;
-	finish_probe(pc, pc->found);
+	finish_probe(pc, pc->outcome);
 }
 
 static void
--- a/agent_push.c
+++ b/agent_push.c
@@ -74,12 +74,12 @@
 {
 	struct agent *a = p->agent;
 	struct str inbox = to->info.inbox;
-	bool small = spread_to(a->memb, to, origin, false);
+	bool send_small = spread_to(a->memb, to, origin, false);
 
-	if (small)
+	if (send_small)
 		sync_pack_send(&a->sync, c->small, inbox);
 	/* Weak boxes store no backend servers; see agent_scope.c. */
-	if (small && (to->strong || !agent_scope_divides(a)))
+	if (send_small && (to->strong || !agent_scope_divides(a)))
 		sync_pack_send(&a->sync, c->backends, inbox);
 	if (spread_to(a->memb, to, origin, true))
 		sync_pack_send(&a->sync, c->large, inbox);
--- a/agent_watch.c
+++ b/agent_watch.c
@@ -72,9 +72,9 @@
 
 /* Returns the delay in ns after a number of consecutive failures. */
 int64_t
-agent_backoff(struct agent *a, int fails)
+agent_backoff(struct agent *a, int failures)
 {
-	int64_t ns = BACKOFF_FIRST_NS << MIN(fails, BACKOFF_SHIFT_MAX);
+	int64_t ns = BACKOFF_FIRST_NS << MIN(failures, BACKOFF_SHIFT_MAX);
 
 	return rnd_jitter(a->rnd, MIN(ns, a->set.retry_ms * NS_MS));
 }
@@ -103,11 +103,11 @@
 agent_call_ended(struct agent *a, enum plat_result result)
 {
 	bool up = result != PLAT_DOWN && result != PLAT_UNSURE;
-	bool back = up && !a->platform_up;
+	bool recovered = up && !a->platform_up;
 
 	if (!up)
 		cnt_add(a->cnt, AC_PLATFORM_DOWN, 1);
-	if (back)
+	if (recovered)
 		a->platform_back = clk_ns(a->clk);
 	if (!up)
 		a->platform_lost = clk_ns(a->clk);
@@ -119,7 +119,7 @@
 	if (up != a->platform_up)
 		agent_peer_blind(a, !up);
 	a->platform_up = up;
-	if (back)
+	if (recovered)
 		restart_calls(a);
 }
 
@@ -159,11 +159,11 @@
 watch_backoff(struct agent_feed *f)
 {
 	struct agent *a = f->agent;
-	int fails = f->fails++;
+	int failures = f->fails++;
 
 	if (a->unattended)
 		return rnd_jitter(a->rnd, UNATTENDED_RETRY_NS);
-	return agent_backoff(a, fails);
+	return agent_backoff(a, failures);
 }
 
 /* Returns the bit mask of comma-separated kinds. */
@@ -328,13 +328,13 @@
 	struct agent_feed *f = ctx;
 	struct agent *a = f->agent;
 	int64_t now = clk_ns(a->clk);
-	bool asks = agent_asks_platform(a);
+	bool watches = agent_asks_platform(a);
 
-	cnt_set(a->cnt, AC_WATCHING, asks);
+	cnt_set(a->cnt, AC_WATCHING, watches);
 	if (f->call != NULL || a->leaving || !agent_scope_has(a, f) ||
 	    (f != &a->feeds[0] && agent_first_feed_asks(a)))
 		return;
-	if (!asks && (f->complete > 0 || agent_is_complete(a))) {
+	if (!watches && (f->complete > 0 || agent_is_complete(a))) {
 		expire_outage(a);
 		f->listed_at = 0;
 		schedule_call(f, rnd_jitter(a->rnd, AGENT_RECHECK_NS));
--- a/libagent.h
+++ b/libagent.h
@@ -229,7 +229,7 @@
 struct plat_call *
 agent_call(struct agent *, const struct plat_request *, plat_done_fn *, void *);
 void agent_call_ended(struct agent *, enum plat_result);
-int64_t agent_backoff(struct agent *, int fails);
+int64_t agent_backoff(struct agent *, int failures);
 bool agent_first_feed_asks(struct agent *);
 
 /* Applies the changes that a poll of the feed's kinds returned. */
--- a/sync.c
+++ b/sync.c
@@ -111,7 +111,7 @@
 {
 	const struct msg_list *list = &m->u.buckets.digests;
 	const struct msg_u64 *digests = list->items;
-	bool partial = s->partial || m->u.buckets.partial;
+	bool rules_only = s->partial || m->u.buckets.partial;
 	uint64_t differ = 0;
 	unsigned i;
 
@@ -119,7 +119,7 @@
 		return;
 	for (i = 0; i < CONF_BUCKETS; i++)
 		if (digests[i].v != conf_bucket_digest(s->conf, i) &&
-		    !(partial && conf_part_of_bucket(i) == CONF_BACKENDS))
+		    !(rules_only && conf_part_of_bucket(i) == CONF_BACKENDS))
 			differ |= UINT64_C(1) << i;
 	if (differ != 0)
 		send_versions(s, m->from, differ);
@@ -207,7 +207,7 @@
 {
 	const struct msg_list *list = &m->u.versions.versions;
 	const struct msg_version *v = list->items;
-	struct msg want = {.kind = MSG_WANT};
+	struct msg request = {.kind = MSG_WANT};
 	struct missing missing;
 	GArray *keys = g_array_new(FALSE, FALSE, sizeof(struct msg_key));
 	size_t i;
@@ -225,10 +225,10 @@
 	}
 	conf_each(s->conf, add_missing, &missing);
 	send_and_free(s, missing.pack, m->from);
-	want.u.want.keys.items = keys->data;
-	want.u.want.keys.n = keys->len;
+	request.u.want.keys.items = keys->data;
+	request.u.want.keys.n = keys->len;
 	if (keys->len > 0)
-		sync_post(s, m->from, &want);
+		sync_post(s, m->from, &request);
 	g_hash_table_destroy(missing.listed);
 	g_array_free(keys, TRUE);
 }
