--- a/agent_gate.c
+++ b/agent_gate.c
@@ -32,17 +32,17 @@
 {
 	if (a->scope == SCOPE_RULES && memb_count_hubs(a->memb) == 0)
 		return false;
-	return agent_is_complete(a) && a->settled;
+	return agent_conf_is_complete(a) && a->peers_known;
 }
 
 /* Sends the box's status to the gate, with `ready` set if it may serve. */
 void
-agent_gate_hello(struct agent *a)
+agent_gate_send_state(struct agent *a)
 {
-	struct msg m = agent_peer_hello_of(a);
+	struct msg m = agent_peer_own_state(a);
 
-	m.u.hello.self.ready = gate_may_serve(a);
-	wire_send(a->wire, a->set.gate_inbox, &m);
+	m.u.announcement.self.ready = gate_may_serve(a);
+	wire_send(a->wire, a->settings.gate_inbox, &m);
 }
 
 /* Collects the hubs of all halls. */
@@ -70,24 +70,24 @@
 	memb_each(a->memb, add_hub, &list);
 	m.u.members.members.items = (struct memb_info *)list.infos->data;
 	m.u.members.members.n = list.infos->len;
-	m.u.members.fleet = memb_fleet(a->memb);
-	m.u.members.hub = memb_is_hub(a->memb, a->set.box);
-	wire_send(a->wire, a->set.gate_inbox, &m);
+	m.u.members.serving_gates = memb_count_fleet_serving(a->memb);
+	m.u.members.is_hub = memb_is_hub(a->memb, a->settings.box);
+	wire_send(a->wire, a->settings.gate_inbox, &m);
 	g_array_free(list.infos, TRUE);
 }
 
 /* Notifies the gate as soon as it may serve. */
 void
-agent_gate_tell_ready(struct agent *a)
+agent_gate_send_ready(struct agent *a)
 {
 	bool ready = gate_may_serve(a);
 
-	if (ready && !a->told_ready) {
+	if (ready && !a->ready_sent) {
 		/* The gate needs the hubs to find the owners of services. */
 		send_hubs(a);
-		agent_gate_hello(a);
+		agent_gate_send_state(a);
 	}
-	a->told_ready = ready;
+	a->ready_sent = ready;
 }
 
 /* Sends the members if they changed, or if the last list is old. */
@@ -96,63 +96,65 @@
 {
 	struct agent *a = ctx;
 	int64_t now = clk_ns(a->clk);
-	uint64_t hash = memb_digest_hubs(a->memb) + memb_fleet(a->memb);
+	uint64_t hash =
+	    memb_digest_hubs(a->memb) + memb_count_fleet_serving(a->memb);
 
-	if (hash == a->members_hash &&
-	    now - a->members_sent <= MEMBERS_REFRESH_NS)
+	if (hash == a->members_sent_hash &&
+	    now - a->members_sent_at <= MEMBERS_REFRESH_NS)
 		return;
-	a->members_hash = hash;
-	a->members_sent = now;
+	a->members_sent_hash = hash;
+	a->members_sent_at = now;
 	send_hubs(a);
 }
 
 /* Members change often while all boxes start, so that changes are combined. */
 void
-agent_gate_members_soon(struct agent *a)
+agent_gate_schedule_members(struct agent *a)
 {
-	if (!a->members_timer.set)
+	if (!a->members_timer.armed)
 		tmr_set(&a->tmr, &a->members_timer,
 		    clk_ns(a->clk) + MEMBERS_DELAY_NS, send_members, a);
 }
 
 /* Handles a status message of the gate. */
 void
-agent_gate_take(struct agent *a, const struct msg *m)
+agent_gate_on_status(struct agent *a, const struct msg *m)
 {
-	const struct msg_gate *status = &m->u.gate;
+	const struct msg_gate_status *status = &m->u.gate_status;
 	struct memb_info *self = memb_self(a->memb);
 	bool was_leaving = self->leaving;
-	bool is_new = status->boot != a->gate_boot, starts_serving;
+	bool is_new = status->started_ms != a->gate_boot, starts_serving;
 
-	a->gate_heard = clk_ns(a->clk);
-	if (status->holds.digest != a->gate_digest ||
+	a->gate_received_at = clk_ns(a->clk);
+	if (status->conf_summary.digest != a->gate_digest ||
 	    status->ready != a->gate_ready)
-		agent_box_status_soon(a);
-	a->gate_boot = status->boot;
-	a->gate_digest = status->holds.digest;
+		agent_box_schedule_status(a);
+	a->gate_boot = status->started_ms;
+	a->gate_digest = status->conf_summary.digest;
 	a->gate_ready = status->ready;
 	if (is_new) {
 		/* The gate restarted: peers must drop the old state. */
-		self->boot = MAX(self->boot + 1, status->boot);
+		self->started_ms =
+		    MAX(self->started_ms + 1, status->started_ms);
 		self->leaving = false;
-		a->members_sent = 0;
-		agent_probe_tell_gate(a);
+		a->members_sent_at = 0;
+		agent_probe_send_to_gate(a);
 	}
 	starts_serving = status->ready && !self->ready;
 	if (is_new || self->ready != status->ready) {
 		self->ready = status->ready;
-		memb_changed(a->memb);
+		memb_self_changed(a->memb);
 	}
 	if (starts_serving && memb_is_hub(a->memb, self->box))
-		agent_peer_ready(a);
+		agent_peer_announce_ready(a);
 	if (status->leaving && !was_leaving)
-		agent_peer_leave(a);
+		agent_peer_announce_leaving(a);
 	else if (is_new)
-		agent_gate_hello(a);
-	if (status->doubted.n > 0)
-		agent_peer_doubt(a, status->doubted);
-	sync_compare(&a->sync, m->from, &status->holds);
-	agent_gate_members_soon(a);
+		agent_gate_send_state(a);
+	if (status->suspect_box.n > 0)
+		agent_peer_suspect(a, status->suspect_box);
+	sync_compare(&a->sync, m->from, &status->conf_summary);
+	agent_gate_schedule_members(a);
 }
 
 void
@@ -160,15 +162,15 @@
 {
 	struct memb_info *self = memb_self(a->memb);
 
-	if (self->ready && now - a->gate_heard > GATE_TIMEOUT_NS) {
+	if (self->ready && now - a->gate_received_at > GATE_TIMEOUT_NS) {
 		self->ready = false;
-		memb_changed(a->memb);
+		memb_self_changed(a->memb);
 		slog(SLOG_AGENT, "gate does not answer", "for_ms=%lld",
-		    (long long)((now - a->gate_heard) / NS_MS));
+		    (long long)((now - a->gate_received_at) / NS_MS));
 	}
-	if (now - a->gate_greeted >= a->set.hello_ms * NS_MS) {
-		a->gate_greeted = now;
-		agent_gate_hello(a);
+	if (now - a->gate_sent_at >= a->settings.hello_ms * NS_MS) {
+		a->gate_sent_at = now;
+		agent_gate_send_state(a);
 	}
-	agent_gate_members_soon(a);
+	agent_gate_schedule_members(a);
 }
--- a/agent_lapse.c
+++ b/agent_lapse.c
@@ -42,9 +42,9 @@
 }
 
 void
-agent_lapse_open(struct agent *a)
+agent_deletion_open(struct agent *a)
 {
-	a->lapses = g_hash_table_new_full(
+	a->held_deletions = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, NULL, held_deletion_free);
 }
 
@@ -61,11 +61,11 @@
 	    still_missing ? "lapsed entry is gone" : "lapsed entry came back",
 	    "key=%.*s version=%llu", STR_ARG(held->key),
 	    (unsigned long long)held->version);
-	a->from_platform = true;
+	a->offer_from_platform = true;
 	conf_offer(a->conf, held->key, held->version, true, NULL,
 	    STR_LIT("platform"), NULL);
-	a->from_platform = false;
-	g_hash_table_remove(a->lapses, held->key.p);
+	a->offer_from_platform = false;
+	g_hash_table_remove(a->held_deletions, held->key.p);
 }
 
 /*
@@ -73,7 +73,8 @@
  * true if the deletion is held, and the caller must not apply it.
  */
 bool
-agent_lapse_hold(struct agent *a, const struct conf_entry *e, uint64_t version)
+agent_deletion_hold(
+    struct agent *a, const struct conf_entry *e, uint64_t version)
 {
 	int64_t now = clk_ns(a->clk), apply_at = now + HOLD_NS;
 	struct held_deletion *held;
@@ -81,19 +82,19 @@
 	if (e == NULL || e->kind != OBJ_BACKEND || e->obj == NULL ||
 	    e->obj->u.backend.drain || version < e->version)
 		return false;
-	held = g_hash_table_lookup(a->lapses, e->key.p);
+	held = g_hash_table_lookup(a->held_deletions, e->key.p);
 	if (held != NULL) {
 		held->version = MAX(held->version, version);
 		return true;
 	}
-	if (a->platform_back != 0)
+	if (a->platform_up_at != 0)
 		apply_at =
-		    MAX(apply_at, a->platform_back + HOLD_AFTER_OUTAGE_NS);
+		    MAX(apply_at, a->platform_up_at + HOLD_AFTER_OUTAGE_NS);
 	held = g_new0(struct held_deletion, 1);
 	held->agent = a;
 	held->key = str_dup(e->key);
 	held->version = version;
-	g_hash_table_insert(a->lapses, (char *)held->key.p, held);
+	g_hash_table_insert(a->held_deletions, (char *)held->key.p, held);
 	tmr_set(&a->tmr, &held->timer, apply_at, apply_deletion, held);
 	slog(SLOG_WATCH, "entry lapsed, deletion is held",
 	    "key=%.*s version=%llu hold_ms=%lld", STR_ARG(e->key),
--- a/agent_look.c
+++ b/agent_look.c
@@ -25,7 +25,8 @@
  */
 
 enum {
-	/* More boxes poll until the platform answers MEMB_SEEING_MIN of them.
+	/* More boxes poll until the platform answers
+	 * MEMB_WATCHERS_WITH_PLATFORM_MIN of them.
 	 */
 	POLLERS = 1,
 	/* The first feed is polled each time, the others each third time. */
@@ -45,8 +46,9 @@
 static bool
 is_poller(struct agent *a)
 {
-	return a->unheard ||
-	    (agent_is_watcher(a) && memb_watches(a->memb, a->set.box, POLLERS));
+	return a->platform_silent ||
+	    (agent_is_watcher(a) &&
+		memb_is_watcher(a->memb, a->settings.box, POLLERS));
 }
 
 /*
@@ -60,10 +62,10 @@
 	struct agent *a = poll->agent;
 
 	if (clk_ns(a->clk) - poll->started_at < POLL_TIMEOUT_MS * NS_MS ||
-	    poll->started_at < a->look_answered)
+	    poll->started_at < a->poll_answered_at)
 		return;
-	a->unheard = true;
-	agent_call_ended(a, PLAT_DOWN);
+	a->platform_silent = true;
+	agent_platform_call_ended(a, PLAT_UNAVAILABLE);
 }
 
 static void
@@ -71,11 +73,11 @@
 {
 	struct agent *a = poll->agent;
 
-	a->look_answered = MAX(a->look_answered, poll->started_at);
-	if (!a->unheard)
+	a->poll_answered_at = MAX(a->poll_answered_at, poll->started_at);
+	if (!a->platform_silent)
 		return;
-	a->unheard = false;
-	agent_call_ended(a, PLAT_OK);
+	a->platform_silent = false;
+	agent_platform_call_ended(a, PLAT_OK);
 }
 
 static void
@@ -83,14 +85,14 @@
 {
 	struct poll *poll = ctx;
 
-	if (result == PLAT_DOWN)
+	if (result == PLAT_UNAVAILABLE)
 		record_timeout(poll);
 	else
 		record_answer(poll);
 	if (result == PLAT_OK)
-		agent_watch_told(poll->feed, body);
+		agent_watch_apply(poll->feed, body);
 	else if (result == PLAT_TOO_OLD)
-		agent_watch_missed(poll->feed);
+		agent_watch_history_lost(poll->feed);
 	g_free(poll);
 }
 
@@ -100,18 +102,18 @@
 	struct agent *a = f->agent;
 	struct plat_request rq = {.op = PLAT_WATCH,
 	    .kind = str_c(f->kinds),
-	    .version = f->since,
+	    .version = f->reached_revision,
 	    .timeout_ms = POLL_TIMEOUT_MS};
 	struct poll *poll;
 
-	if (f->since == 0 || !agent_scope_has(a, f))
+	if (f->reached_revision == 0 || !agent_scope_includes(a, f))
 		return;
 	poll = g_new0(struct poll, 1);
 	poll->agent = a;
 	poll->feed = f;
 	poll->started_at = clk_ns(a->clk);
-	cnt_add(a->cnt, AC_LOOKS, 1);
-	if (agent_call(a, &rq, on_poll_done, poll) == NULL)
+	cnt_add(a->cnt, AC_PLATFORM_POLLS, 1);
+	if (agent_platform_call(a, &rq, on_poll_done, poll) == NULL)
 		g_free(poll);
 }
 
@@ -119,10 +121,10 @@
 static void
 schedule_poll(struct agent *a)
 {
-	int64_t delay =
-	    a->set.look_ms > 0 ? a->set.look_ms * NS_MS : AGENT_RECHECK_NS;
+	int64_t delay = a->settings.look_ms > 0 ? a->settings.look_ms * NS_MS
+						: AGENT_RECHECK_NS;
 
-	tmr_set(&a->tmr, &a->look_timer,
+	tmr_set(&a->tmr, &a->poll_timer,
 	    clk_ns(a->clk) + rnd_jitter(a->rnd, delay), on_poll_timer, a);
 }
 
@@ -133,15 +135,15 @@
 	unsigned i, n;
 
 	schedule_poll(a);
-	if (a->set.look_ms == 0 || a->leaving || !is_poller(a))
+	if (a->settings.look_ms == 0 || a->leaving || !is_poller(a))
 		return;
-	n = a->looks++ % OTHER_FEEDS_EVERY == 0 ? a->nfeeds : 1;
+	n = a->polls++ % OTHER_FEEDS_EVERY == 0 ? a->nfeeds : 1;
 	for (i = 0; i < n; i++)
 		poll_feed(&a->feeds[i]);
 }
 
 void
-agent_look_open(struct agent *a)
+agent_poll_open(struct agent *a)
 {
 	schedule_poll(a);
 }
--- a/agent_peer.c
+++ b/agent_peer.c
@@ -33,28 +33,29 @@
 
 /* Returns a status message with this box's state and configuration digests. */
 struct msg
-agent_peer_hello_of(const struct agent *a)
+agent_peer_own_state(const struct agent *a)
 {
-	struct msg m = {.kind = MSG_HELLO};
+	struct msg m = {.kind = MSG_ANNOUNCEMENT};
 
-	m.u.hello.self = *memb_self(a->memb);
-	m.u.hello.holds = sync_holds(&a->sync);
+	m.u.announcement.self = *memb_self(a->memb);
+	m.u.announcement.conf_summary = sync_conf_summary(&a->sync);
 	return m;
 }
 
 static void
-op_send_status(void *ctx, struct str to, const struct msg_hello *status)
+op_send_status(void *ctx, struct str to, const struct msg_announcement *status)
 {
-	struct msg m = {.kind = MSG_HELLO, .u.hello = *status};
+	struct msg m = {.kind = MSG_ANNOUNCEMENT, .u.announcement = *status};
 	struct agent *a = ctx;
 
 	wire_send(a->wire, to, &m);
 }
 
 static void
-op_send_heartbeat(void *ctx, struct str to, const struct msg_beat *heartbeat)
+op_send_heartbeat(
+    void *ctx, struct str to, const struct msg_heartbeat *heartbeat)
 {
-	struct msg m = {.kind = MSG_BEAT, .u.beat = *heartbeat};
+	struct msg m = {.kind = MSG_HEARTBEAT, .u.heartbeat = *heartbeat};
 	struct agent *a = ctx;
 
 	wire_send(a->wire, to, &m);
@@ -69,29 +70,29 @@
 	wire_send(a->wire, to, &m);
 }
 
-static struct msg_holds
+static struct msg_conf_summary
 op_config(void *ctx)
 {
 	struct agent *a = ctx;
 
-	return sync_holds(&a->sync);
+	return sync_conf_summary(&a->sync);
 }
 
 static void
 op_list_boxes(void *ctx)
 {
-	agent_box_list(ctx);
+	agent_box_fetch_list(ctx);
 }
 
 void
 agent_peer_configure(struct agent *a)
 {
-	struct gossip_set set = {
-	    .hello_ns = a->set.hello_ms * NS_MS,
-	    .list_ns = a->set.boxes_ms * NS_MS,
-	    .list_other_ns = HUB_LIST_INTERVAL_NS,
-	    .watchers = (int)a->set.watchers,
-	    .seeds = a->set.seeds,
+	struct gossip_settings set = {
+	    .announce_interval_ns = a->settings.hello_ms * NS_MS,
+	    .list_interval_ns = a->settings.boxes_ms * NS_MS,
+	    .hub_list_interval_ns = HUB_LIST_INTERVAL_NS,
+	    .watchers = (int)a->settings.watchers,
+	    .seeds = a->settings.seeds,
 	};
 
 	gossip_configure(a->gossip, &set);
@@ -116,13 +117,13 @@
 static void
 check_peers_known(struct agent *a)
 {
-	if (a->settled || !gossip_settled(a->gossip))
+	if (a->peers_known || !gossip_is_settled(a->gossip))
 		return;
-	a->settled = true;
+	a->peers_known = true;
 	slog(SLOG_PEER, "knows the other boxes", "asked=%u alive=%zu hubs=%zu",
-	    gossip_asked(a->gossip), memb_count_alive(a->memb),
+	    gossip_initial_requests(a->gossip), memb_count_alive(a->memb),
 	    memb_count_hubs(a->memb));
-	agent_gate_tell_ready(a);
+	agent_gate_send_ready(a);
 }
 
 /*
@@ -145,7 +146,7 @@
 	    "hubs=%zu alive=%zu conf_age_ms=%lld", memb_count_hubs(a->memb),
 	    memb_count_alive(a->memb), (long long)sync_age_ms(&a->sync));
 	if (unattended)
-		agent_watch_unattended(a);
+		agent_watch_start_unattended(a);
 }
 
 /* Runs the gossip actions that are due and sets the timer for the next. */
@@ -162,10 +163,10 @@
 
 /* Handles a new list of boxes, which is in memb already. */
 void
-agent_peer_listed(struct agent *a)
+agent_peer_on_boxes_listed(struct agent *a)
 {
-	gossip_listed(a->gossip);
-	agent_scope_look(a);
+	gossip_list_received(a->gossip);
+	agent_scope_update(a);
 	run_gossip(a);
 }
 
@@ -180,39 +181,39 @@
 {
 	struct hall_contact *contact = ctx;
 
-	if (memb_alive(m) && !m->info.blind &&
-	    str_eq(m->info.hall, contact->agent->set.hall))
+	if (memb_is_alive(m) && !m->info.platform_unreachable &&
+	    str_eq(m->info.hall, contact->agent->settings.hall))
 		contact->has_platform = true;
 }
 
 static bool
-should_compare(struct agent *a, struct str hall, const struct msg_holds *config,
-    int64_t now)
+should_compare(struct agent *a, struct str hall,
+    const struct msg_conf_summary *config, int64_t now)
 {
 	struct hall_contact contact = {a, a->platform_up};
 	struct spread_difference difference = {
-	    .near = str_eq(hall, a->set.hall),
-	    .complete = agent_is_complete(a),
-	    .alone = gossip_is_left_alone(a->gossip)};
+	    .same_hall = str_eq(hall, a->settings.hall),
+	    .lists_complete = agent_conf_is_complete(a),
+	    .hall_box_silent = gossip_has_unresponsive_peer(a->gossip)};
 
-	if (sync_equal(&a->sync, config))
+	if (sync_is_equal(&a->sync, config))
 		a->differs_since = 0;
 	else if (a->differs_since == 0)
 		a->differs_since = now;
 	if (a->differs_since != 0)
-		difference.lasts = MAX(now - a->differs_since, 1);
+		difference.duration_ns = MAX(now - a->differs_since, 1);
 	if (!contact.has_platform)
 		memb_each(a->memb, find_hall_contact, &contact);
-	difference.seeing = contact.has_platform;
+	difference.hall_has_platform = contact.has_platform;
 	return spread_should_compare(&difference);
 }
 
 /* Handles the digests of another box's configuration. */
 static void
 handle_config(struct agent *a, struct str from, struct str hall,
-    const struct msg_holds *config)
+    const struct msg_conf_summary *config)
 {
-	sync_hear(&a->sync, config);
+	sync_confirm_from_peer(&a->sync, config);
 	if (should_compare(a, hall, config, clk_ns(a->clk)))
 		sync_compare(&a->sync, from, config);
 }
@@ -220,34 +221,35 @@
 static void
 handle_status(struct agent *a, const struct msg *m)
 {
-	const struct msg_hello *status = &m->u.hello;
+	const struct msg_announcement *status = &m->u.announcement;
 
-	gossip_take_hello(a->gossip, m->from, status);
-	handle_config(a, m->from, status->self.hall, &status->holds);
-	agent_gate_tell_ready(a);
-	agent_gate_members_soon(a);
+	gossip_on_announcement(a->gossip, m->from, status);
+	handle_config(a, m->from, status->self.hall, &status->conf_summary);
+	agent_gate_send_ready(a);
+	agent_gate_schedule_members(a);
 	run_gossip(a);
 }
 
 static void
 handle_heartbeat(struct agent *a, const struct msg *m)
 {
-	const struct msg_beat *heartbeat = &m->u.beat;
+	const struct msg_heartbeat *heartbeat = &m->u.heartbeat;
 	const struct memb_member *member;
 
-	gossip_take_beat(a->gossip, m->from, heartbeat);
+	gossip_on_heartbeat(a->gossip, m->from, heartbeat);
 	member = memb_find(a->memb, heartbeat->box);
 	if (member != NULL)
-		handle_config(a, m->from, member->info.hall, &heartbeat->holds);
-	agent_gate_tell_ready(a);
+		handle_config(
+		    a, m->from, member->info.hall, &heartbeat->conf_summary);
+	agent_gate_send_ready(a);
 	run_gossip(a);
 }
 
 static void
 handle_members(struct agent *a, const struct msg_members *list)
 {
-	gossip_take_members(a->gossip, list);
-	agent_gate_members_soon(a);
+	gossip_on_members(a->gossip, list);
+	agent_gate_schedule_members(a);
 	run_gossip(a);
 }
 
@@ -257,16 +259,16 @@
 	if (memb_tick(a->memb, now))
 		slog(SLOG_PEER, "a box did not answer", "alive=%zu hubs=%zu",
 		    memb_count_alive(a->memb), memb_count_hubs(a->memb));
-	agent_scope_look(a);
+	agent_scope_update(a);
 	agent_box_tick(a);
 }
 
 /* Announces to other boxes whether the platform answers this box. */
 void
-agent_peer_blind(struct agent *a, bool blind)
+agent_peer_announce_outage(struct agent *a, bool blind)
 {
-	memb_self(a->memb)->blind = blind;
-	memb_changed(a->memb);
+	memb_self(a->memb)->platform_unreachable = blind;
+	memb_self_changed(a->memb);
 	gossip_announce(a->gossip, false);
 }
 
@@ -277,57 +279,57 @@
  * they would overload the backend servers.
  */
 void
-agent_peer_ready(struct agent *a)
+agent_peer_announce_ready(struct agent *a)
 {
 	gossip_announce(a->gossip, false);
 	run_gossip(a);
 }
 
 void
-agent_peer_leave(struct agent *a)
+agent_peer_announce_leaving(struct agent *a)
 {
 	slog(SLOG_PEER, "box announces that it is leaving", "boxes=%zu",
 	    memb_count_alive(a->memb));
 	memb_self(a->memb)->leaving = true;
-	memb_changed(a->memb);
+	memb_self_changed(a->memb);
 	gossip_announce(a->gossip, true);
-	agent_box_status_soon(a);
+	agent_box_schedule_status(a);
 }
 
 /* The gate got no answer from the gate of another box; probes that box. */
 void
-agent_peer_doubt(struct agent *a, struct str box)
+agent_peer_suspect(struct agent *a, struct str box)
 {
-	gossip_doubt(a->gossip, box);
+	gossip_check_suspect(a->gossip, box);
 	run_gossip(a);
 }
 
 void
-agent_peer_take(void *ctx, const struct msg *m)
+agent_peer_on_message(void *ctx, const struct msg *m)
 {
 	struct agent *a = ctx;
 
 	switch (m->kind) {
-	case MSG_HELLO:
+	case MSG_ANNOUNCEMENT:
 		handle_status(a, m);
 		break;
-	case MSG_BEAT:
+	case MSG_HEARTBEAT:
 		handle_heartbeat(a, m);
 		break;
 	case MSG_SUSPECTS:
-		agent_poison_take(a, &m->u.suspects);
+		agent_poison_merge(a, &m->u.suspects);
 		break;
-	case MSG_GATE:
-		agent_gate_take(a, m);
+	case MSG_GATE_STATUS:
+		agent_gate_on_status(a, m);
 		break;
 	case MSG_MEMBERS:
 		handle_members(a, &m->u.members);
 		break;
 	case MSG_HEALTH:
-		agent_probe_take(a, &m->u.health);
+		agent_probe_on_health(a, &m->u.health);
 		break;
 	default:
-		sync_take(&a->sync, m);
+		sync_on_message(&a->sync, m);
 		break;
 	}
 }
--- a/agent_poison.c
+++ b/agent_poison.c
@@ -52,36 +52,37 @@
 static void
 send_to_gate(struct agent *a)
 {
-	struct msg_suspect items[POISON_WORDS];
+	struct msg_suspect items[POISON_MSG_RECORDS_MAX];
 	struct msg m = {.kind = MSG_SUSPECTS};
-	unsigned n = poison_msg_write(a->poison, clk_ns(a->clk), items);
+	unsigned n = poison_msg_encode(a->poison, clk_ns(a->clk), items);
 
 	m.u.suspects.suspects = (struct msg_list){items, n};
 	if (n > 0)
-		wire_send(a->wire, a->set.gate_inbox, &m);
+		wire_send(a->wire, a->settings.gate_inbox, &m);
 }
 
 /* Merges records of the gate, which has proved a request by its own trials. */
 void
-agent_poison_take(struct agent *a, const struct msg_suspects *m)
+agent_poison_merge(struct agent *a, const struct msg_suspects *m)
 {
-	poison_tick(a->poison);
-	poison_msg_take(a->poison, clk_ns(a->clk), m);
-	a->poison_unsaved = a->poison_unsaved || poison_proved(a->poison) > 0;
+	poison_expire(a->poison);
+	poison_msg_merge(a->poison, clk_ns(a->clk), m);
+	a->poison_unsaved =
+	    a->poison_unsaved || poison_count_proved(a->poison) > 0;
 }
 
 static json_t *
-record_to_json(struct agent *a, const struct poison_word *rec)
+record_to_json(struct agent *a, const struct poison_record *rec)
 {
-	int64_t age_ms = (clk_ns(a->clk) - rec->ended) / NS_MS;
+	int64_t age_ms = (clk_ns(a->clk) - rec->crashed_at) / NS_MS;
 	int64_t crashed_ms = clk_wall_ms(a->clk) - age_ms;
 	json_t *o = json_object();
 
-	add_hex(o, "hi", rec->print.hi);
-	add_hex(o, "lo", rec->print.lo);
-	add_hex(o, "caller", rec->print.caller);
-	add_hex(o, "first", rec->trials[0]);
-	add_hex(o, "second", rec->trials[1]);
+	add_hex(o, "hi", rec->fingerprint.hi);
+	add_hex(o, "lo", rec->fingerprint.lo);
+	add_hex(o, "caller", rec->fingerprint.caller);
+	add_hex(o, "first", rec->trial_ids[0]);
+	add_hex(o, "second", rec->trial_ids[1]);
 	json_object_set_new(
 	    o, "ended_s", json_integer((crashed_ms + MS_PER_S / 2) / MS_PER_S));
 	return o;
@@ -94,12 +95,13 @@
 json_t *
 agent_poison_spec(struct agent *a)
 {
-	struct poison_word records[POISON_WORDS];
-	unsigned i, n = poison_words(a->poison, records);
+	struct poison_record records[POISON_MSG_RECORDS_MAX];
+	unsigned i, n = poison_records(a->poison, records);
 	json_t *list = json_array();
 
 	for (i = 0; i < n; i++)
-		if (poison_look(a->poison, records[i].print) == POISON_PROVED)
+		if (poison_status_of(a->poison, records[i].fingerprint) ==
+		    POISON_PROVED)
 			json_array_append_new(
 			    list, record_to_json(a, &records[i]));
 	if (json_array_size(list) > 0)
@@ -114,19 +116,19 @@
 	int64_t now = clk_ns(a->clk);
 	int64_t crashed_s = json_integer_value(json_object_get(o, "ended_s"));
 	int64_t age_ms = clk_wall_ms(a->clk) - crashed_s * MS_PER_S;
-	struct poison_word rec = {
-	    .print = {get_hex(o, "hi"), get_hex(o, "lo"), get_hex(o, "caller")},
-	    .trials = {get_hex(o, "first"), get_hex(o, "second")}};
+	struct poison_record rec = {.fingerprint = {get_hex(o, "hi"),
+					get_hex(o, "lo"), get_hex(o, "caller")},
+	    .trial_ids = {get_hex(o, "first"), get_hex(o, "second")}};
 
 	if (crashed_s <= 0 || age_ms >= POISON_HOLD_NS / NS_MS)
 		return;
-	rec.ended = now - MAX(age_ms, 0) * NS_MS;
-	poison_take(a->poison, &rec);
+	rec.crashed_at = now - MAX(age_ms, 0) * NS_MS;
+	poison_merge(a->poison, &rec);
 }
 
 /* Merges the records in the listed status of a box; `list` may be NULL. */
 void
-agent_poison_listed(struct agent *a, const json_t *list)
+agent_poison_merge_listed(struct agent *a, const json_t *list)
 {
 	const json_t *o;
 	size_t i;
@@ -137,8 +139,8 @@
 
 /* Called after the whole list of boxes was read, before the gate may serve. */
 void
-agent_poison_tell(struct agent *a)
+agent_poison_send_to_gate(struct agent *a)
 {
-	poison_tick(a->poison);
+	poison_expire(a->poison);
 	send_to_gate(a);
 }
--- a/agent_probe.c
+++ b/agent_probe.c
@@ -28,7 +28,7 @@
 
 /* State of a backend server, by probes of this box or of another one. */
 struct health {
-	enum msg_state state;
+	enum msg_health_state state;
 	uint64_t at_ms;
 };
 
@@ -38,18 +38,19 @@
 	struct str backend;
 	struct up_call *call;
 	struct tmr_item timer;
-	enum probe_found outcome;
+	enum probe_outcome outcome;
 };
 
 static void on_probe_start(void *, struct str, struct str, struct str);
-static void on_state_changed(void *, struct str, enum msg_state);
+static void on_state_changed(void *, struct str, enum msg_health_state);
 static void
 on_head(void *, struct up_call *, int, const h2o_header_t *, size_t);
 static void on_end(void *, struct up_call *);
 static void on_fail(void *, struct up_call *, enum err_kind);
 static void on_timeout(void *);
-static void finish_probe(struct probe_call *, enum probe_found);
-static void store_state(struct agent *, struct str, enum msg_state, uint64_t);
+static void finish_probe(struct probe_call *, enum probe_outcome);
+static void
+store_state(struct agent *, struct str, enum msg_health_state, uint64_t);
 static void add_service_targets(void *, const struct route_service *);
 
 static const struct up_ops probe_call_ops = {
@@ -60,7 +61,7 @@
 {
 	struct probe_ops ops = {on_probe_start, on_state_changed, a};
 
-	a->probe = probe_new(&ops, a->rnd, (double)a->set.probe_rate);
+	a->probe = probe_new(&ops, a->rnd, (double)a->settings.probe_rate);
 	a->health =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
@@ -84,12 +85,12 @@
 }
 
 static void
-finish_probe(struct probe_call *pc, enum probe_found outcome)
+finish_probe(struct probe_call *pc, enum probe_outcome outcome)
 {
 	struct agent *a = pc->agent;
 
 	tmr_clear(&a->tmr, &pc->timer);
-	probe_result(a->probe, pc->backend, outcome, clk_ns(a->clk));
+	probe_record_outcome(a->probe, pc->backend, outcome, clk_ns(a->clk));
 	str_free(&pc->backend);
 	g_free(pc);
 }
@@ -108,12 +109,12 @@
     const h2o_header_t *headers, size_t n)
 {
 	struct probe_call *pc = ctx;
-	struct dial_word report;
+	struct dial_report report;
 
 	(void)call;
 	pc->outcome = status < 400 ? PROBE_OK : PROBE_FAILED;
-	pc->agent->form->dial->word(status, headers, n, &report);
-	if (report.leaves)
+	pc->agent->form->dialect->parse_report(status, headers, n, &report);
+	if (report.leaving)
 		pc->outcome = PROBE_DRAINING;
 }
 
@@ -135,8 +136,8 @@
 }
 
 static void
-store_state(
-    struct agent *a, struct str backend, enum msg_state state, uint64_t at_ms)
+store_state(struct agent *a, struct str backend, enum msg_health_state state,
+    uint64_t at_ms)
 {
 	char *key = g_strndup(backend.p, backend.n);
 	struct health *health = g_hash_table_lookup(a->health, key);
@@ -153,22 +154,23 @@
 }
 
 static void
-send_state(struct agent *a, struct str backend, enum msg_state state, bool all)
+send_state(
+    struct agent *a, struct str backend, enum msg_health_state state, bool all)
 {
-	struct msg_state_of st = {
+	struct msg_backend_health st = {
 	    backend, state, (uint64_t)clk_wall_ms(a->clk)};
 	struct msg m = {.kind = MSG_HEALTH};
 
-	store_state(a, backend, state, st.at_ms);
+	store_state(a, backend, state, st.probed_ms);
 	m.u.health.states.items = &st;
 	m.u.health.states.n = 1;
-	wire_send(a->wire, a->set.gate_inbox, &m);
+	wire_send(a->wire, a->settings.gate_inbox, &m);
 	if (all)
-		agent_push_all(a, &m);
+		agent_push_to_all(a, &m);
 }
 
 static void
-on_state_changed(void *ctx, struct str backend, enum msg_state state)
+on_state_changed(void *ctx, struct str backend, enum msg_health_state state)
 {
 	static const char *const names[] = {
 	    "unknown", "up", "down", "draining"};
@@ -180,21 +182,21 @@
 
 /* Stores states from another box, unless older, and forwards them. */
 void
-agent_probe_take(struct agent *a, const struct msg_health *health)
+agent_probe_on_health(struct agent *a, const struct msg_health *health)
 {
-	const struct msg_state_of *st = health->states.items;
+	const struct msg_backend_health *st = health->states.items;
 	struct msg m = {.kind = MSG_HEALTH};
 	size_t i;
 
 	for (i = 0; i < health->states.n; i++)
-		store_state(
-		    a, st[i].backend, (enum msg_state)st[i].state, st[i].at_ms);
+		store_state(a, st[i].backend,
+		    (enum msg_health_state)st[i].state, st[i].probed_ms);
 	m.u.health = *health;
-	wire_send(a->wire, a->set.gate_inbox, &m);
+	wire_send(a->wire, a->settings.gate_inbox, &m);
 }
 
 void
-agent_probe_tell_gate(struct agent *a)
+agent_probe_send_to_gate(struct agent *a)
 {
 	const struct health *health;
 	GHashTableIter it;
@@ -214,10 +216,10 @@
 static bool
 is_prober(struct agent *a, struct str backend, struct str hall)
 {
-	const struct memb_info *hubs[MEMB_HUBS];
+	const struct memb_info *hubs[MEMB_HUBS_MAX];
 	bool has_hubs = memb_hubs(a->memb, hall, hubs) > 0;
 
-	return memb_is_first(
+	return memb_is_in_top_hubs(
 	    a->memb, backend, has_hubs ? hall : str_c(NULL), 1);
 }
 
@@ -233,7 +235,8 @@
 		hall = &svc->halls[i];
 		for (j = 0; j < hall->n; j++)
 			if (is_prober(a, hall->backends[j].name, hall->hall))
-				probe_want(a->probe, hall->backends[j].name,
+				probe_targets_add(a->probe,
+				    hall->backends[j].name,
 				    hall->backends[j].address,
 				    svc->obj->probe_path,
 				    svc->obj->probe_ms * NS_MS, now);
@@ -248,15 +251,15 @@
 		a->routes = route_build(a->conf);
 		a->targets_dirty = false;
 	}
-	probe_begin(a->probe);
+	probe_targets_begin(a->probe);
 	route_each(a->routes, add_service_targets, a);
-	probe_commit(a->probe);
+	probe_targets_commit(a->probe);
 }
 
 static void
-resend_state(void *ctx, struct str backend, enum msg_state state)
+resend_state(void *ctx, struct str backend, enum msg_health_state state)
 {
-	if (state == STATE_DOWN || state == STATE_DRAINING)
+	if (state == HEALTH_DOWN || state == HEALTH_DRAINING)
 		send_state(ctx, backend, state, true);
 }
 
@@ -277,9 +280,9 @@
 		health = value;
 		if (now - health->at_ms < HEALTH_EXPIRE_MS)
 			continue;
-		if (health->state == STATE_DOWN ||
-		    health->state == STATE_DRAINING)
-			send_state(a, str_c(key), STATE_UNKNOWN, false);
+		if (health->state == HEALTH_DOWN ||
+		    health->state == HEALTH_DRAINING)
+			send_state(a, str_c(key), HEALTH_UNKNOWN, false);
 		else
 			g_hash_table_iter_remove(&it);
 	}
@@ -288,14 +291,14 @@
 void
 agent_probe_tick(struct agent *a, int64_t now)
 {
-	if (a->set.probe_rate == 0)
+	if (a->settings.probe_rate == 0)
 		return;
-	if (now - a->targets_at > TARGETS_INTERVAL_NS) {
-		a->targets_at = now;
+	if (now - a->targets_refreshed_at > TARGETS_INTERVAL_NS) {
+		a->targets_refreshed_at = now;
 		refresh_targets(a);
 	}
-	if (now - a->health_at > HEALTH_RESEND_NS) {
-		a->health_at = now;
+	if (now - a->health_sent_at > HEALTH_RESEND_NS) {
+		a->health_sent_at = now;
 		probe_each(a->probe, resend_state, a);
 		expire_states(a);
 	}
--- a/agent_push.c
+++ b/agent_push.c
@@ -42,7 +42,7 @@
 void
 agent_push_open(struct agent *a)
 {
-	a->unsent =
+	a->unsent_changes =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
@@ -61,7 +61,7 @@
 }
 
 void
-agent_push_all(struct agent *a, struct msg *msg)
+agent_push_to_all(struct agent *a, struct msg *msg)
 {
 	struct broadcast broadcast = {a, msg};
 
@@ -74,14 +74,14 @@
 {
 	struct agent *a = p->agent;
 	struct str inbox = to->info.inbox;
-	bool send_small = spread_to(a->memb, to, origin, false);
+	bool send_small = spread_should_send(a->memb, to, origin, false);
 
 	if (send_small)
 		sync_pack_send(&a->sync, c->small, inbox);
 	/* Weak boxes store no backend servers; see agent_scope.c. */
-	if (send_small && (to->strong || !agent_scope_divides(a)))
+	if (send_small && (to->strong || !agent_scope_is_split(a)))
 		sync_pack_send(&a->sync, c->backends, inbox);
-	if (spread_to(a->memb, to, origin, true))
+	if (spread_should_send(a->memb, to, origin, true))
 		sync_pack_send(&a->sync, c->large, inbox);
 }
 
@@ -90,9 +90,9 @@
 {
 	struct push *p = ctx;
 
-	send_changes(p, &p->from_platform, SPREAD_TOLD, m);
+	send_changes(p, &p->from_platform, SPREAD_FROM_PLATFORM, m);
 	if (p->nfrom_boxes <= FORWARD_MAX)
-		send_changes(p, &p->from_boxes, SPREAD_HEARD, m);
+		send_changes(p, &p->from_boxes, SPREAD_FROM_BOX, m);
 }
 
 /*
@@ -103,8 +103,8 @@
 static bool
 forwards_changes(struct agent *a)
 {
-	return gossip_settled(a->gossip) && agent_is_complete(a) &&
-	    memb_is_hub(a->memb, a->set.box);
+	return gossip_is_settled(a->gossip) && agent_conf_is_complete(a) &&
+	    memb_is_hub(a->memb, a->settings.box);
 }
 
 static void
@@ -129,7 +129,7 @@
 	if (e->kind == OBJ_BACKEND)
 		sync_pack_add(c->backends, e);
 	else if (sync_pack_add(c->small, e) > SMALL_OBJECT_MAX &&
-	    e->bad_version == 0)
+	    e->rejected_version == 0)
 		sync_pack_move_last(c->small, c->large);
 }
 
@@ -141,7 +141,7 @@
 	GHashTableIter it;
 	gpointer key, from_platform;
 
-	g_hash_table_iter_init(&it, a->unsent);
+	g_hash_table_iter_init(&it, a->unsent_changes);
 	while (g_hash_table_iter_next(&it, &key, &from_platform)) {
 		e = conf_get(a->conf, str_c(key));
 		if (e == NULL)
@@ -156,9 +156,9 @@
 static void
 send_to_gate(struct agent *a, const struct changes *c)
 {
-	sync_pack_send(&a->sync, c->small, a->set.gate_inbox);
-	sync_pack_send(&a->sync, c->backends, a->set.gate_inbox);
-	sync_pack_send(&a->sync, c->large, a->set.gate_inbox);
+	sync_pack_send(&a->sync, c->small, a->settings.gate_inbox);
+	sync_pack_send(&a->sync, c->backends, a->settings.gate_inbox);
+	sync_pack_send(&a->sync, c->large, a->settings.gate_inbox);
 }
 
 /* Encodes the unsent changes once and sends them in few messages. */
@@ -171,7 +171,7 @@
 	changes_open(&p.from_platform);
 	changes_open(&p.from_boxes);
 	collect_unsent(&p);
-	g_hash_table_remove_all(a->unsent);
+	g_hash_table_remove_all(a->unsent_changes);
 	if (!a->shares_conf) {
 		send_to_gate(a, &p.from_platform);
 		send_to_gate(a, &p.from_boxes);
@@ -184,14 +184,14 @@
 
 /* Queues a change; all changes of one turn of the loop are sent together. */
 void
-agent_push_change(struct agent *a, const struct conf_entry *e)
+agent_push_queue_change(struct agent *a, const struct conf_entry *e)
 {
-	if (a->unattended && a->from_platform)
-		gossip_hurry(a->gossip);
+	if (a->unattended && a->offer_from_platform)
+		gossip_start_round_now(a->gossip);
 	if (a->shares_conf && !forwards_changes(a))
 		return;
-	g_hash_table_insert(
-	    a->unsent, g_strdup(e->key.p), GINT_TO_POINTER(a->from_platform));
-	if (!a->push_timer.set)
+	g_hash_table_insert(a->unsent_changes, g_strdup(e->key.p),
+	    GINT_TO_POINTER(a->offer_from_platform));
+	if (!a->push_timer.armed)
 		tmr_set(&a->tmr, &a->push_timer, clk_ns(a->clk), on_push, a);
 }
--- a/agent_scope.c
+++ b/agent_scope.c
@@ -30,20 +30,20 @@
 	unsigned i;
 
 	for (i = 0; i < a->nfeeds; i++)
-		if (a->feeds[i].mask == 1u << OBJ_BACKEND)
+		if (a->feeds[i].kind_mask == 1u << OBJ_BACKEND)
 			return &a->feeds[i];
 	return NULL;
 }
 
 bool
-agent_scope_divides(struct agent *a)
+agent_scope_is_split(struct agent *a)
 {
 	return find_backends_feed(a) != NULL;
 }
 
 /* Returns whether this box needs a feed, by its scope as far as known. */
 bool
-agent_scope_has(struct agent *a, const struct agent_feed *f)
+agent_scope_includes(struct agent *a, const struct agent_feed *f)
 {
 	return f != find_backends_feed(a) || a->scope == SCOPE_ALL;
 }
@@ -56,7 +56,7 @@
 void
 agent_scope_open(struct agent *a)
 {
-	a->sync.partial = agent_scope_divides(a);
+	a->sync.rules_only = agent_scope_is_split(a);
 }
 
 static void
@@ -65,29 +65,29 @@
 	if (a->scope == scope)
 		return;
 	a->scope = scope;
-	a->sync.partial = scope != SCOPE_ALL;
+	a->sync.rules_only = scope != SCOPE_ALL;
 	slog(SLOG_AGENT, "knows what to hold", "backends=%d",
 	    scope == SCOPE_ALL);
 	if (scope == SCOPE_ALL && find_backends_feed(a) != NULL)
 		agent_watch_now(find_backends_feed(a));
-	agent_gate_tell_ready(a);
+	agent_gate_send_ready(a);
 }
 
 /* Updates the scope after a change of the members, and at intervals. */
 void
-agent_scope_look(struct agent *a)
+agent_scope_update(struct agent *a)
 {
 	if (a->scope == SCOPE_ALL)
 		return;
-	if (!agent_scope_divides(a))
+	if (!agent_scope_is_split(a))
 		set_scope(a, SCOPE_ALL);
-	else if (gossip_knows_power(a->gossip))
+	else if (gossip_knows_relative_power(a->gossip))
 		set_scope(a, memb_is_strong(a->memb) ? SCOPE_ALL : SCOPE_RULES);
 }
 
 /* Returns whether complete lists of all parts in the scope have been seen. */
 bool
-agent_is_complete(const struct agent *a)
+agent_conf_is_complete(const struct agent *a)
 {
 	if (a->scope == SCOPE_RULES)
 		return conf_floor_of(a->conf, CONF_RULES) > 0;
--- a/agent_watch.c
+++ b/agent_watch.c
@@ -58,12 +58,12 @@
  * limit is reached; the caller then tries again later.
  */
 struct plat_call *
-agent_call(struct agent *a, const struct plat_request *rq, plat_done_fn *done,
-    void *ctx)
+agent_platform_call(struct agent *a, const struct plat_request *rq,
+    plat_done_fn *done, void *ctx)
 {
-	if (!limit_take(&a->plat_budget, (double)a->set.platform_rate,
+	if (!limit_allow(&a->plat_budget, (double)a->settings.platform_rate,
 		clk_ns(a->clk))) {
-		cnt_add(a->cnt, AC_PLATFORM_PUT_OFF, 1);
+		cnt_add(a->cnt, AC_PLATFORM_DEFERRED, 1);
 		return NULL;
 	}
 	cnt_add(a->cnt, AC_PLATFORM_CALLS, 1);
@@ -76,7 +76,7 @@
 {
 	int64_t ns = BACKOFF_FIRST_NS << MIN(failures, BACKOFF_SHIFT_MAX);
 
-	return rnd_jitter(a->rnd, MIN(ns, a->set.retry_ms * NS_MS));
+	return rnd_jitter(a->rnd, MIN(ns, a->settings.retry_ms * NS_MS));
 }
 
 /* After an outage, restarts the calls of all feeds. */
@@ -91,7 +91,7 @@
 		/* A call from before the outage may never be answered. */
 		if (f->call != NULL)
 			plat_cancel(a->plat, f->call);
-		if (f->call != NULL || (i > 0 && !f->timer.set))
+		if (f->call != NULL || (i > 0 && !f->timer.armed))
 			schedule_call(f, 0);
 		f->call = NULL;
 	}
@@ -100,24 +100,24 @@
 
 /* Updates the state of the platform by the result of a call. */
 void
-agent_call_ended(struct agent *a, enum plat_result result)
+agent_platform_call_ended(struct agent *a, enum plat_result result)
 {
-	bool up = result != PLAT_DOWN && result != PLAT_UNSURE;
+	bool up = result != PLAT_UNAVAILABLE && result != PLAT_UNKNOWN;
 	bool recovered = up && !a->platform_up;
 
 	if (!up)
 		cnt_add(a->cnt, AC_PLATFORM_DOWN, 1);
 	if (recovered)
-		a->platform_back = clk_ns(a->clk);
+		a->platform_up_at = clk_ns(a->clk);
 	if (!up)
-		a->platform_lost = clk_ns(a->clk);
+		a->platform_down_at = clk_ns(a->clk);
 	if (up != a->platform_up)
 		slog(SLOG_WATCH,
 		    up ? "platform answers again" : "platform does not answer",
-		    "platform=%s result=%s", a->set.platform.p,
+		    "platform=%s result=%s", a->settings.platform.p,
 		    plat_result_name(result));
 	if (up != a->platform_up)
-		agent_peer_blind(a, !up);
+		agent_peer_announce_outage(a, !up);
 	a->platform_up = up;
 	if (recovered)
 		restart_calls(a);
@@ -129,10 +129,10 @@
  * calls are expensive even if they are refused.
  */
 bool
-agent_first_feed_asks(struct agent *a)
+agent_first_feed_only(struct agent *a)
 {
 	return !a->platform_up && a->feeds[0].listed_at == 0 &&
-	    (agent_asks_platform(a) || !agent_is_complete(a));
+	    (agent_watches_platform(a) || !agent_conf_is_complete(a));
 }
 
 /* Returns whether this box is one of the few that watch for the fleet. */
@@ -140,7 +140,8 @@
 agent_is_watcher(struct agent *a)
 {
 	return gossip_is_hub(a->gossip) &&
-	    memb_watches(a->memb, a->set.box, (int)a->set.watchers);
+	    memb_is_watcher(
+		a->memb, a->settings.box, (int)a->settings.watchers);
 }
 
 /*
@@ -149,7 +150,7 @@
  * dead, frozen or refused by the platform.
  */
 bool
-agent_asks_platform(struct agent *a)
+agent_watches_platform(struct agent *a)
 {
 	return agent_is_watcher(a) || a->unattended;
 }
@@ -159,7 +160,7 @@
 watch_backoff(struct agent_feed *f)
 {
 	struct agent *a = f->agent;
-	int failures = f->fails++;
+	int failures = f->failures++;
 
 	if (a->unattended)
 		return rnd_jitter(a->rnd, UNATTENDED_RETRY_NS);
@@ -187,7 +188,7 @@
 feed_exists(const struct agent *a, const char *feed)
 {
 	return a->form->has_feed == NULL ||
-	    a->form->has_feed(a->set.contracts, feed);
+	    a->form->has_feed(a->settings.contracts, feed);
 }
 
 void
@@ -204,8 +205,9 @@
 		f = &a->feeds[a->nfeeds++];
 		f->agent = a;
 		f->kinds = a->form->feeds[i];
-		f->mask = parse_kinds(f->kinds);
-		schedule_call(f, rnd_jitter(a->rnd, a->set.first_ms * NS_MS));
+		f->kind_mask = parse_kinds(f->kinds);
+		schedule_call(
+		    f, rnd_jitter(a->rnd, a->settings.first_ms * NS_MS));
 	}
 }
 
@@ -214,7 +216,7 @@
  * feeds may be old.
  */
 void
-agent_watch_resume(struct agent *a)
+agent_watch_restart(struct agent *a)
 {
 	struct agent_feed *f;
 	unsigned i;
@@ -235,12 +237,13 @@
  * times, UNATTENDED_RATE per second.
  */
 void
-agent_watch_unattended(struct agent *a)
+agent_watch_start_unattended(struct agent *a)
 {
-	uint64_t serving_gates = MAX(gossip_crowd(a->gossip), 1), delay = 0;
+	uint64_t serving_gates = MAX(gossip_serving_gates(a->gossip), 1),
+		 delay = 0;
 	unsigned i;
 
-	if (gossip_hubs_are_blind(a->gossip))
+	if (gossip_hubs_lost_platform(a->gossip))
 		delay =
 		    rnd_below(a->rnd, serving_gates * NS_S / UNATTENDED_RATE);
 	for (i = 0; i < a->nfeeds; i++) {
@@ -274,13 +277,13 @@
 {
 	struct plat_request rq = {.op = PLAT_LIST,
 	    .kind = str_c(f->kinds),
-	    .stale = f->complete == 0 && !f->agent->unattended,
+	    .allow_stale = f->listed_revision == 0 && !f->agent->unattended,
 	    .timeout_ms = LIST_TIMEOUT_MS};
 
-	f->copy = rq.stale;
-	f->asked_at = clk_ns(f->agent->clk);
-	f->watches = false;
-	f->call = agent_call(f->agent, &rq, on_list_done, f);
+	f->may_be_stale = rq.allow_stale;
+	f->call_started_at = clk_ns(f->agent->clk);
+	f->is_watch = false;
+	f->call = agent_platform_call(f->agent, &rq, on_list_done, f);
 	if (f->call == NULL)
 		schedule_call(f, rnd_jitter(f->agent->rnd, AGENT_RECHECK_NS));
 }
@@ -291,12 +294,12 @@
 	struct agent *a = f->agent;
 	struct plat_request rq = {.op = PLAT_WATCH,
 	    .kind = str_c(f->kinds),
-	    .version = f->since,
-	    .wait_ms = MIN(a->set.watch_ms, a->set.list_ms)};
+	    .version = f->reached_revision,
+	    .wait_ms = MIN(a->settings.watch_ms, a->settings.list_ms)};
 
-	f->asked_at = clk_ns(a->clk);
-	f->watches = true;
-	f->call = agent_call(a, &rq, on_watch_done, f);
+	f->call_started_at = clk_ns(a->clk);
+	f->is_watch = true;
+	f->call = agent_platform_call(a, &rq, on_watch_done, f);
 	if (f->call == NULL)
 		schedule_call(f, rnd_jitter(a->rnd, AGENT_RECHECK_NS));
 }
@@ -310,10 +313,10 @@
 expire_outage(struct agent *a)
 {
 	if (a->platform_up ||
-	    clk_ns(a->clk) - a->platform_lost < ASSUMED_OUTAGE_NS)
+	    clk_ns(a->clk) - a->platform_down_at < ASSUMED_OUTAGE_NS)
 		return;
 	a->platform_up = true;
-	agent_peer_blind(a, false);
+	agent_peer_announce_outage(a, false);
 	agent_box_resume_calls(a);
 }
 
@@ -328,20 +331,20 @@
 	struct agent_feed *f = ctx;
 	struct agent *a = f->agent;
 	int64_t now = clk_ns(a->clk);
-	bool watches = agent_asks_platform(a);
+	bool watches = agent_watches_platform(a);
 
 	cnt_set(a->cnt, AC_WATCHING, watches);
-	if (f->call != NULL || a->leaving || !agent_scope_has(a, f) ||
-	    (f != &a->feeds[0] && agent_first_feed_asks(a)))
+	if (f->call != NULL || a->leaving || !agent_scope_includes(a, f) ||
+	    (f != &a->feeds[0] && agent_first_feed_only(a)))
 		return;
-	if (!watches && (f->complete > 0 || agent_is_complete(a))) {
+	if (!watches && (f->listed_revision > 0 || agent_conf_is_complete(a))) {
 		expire_outage(a);
 		f->listed_at = 0;
 		schedule_call(f, rnd_jitter(a->rnd, AGENT_RECHECK_NS));
 		return;
 	}
-	if (f->listed_at == 0 || f->since == 0 ||
-	    now - f->listed_at > a->set.list_ms * NS_MS)
+	if (f->listed_at == 0 || f->reached_revision == 0 ||
+	    now - f->listed_at > a->settings.list_ms * NS_MS)
 		start_list(f);
 	else
 		start_watch(f);
@@ -354,7 +357,8 @@
 
 	if (err != NULL)
 		return err->message;
-	return e != NULL && e->bad_why != NULL ? e->bad_why : "unknown";
+	return e != NULL && e->rejected_reason != NULL ? e->rejected_reason
+						       : "unknown";
 }
 
 static void
@@ -366,7 +370,7 @@
 	    (uint64_t)json_integer_value(json_object_get(o, "version"));
 	bool deleted = json_is_true(json_object_get(o, "deleted"));
 	json_t *spec = json_object_get(o, "spec");
-	enum conf_result result = CONF_KNOWN;
+	enum conf_result result = CONF_DUPLICATE;
 	GError *err = NULL;
 	char *key;
 
@@ -374,10 +378,10 @@
 		return;
 	key = g_strdup_printf("%s/%s", kind, name);
 	if (!deleted ||
-	    !agent_lapse_hold(a, conf_get(a->conf, str_c(key)), version))
+	    !agent_deletion_hold(a, conf_get(a->conf, str_c(key)), version))
 		result = conf_offer(a->conf, str_c(key), version, deleted, spec,
-		    a->from_copy ? STR_LIT("platform-copy")
-				 : STR_LIT("platform"),
+		    a->offer_may_be_stale ? STR_LIT("platform-copy")
+					  : STR_LIT("platform"),
 		    &err);
 	if (result == CONF_REJECTED)
 		slog(SLOG_CONF,
@@ -400,11 +404,11 @@
 	json_t *objects = json_object_get(body, "objects"), *o;
 	size_t i;
 
-	a->from_platform = true;
-	a->from_copy = may_be_stale;
+	a->offer_from_platform = true;
+	a->offer_may_be_stale = may_be_stale;
 	json_array_foreach (objects, i, o)
 		offer_object(a, o, keys);
-	a->from_platform = a->from_copy = false;
+	a->offer_from_platform = a->offer_may_be_stale = false;
 }
 
 static uint64_t
@@ -428,11 +432,11 @@
 {
 	struct missing *missing = ctx;
 
-	if ((missing->feed->mask >> e->kind & 1) == 0 || e->deleted ||
+	if ((missing->feed->kind_mask >> e->kind & 1) == 0 || e->deleted ||
 	    e->version > missing->revision ||
 	    g_hash_table_contains(missing->keys, e->key.p))
 		return;
-	if (agent_lapse_hold(missing->feed->agent, e, missing->revision))
+	if (agent_deletion_hold(missing->feed->agent, e, missing->revision))
 		g_hash_table_add(missing->keys, g_strdup(e->key.p));
 }
 
@@ -442,7 +446,8 @@
 {
 	unsigned backends = 1u << OBJ_BACKEND;
 
-	return (f->mask & (part == CONF_BACKENDS ? backends : ~backends)) != 0;
+	return (f->kind_mask &
+		   (part == CONF_BACKENDS ? backends : ~backends)) != 0;
 }
 
 /*
@@ -457,7 +462,7 @@
 
 	for (i = 0; i < a->nfeeds; i++)
 		if (has_part(&a->feeds[i], part))
-			floor = MIN(floor, a->feeds[i].complete);
+			floor = MIN(floor, a->feeds[i].listed_revision);
 	conf_raise_floor(a->conf, part, floor);
 }
 
@@ -493,40 +498,41 @@
 	struct agent *a = f->agent;
 	uint64_t revision = get_revision(body);
 	struct missing missing = {f, NULL, revision};
-	bool first = f->complete == 0;
+	bool first = f->listed_revision == 0;
 
 	f->call = NULL;
-	agent_call_ended(a, result);
+	agent_platform_call_ended(a, result);
 	if (result != PLAT_OK ||
 	    !json_is_array(json_object_get(body, "objects"))) {
 		schedule_call(f, watch_backoff(f));
 		return;
 	}
-	f->fails = 0;
+	f->failures = 0;
 	missing.keys =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	offer_all(a, body, missing.keys, f->copy);
+	offer_all(a, body, missing.keys, f->may_be_stale);
 	conf_each(a->conf, hold_missing, &missing);
-	a->from_platform = true;
+	a->offer_from_platform = true;
 	if (is_up_to_date(f, revision))
-		conf_complete_kinds(a->conf, f->mask, revision, missing.keys);
-	a->from_platform = false;
+		conf_apply_list_of_kinds(
+		    a->conf, f->kind_mask, revision, missing.keys);
+	a->offer_from_platform = false;
 	g_hash_table_destroy(missing.keys);
-	if (!f->copy)
+	if (!f->may_be_stale)
 		confirm_rules(f);
 	f->listed_at = clk_ns(a->clk);
-	f->since = MAX(f->since, revision);
-	f->complete = MAX(f->complete, revision);
+	f->reached_revision = MAX(f->reached_revision, revision);
+	f->listed_revision = MAX(f->listed_revision, revision);
 	raise_floor(a, CONF_RULES);
 	raise_floor(a, CONF_BACKENDS);
-	agent_gate_tell_ready(a);
+	agent_gate_send_ready(a);
 	slog(SLOG_WATCH, "listed",
 	    "kinds=%s revision=%llu in_force=%zu copy=%d", f->kinds,
-	    (unsigned long long)revision, conf_count(a->conf), f->copy);
-	agent_box_status_soon(a);
+	    (unsigned long long)revision, conf_count(a->conf), f->may_be_stale);
+	agent_box_schedule_status(a);
 	/* A starting box waits until it is known whether it has to watch. */
 	schedule_call(
-	    f, first && !agent_asks_platform(a) ? FIRST_WATCH_DELAY_NS : 0);
+	    f, first && !agent_watches_platform(a) ? FIRST_WATCH_DELAY_NS : 0);
 }
 
 static void
@@ -536,8 +542,8 @@
 
 	cnt_add(a->cnt, AC_WATCHES_BROKEN, 1);
 	slog(SLOG_WATCH, "a watch failed", "kinds=%s since=%llu waited_ms=%lld",
-	    f->kinds, (unsigned long long)f->since,
-	    (long long)((clk_ns(a->clk) - f->asked_at) / NS_MS));
+	    f->kinds, (unsigned long long)f->reached_revision,
+	    (long long)((clk_ns(a->clk) - f->call_started_at) / NS_MS));
 }
 
 /*
@@ -554,15 +560,15 @@
 	struct agent *a = f->agent;
 
 	f->call = NULL;
-	if (result == PLAT_DOWN)
+	if (result == PLAT_UNAVAILABLE)
 		record_broken_watch(f);
-	if (result == PLAT_DOWN && f->fails == 0) {
-		f->fails++;
+	if (result == PLAT_UNAVAILABLE && f->failures == 0) {
+		f->failures++;
 		f->listed_at = 0;
 		schedule_call(f, rnd_jitter(a->rnd, RELIST_DELAY_NS));
 		return;
 	}
-	agent_call_ended(a, result);
+	agent_platform_call_ended(a, result);
 	if (result == PLAT_TOO_OLD) {
 		f->listed_at = 0;
 		schedule_call(f, 0);
@@ -574,15 +580,15 @@
 		schedule_call(f, watch_backoff(f));
 		return;
 	}
-	f->fails = 0;
+	f->failures = 0;
 	slog(SLOG_WATCH, "watched", "kinds=%s revision=%llu changes=%zu",
 	    f->kinds, (unsigned long long)get_revision(body),
 	    json_array_size(json_object_get(body, "objects")));
 	offer_all(a, body, NULL, false);
 	confirm_rules(f);
-	f->since = MAX(f->since, get_revision(body));
+	f->reached_revision = MAX(f->reached_revision, get_revision(body));
 	/* Changes often come in bursts, which one watch then returns. */
-	schedule_call(f, a->set.gather_ms * NS_MS);
+	schedule_call(f, a->settings.gather_ms * NS_MS);
 }
 
 /* The watch has not returned a change that arrived by another way. */
@@ -591,8 +597,8 @@
 {
 	struct agent_feed *f = ctx;
 
-	if (f->call == NULL || !f->watches ||
-	    clk_ns(f->agent->clk) - f->asked_at < BYPASS_TIMEOUT_NS)
+	if (f->call == NULL || !f->is_watch ||
+	    clk_ns(f->agent->clk) - f->call_started_at < BYPASS_TIMEOUT_NS)
 		return;
 	record_broken_watch(f);
 	plat_cancel(f->agent->plat, f->call);
@@ -609,13 +615,13 @@
 {
 	struct agent *a = f->agent;
 
-	if (f->call != NULL && f->watches && !f->passed_timer.set)
-		tmr_set(&a->tmr, &f->passed_timer,
+	if (f->call != NULL && f->is_watch && !f->bypass_timer.armed)
+		tmr_set(&a->tmr, &f->bypass_timer,
 		    clk_ns(a->clk) + BYPASS_TIMEOUT_NS, on_bypass_timeout, f);
 }
 
 void
-agent_watch_told(struct agent_feed *f, json_t *body)
+agent_watch_apply(struct agent_feed *f, json_t *body)
 {
 	uint64_t revision = get_revision(body);
 
@@ -624,11 +630,11 @@
 		expect_watch_answer(f);
 	}
 	confirm_rules(f);
-	f->since = MAX(f->since, revision);
+	f->reached_revision = MAX(f->reached_revision, revision);
 }
 
 void
-agent_watch_missed(struct agent_feed *f)
+agent_watch_history_lost(struct agent_feed *f)
 {
 	if (f->listed_at == 0)
 		return;
@@ -640,16 +646,17 @@
 }
 
 void
-agent_watch_passed(struct agent *a, const struct conf_entry *e)
+agent_watch_bypassed(struct agent *a, const struct conf_entry *e)
 {
 	struct agent_feed *f;
 	unsigned i;
 
-	if (a->from_platform)
+	if (a->offer_from_platform)
 		return;
 	for (i = 0; i < a->nfeeds; i++) {
 		f = &a->feeds[i];
-		if ((f->mask >> e->kind & 1) != 0 && e->version > f->since)
+		if ((f->kind_mask >> e->kind & 1) != 0 &&
+		    e->version > f->reached_revision)
 			expect_watch_answer(f);
 	}
 }
--- a/customer.h
+++ b/customer.h
@@ -51,6 +51,6 @@
 
 /* One by its name; NULL if there is none. */
 const struct customer *
-customers_named(const struct customers *, struct str name);
+customers_by_name(const struct customers *, struct str name);
 
 #endif
--- a/gate_admit.c
+++ b/gate_admit.c
@@ -56,10 +56,10 @@
 {
 	unsigned long long ms;
 
-	if (str_u64(hsrv_header(r->req, r->gate->dial->deadline.p), &ms) &&
+	if (str_u64(hsrv_header(r->req, r->gate->dialect->deadline.p), &ms) &&
 	    (int64_t)ms < own)
 		own = MAX((int64_t)ms, DEADLINE_MIN_MS);
-	return r->began + own * NS_MS;
+	return r->arrived_at + own * NS_MS;
 }
 
 static int64_t
@@ -81,41 +81,42 @@
 admit_passed(struct gate_req *r)
 {
 	struct gate *g = r->gate;
-	struct gate_pass pass;
+	struct gate_forward pass;
 	const struct route_service *svc;
 
-	if (!gate_pass_read(hsrv_header(r->req, GATE_PASS_HEADER), &pass)) {
-		gate_answer(r, ERR_BAD_REQUEST, RAN_NO, 0);
+	if (!gate_forward_read(
+		hsrv_header(r->req, GATE_FORWARD_HEADER), &pass)) {
+		gate_respond(r, ERR_BAD_REQUEST, RAN_NO, 0);
 		return;
 	}
 	svc = route_service(g->routes, pass.service);
 	if (svc == NULL) {
-		gate_answer(r, ERR_NO_SERVICE, RAN_NO, 0);
+		gate_respond(r, ERR_NO_SERVICE, RAN_NO, 0);
 		return;
 	}
 	r->hops = (int)MIN(pass.hops, HOPS_MAX);
 	r->service = str_dup(svc->name);
-	r->hall = str_dup(pass.hall);
-	r->regions = r->d.regions = str_dup(pass.regions);
+	r->hall = str_dup(pass.target_hall);
+	r->regions = r->disp.allowed_regions = str_dup(pass.regions);
 	r->customer = str_dup(pass.customer);
-	r->d.cls = pass.bulk ? CLASS_BULK : CLASS_INTERACTIVE;
-	r->d.repeatable = pass.repeatable;
-	r->d.may_retry = true;
-	r->d.retried = pass.retried;
-	r->d.tries = (int)pass.tries;
-	r->d.paid = pass.paid;
-	r->left_ms = pass.left_ms;
+	r->disp.cls = pass.bulk ? CLASS_BULK : CLASS_INTERACTIVE;
+	r->disp.repeatable = pass.repeatable;
+	r->disp.can_retry = true;
+	r->disp.is_retry = pass.retried;
+	r->disp.attempt_count = (int)pass.tries;
+	r->disp.budget_charged = pass.within_retry_budget;
+	r->caller_deadline_ms = pass.caller_deadline_ms;
 	r->waited_ms = pass.waited_ms;
-	r->d.attempts = (int)pass.attempts;
-	r->d.rank = (int)pass.rank;
-	r->d.kind = pass.kind;
-	r->d.print = pass.print;
+	r->disp.max_attempts = (int)pass.max_attempts;
+	r->disp.rank = (int)pass.rank;
+	r->disp.kind = pass.kind;
+	r->disp.fingerprint = pass.fingerprint;
 	if (pass.suspect)
-		poison_accuse(g->poison, pass.print);
+		poison_mark_suspect(g->poison, pass.fingerprint);
 	r->maybe_ran = pass.retried;
 	if (pass.target_ms > 0)
-		r->d.target = r->began + pass.target_ms * NS_MS;
-	r->d.deadline = shorter_deadline(r, svc->obj->deadline_ms);
+		r->disp.target = r->arrived_at + pass.target_ms * NS_MS;
+	r->disp.deadline = shorter_deadline(r, svc->obj->deadline_ms);
 	gate_req_set_deadline(r);
 	gate_req_route(r);
 }
@@ -133,7 +134,7 @@
 		l = g_new0(struct limit, 1);
 		g_hash_table_insert(g->rule_limits, g_strdup(rule->name.p), l);
 	}
-	return !limit_take(l, (double)rule->obj->rate * share, r->began);
+	return !limit_allow(l, (double)rule->obj->rate * share, r->arrived_at);
 }
 
 /* The address that a request comes from; valid until *sa goes. */
@@ -201,16 +202,16 @@
 	n = (size_t)snprintf(key, sizeof(key), "%.*s ", STR_ARG(rule->name));
 	caller.n = MIN(caller.n, sizeof(key) - n);
 	memcpy(key + n, caller.p, caller.n);
-	return !limit_table_take(r->gate->caller_limits,
+	return !limit_table_allow(r->gate->caller_limits,
 	    str_n(key, n + caller.n), (double)rule->obj->caller_rate * share,
-	    r->began);
+	    r->arrived_at);
 }
 
 /* Each gate that serves enforces its share of the fleet's limits. */
 static bool
 over_limit(struct gate_req *r, const struct route_rule *rule)
 {
-	double share = 1.0 / MAX(r->gate->boxes, 1u);
+	double share = 1.0 / MAX(r->gate->live_boxes, 1u);
 
 	return rule_limited(r, rule, share) || caller_limited(r, rule, share);
 }
@@ -225,7 +226,7 @@
 	if (kind == ERR_NONE)
 		gate_req_route(r);
 	else
-		gate_answer(
+		gate_respond(
 		    r, kind, kind == ERR_DUPLICATE ? RAN_UNKNOWN : RAN_NO, 0);
 }
 
@@ -241,24 +242,25 @@
     const struct customer **found)
 {
 	const struct customers *all = route_customers(r->gate->routes);
-	const struct dial *dial = r->gate->dial;
+	const struct dialect *dialect = r->gate->dialect;
 
 	*found = NULL;
-	if (dial->key.n == 0 || customers_count(all) == 0)
+	if (dialect->customer_key.n == 0 || customers_count(all) == 0)
 		return true;
-	*found = customers_find(all, hsrv_header(r->req, dial->key.p));
+	*found =
+	    customers_find(all, hsrv_header(r->req, dialect->customer_key.p));
 	if (*found == NULL)
-		return rule->obj->open;
+		return rule->obj->is_public;
 	r->customer = str_dup((*found)->name);
 	return true;
 }
 
 void
-gate_admit_go(struct gate_req *r)
+gate_admit_continue(struct gate_req *r)
 {
 	struct str key = hsrv_header(r->req, "idempotency-key");
 
-	if (!r->keyed) {
+	if (!r->has_idempotency_key) {
 		gate_req_route(r);
 		return;
 	}
@@ -278,61 +280,63 @@
 	const struct customer *customer;
 	struct str key = hsrv_header(r->req, "idempotency-key");
 	struct str method = str_n(r->req->method.base, r->req->method.len);
-	const struct route_service *svc = route_choose(rule, g->rnd);
+	const struct route_service *svc = route_choose_service(rule, g->rnd);
 	unsigned long long left = 0;
 
 	if (!take_customer(r, rule, &customer)) {
 		cnt_add(g->cnt, GC_NO_KEY, 1);
-		gate_answer(r, ERR_NO_KEY, RAN_NO, 0);
+		gate_respond(r, ERR_NO_KEY, RAN_NO, 0);
 		return;
 	}
 	if (svc == NULL) {
-		gate_answer(r, ERR_NO_SERVICE, RAN_NO, 0);
+		gate_respond(r, ERR_NO_SERVICE, RAN_NO, 0);
 		return;
 	}
-	(void)str_u64(hsrv_header(r->req, g->dial->deadline.p), &left);
+	(void)str_u64(hsrv_header(r->req, g->dialect->deadline.p), &left);
 	r->rule = str_dup(rule->name);
-	r->d.print = print_of(r, rule);
+	r->disp.fingerprint = print_of(r, rule);
 	r->service = str_dup(svc->name);
-	r->regions = r->d.regions = str_dup(rule->obj->regions);
-	r->keyed = key.n > 0;
+	r->regions = r->disp.allowed_regions = str_dup(rule->obj->regions);
+	r->has_idempotency_key = key.n > 0;
 	r->allow_outage = rule->obj->on_outage == OUTAGE_ALLOW;
-	r->d.cls = (enum obj_class)rule->obj->cls;
-	r->d.repeatable = route_repeatable(rule->obj, method, r->keyed);
-	r->d.may_retry = true;
-	r->d.retried = hsrv_header(r->req, "fern-retried").n > 0;
-	r->d.attempts = (int)rule->obj->attempts;
-	r->d.rank = (int)rule->obj->rank;
+	r->disp.cls = (enum obj_class)rule->obj->request_class;
+	r->disp.repeatable =
+	    route_is_repeatable(rule->obj, method, r->has_idempotency_key);
+	r->disp.can_retry = true;
+	r->disp.is_retry = hsrv_header(r->req, "fern-retried").n > 0;
+	r->disp.max_attempts = (int)rule->obj->attempts;
+	r->disp.rank = (int)rule->obj->rank;
 	if (customer != NULL)
-		r->d.rank += (int)customer->obj->rank * RULE_RANKS;
-	r->d.kind = (unsigned)rule->obj->target_ms;
-	r->left_ms = (int64_t)left;
+		r->disp.rank += (int)customer->obj->rank * RULE_RANKS;
+	r->disp.kind = (unsigned)rule->obj->target_ms;
+	r->caller_deadline_ms = (int64_t)left;
 	if (rule->obj->target_ms > 0)
-		r->d.target = r->began + rule->obj->target_ms * NS_MS;
-	r->d.deadline = deadline_of(r, rule, svc);
+		r->disp.target = r->arrived_at + rule->obj->target_ms * NS_MS;
+	r->disp.deadline = deadline_of(r, rule, svc);
 	gate_req_set_deadline(r);
 	if (over_limit(r, rule)) {
-		gate_answer(r, ERR_OVER_LIMIT, RAN_NO, 0);
+		gate_respond(r, ERR_OVER_LIMIT, RAN_NO, 0);
 		return;
 	}
 	if (customer != NULL && customer->obj->rate > 0)
-		gate_rate_ask(r);
+		gate_rate_query(r);
 	else
-		gate_admit_go(r);
+		gate_admit_continue(r);
 }
 
 static struct callers *
 callers_of(struct gate_req *r)
 {
-	char *key = g_strdup_printf("%.*s/%u", STR_ARG(r->service), r->d.kind);
-	struct callers *c = g_hash_table_lookup(r->gate->callers_of, key);
+	char *key =
+	    g_strdup_printf("%.*s/%u", STR_ARG(r->service), r->disp.kind);
+	struct callers *c = g_hash_table_lookup(r->gate->callers_by_kind, key);
 
 	if (c != NULL) {
 		g_free(key);
 		return c;
 	}
 	c = g_new0(struct callers, 1);
-	g_hash_table_insert(r->gate->callers_of, key, c);
+	g_hash_table_insert(r->gate->callers_by_kind, key, c);
 	return c;
 }
 
@@ -347,13 +351,16 @@
 waited_of(struct gate_req *r)
 {
 	struct returns *back = r->gate->returns;
-	int64_t first = returns_take(back, r->d.print, r->began);
-	int64_t usual = returns_usual(back, r->began) / NS_MS, waited = 0;
-
-	if (r->left_ms > 0)
-		waited = callers_waited(callers_of(r), r->left_ms);
+	int64_t first =
+	    returns_consume(back, r->disp.fingerprint, r->arrived_at);
+	int64_t usual = returns_mean_wait(back, r->arrived_at) / NS_MS,
+		waited = 0;
+
+	if (r->caller_deadline_ms > 0)
+		waited =
+		    callers_elapsed_ms(callers_of(r), r->caller_deadline_ms);
 	if (first > 0)
-		return MAX((r->began - first) / NS_MS, 1);
+		return MAX((r->arrived_at - first) / NS_MS, 1);
 	return usual > 0 ? MIN(waited, usual) : waited;
 }
 
@@ -362,14 +369,14 @@
  * away before has fewer chances left.  Another home may have found it already.
  */
 void
-gate_admit_waited(struct gate_req *r)
+gate_admit_set_waited(struct gate_req *r)
 {
 	if (r->waited_ms == 0) {
 		r->waited_ms = waited_of(r);
-		if (r->d.target > 0)
-			r->d.target -= r->waited_ms * NS_MS;
+		if (r->disp.target > 0)
+			r->disp.target -= r->waited_ms * NS_MS;
 	}
-	r->d.came_back = r->waited_ms > 0;
+	r->disp.previously_refused = r->waited_ms > 0;
 }
 
 /*
@@ -377,14 +384,14 @@
  * its caller sends it again where an answer before it ends the connection.
  */
 bool
-gate_admit_beside(void *ctx, const h2o_req_t *req)
+gate_admit_pipelined(void *ctx, const h2o_req_t *req)
 {
 	struct str method =
 	    str_n(req->input.method.base, req->input.method.len);
 	const struct route_rule *rule = match(ctx, req);
 
 	return rule != NULL && hsrv_header(req, "idempotency-key").n == 0 &&
-	    route_repeatable(rule->obj, method, false);
+	    route_is_repeatable(rule->obj, method, false);
 }
 
 /* The gate has a configuration: what its rule says is found out now. */
@@ -393,14 +400,14 @@
 {
 	const struct route_rule *rule;
 
-	r->conf = route_version(r->gate->routes);
-	if (r->passed) {
+	r->conf_version = route_version(r->gate->routes);
+	if (r->forwarded) {
 		admit_passed(r);
 		return;
 	}
 	rule = match(r->gate, r->req);
 	if (rule == NULL)
-		gate_answer(r, ERR_NO_RULE, RAN_NO, 0);
+		gate_respond(r, ERR_NO_RULE, RAN_NO, 0);
 	else
 		admit(r, rule);
 }
--- a/gate_flow.c
+++ b/gate_flow.c
@@ -51,28 +51,29 @@
 
 /* Headers that belong to one connection, or that we write ourselves. */
 static bool
-is_hop_header(const h2o_iovec_t *name, const struct dial *dial)
+is_hop_header(const h2o_iovec_t *name, const struct dialect *dialect)
 {
 	static const char *const names[] = {"connection", "keep-alive", "te",
 	    "trailer", "transfer-encoding", "upgrade", "content-length", "host",
 	    "proxy-connection", "http2-settings", "date", "server", "expect",
-	    "fern-retried", GATE_PASS_HEADER};
+	    "fern-retried", GATE_FORWARD_HEADER};
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(names); i++)
 		if (is_header(name, str_c(names[i])))
 			return true;
-	return is_header(name, dial->deadline) ||
-	    (dial->instance.n > 0 && is_header(name, dial->instance)) ||
-	    (dial->key.n > 0 && is_header(name, dial->key)) ||
-	    (dial->customer.n > 0 && is_header(name, dial->customer));
+	return is_header(name, dialect->deadline) ||
+	    (dialect->instance.n > 0 && is_header(name, dialect->instance)) ||
+	    (dialect->customer_key.n > 0 &&
+		is_header(name, dialect->customer_key)) ||
+	    (dialect->customer.n > 0 && is_header(name, dialect->customer));
 }
 
 /* The headers that we write ourselves, and room for what they point to. */
 struct own_headers {
 	h2o_iovec_t names[OWN_HEADERS];
 	char deadline[24];
-	char pass[GATE_PASS_MAX];
+	char pass[GATE_FORWARD_MAX];
 };
 
 static h2o_header_t
@@ -87,31 +88,31 @@
 static struct str
 pass_text(const struct gate_req *r, struct own_headers *own, int64_t now)
 {
-	struct gate_pass pass = {
+	struct gate_forward pass = {
 	    .hops = (unsigned)r->hops + 1,
-	    .bulk = r->d.cls == CLASS_BULK,
-	    .repeatable = r->d.repeatable,
-	    .retried = r->maybe_ran || r->d.retried,
-	    .paid = r->d.paid,
-	    .left_ms = r->left_ms,
+	    .bulk = r->disp.cls == CLASS_BULK,
+	    .repeatable = r->disp.repeatable,
+	    .retried = r->maybe_ran || r->disp.is_retry,
+	    .within_retry_budget = r->disp.budget_charged,
+	    .caller_deadline_ms = r->caller_deadline_ms,
 	    .waited_ms = r->waited_ms,
-	    .tries = (unsigned)r->d.tries,
-	    .attempts = (unsigned)r->d.attempts,
-	    .rank = (unsigned)r->d.rank,
-	    .kind = r->d.kind,
-	    .print = r->d.print,
-	    .suspect =
-		poison_look(r->gate->poison, r->d.print) == POISON_SUSPECT,
-	    .hall = r->hall,
+	    .tries = (unsigned)r->disp.attempt_count,
+	    .max_attempts = (unsigned)r->disp.max_attempts,
+	    .rank = (unsigned)r->disp.rank,
+	    .kind = r->disp.kind,
+	    .fingerprint = r->disp.fingerprint,
+	    .suspect = poison_status_of(r->gate->poison, r->disp.fingerprint) ==
+		POISON_SUSPECT,
+	    .target_hall = r->hall,
 	    .regions = r->regions,
 	    .customer = r->customer,
 	    .service = r->service,
 	};
 
-	if (r->d.target != 0)
-		pass.target_ms = MAX((r->d.target - now) / NS_MS, 1);
+	if (r->disp.target != 0)
+		pass.target_ms = MAX((r->disp.target - now) / NS_MS, 1);
 	return str_n(
-	    own->pass, gate_pass_write(&pass, own->pass, sizeof(own->pass)));
+	    own->pass, gate_forward_write(&pass, own->pass, sizeof(own->pass)));
 }
 
 /*
@@ -121,38 +122,39 @@
 static size_t
 request_headers(struct gate_req *r, h2o_header_t *out, struct own_headers *own)
 {
-	const struct dial *dial = r->gate->dial;
+	const struct dialect *dialect = r->gate->dialect;
 	const h2o_headers_t *in = &r->req->headers;
 	int64_t now = clk_ns(r->gate->clk);
-	int64_t left = (r->d.deadline - now) / NS_MS;
+	int64_t left = (r->disp.deadline - now) / NS_MS;
 	struct str pass;
 	size_t i, n = 0;
 
 	for (i = 0; i < in->size && n < HEADERS_MAX - OWN_HEADERS; i++)
-		if (!is_hop_header(in->entries[i].name, dial))
+		if (!is_hop_header(in->entries[i].name, dialect))
 			out[n++] = in->entries[i];
-	if (r->peer != NULL)
+	if (r->owner != NULL)
 		left -= PASS_MARGIN_MS;
 	snprintf(own->deadline, sizeof(own->deadline), "%lld",
 	    (long long)MAX(left, 1));
-	out[n] = own_header(own, 0, dial->deadline, str_c(own->deadline));
+	out[n] = own_header(own, 0, dialect->deadline, str_c(own->deadline));
 	n++;
-	if (r->peer != NULL) {
+	if (r->owner != NULL) {
 		pass = pass_text(r, own, now);
-		out[n] = own_header(own, 1, STR_LIT(GATE_PASS_HEADER), pass);
+		out[n] = own_header(own, 1, STR_LIT(GATE_FORWARD_HEADER), pass);
 		n++;
 		return n;
 	}
-	if (dial->retried.n > 0 && (r->maybe_ran || r->d.retried)) {
-		out[n] = own_header(own, 2, dial->retried, STR_LIT("yes"));
+	if (dialect->retried.n > 0 && (r->maybe_ran || r->disp.is_retry)) {
+		out[n] = own_header(own, 2, dialect->retried, STR_LIT("yes"));
 		n++;
 	}
-	if (dial->instance.n > 0 && r->d.at != NULL) {
-		out[n] = own_header(own, 3, dial->instance, r->d.at->name);
+	if (dialect->instance.n > 0 && r->disp.backend != NULL) {
+		out[n] = own_header(
+		    own, 3, dialect->instance, r->disp.backend->name);
 		n++;
 	}
-	if (dial->customer.n > 0 && r->customer.n > 0) {
-		out[n] = own_header(own, 4, dial->customer, r->customer);
+	if (dialect->customer.n > 0 && r->customer.n > 0) {
+		out[n] = own_header(own, 4, dialect->customer, r->customer);
 		n++;
 	}
 	return n;
@@ -171,7 +173,7 @@
 	    .host = str_n(req->authority.base, req->authority.len),
 	    .headers = headers,
 	    .body = str_n(req->entity.base, req->entity.len),
-	    .fresh = fresh,
+	    .new_connection = fresh,
 	};
 
 	rq.nheaders = request_headers(r, headers, &own);
@@ -193,8 +195,8 @@
 gate_flow_dispose(struct gate_req *r)
 {
 	gate_flow_stop(r);
-	h2o_doublebuffer_dispose(&r->sending);
-	h2o_buffer_dispose(&r->rest);
+	h2o_doublebuffer_dispose(&r->send_buffer);
+	h2o_buffer_dispose(&r->unsent_body);
 }
 
 static void
@@ -239,7 +241,7 @@
 			name.base, name.len, H2O_STRLIT("content-length")) &&
 		    str_u64(str_n(value.base, value.len), &len))
 			req->res.content_length = (size_t)len;
-		if (is_hop_header(&name, r->gate->dial))
+		if (is_hop_header(&name, r->gate->dialect))
 			continue;
 		name = h2o_strdup(&req->pool, name.base, name.len);
 		value = h2o_strdup(&req->pool, value.base, value.len);
@@ -256,15 +258,15 @@
 is_own_answer(
     const struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
-	const struct dial *dial = r->gate->dial;
+	const struct dialect *dialect = r->gate->dialect;
 	struct str id;
 
-	if (dial->id.n == 0 || r->name.n == 0)
+	if (dialect->request_id.n == 0 || r->request_id.n == 0)
 		return true;
-	id = dial_header(headers, n, dial->id);
+	id = dial_find_header(headers, n, dialect->request_id);
 	if (id.n == 0)
 		return status >= 300;
-	return str_eq(id, r->name);
+	return str_eq(id, r->request_id);
 }
 
 static void
@@ -275,7 +277,7 @@
 	h2o_req_t *req = r->req;
 	struct gate *g = r->gate;
 
-	if (r->peer == NULL && !is_own_answer(r, status, headers, n)) {
+	if (r->owner == NULL && !is_own_answer(r, status, headers, n)) {
 		gate_flow_stop(r);
 		on_fail(r, NULL, ERR_CUT);
 		return;
@@ -292,7 +294,7 @@
 	r->call = call;
 	gate_req_event(r, REQ_EV_HEAD);
 	watch_silence(r);
-	cnt_sample(g->cnt, GC_LATENCY, clk_ns(g->clk) - r->began);
+	cnt_sample(g->cnt, GC_LATENCY, clk_ns(g->clk) - r->arrived_at);
 	req->res.status = status;
 	req->res.reason = status < 400 ? "OK" : "Error";
 	answer_headers(r, headers, n);
@@ -300,8 +302,8 @@
 		req->http1_is_persistent = 0;
 	r->gen.proceed = gate_flow_proceed;
 	r->gen.stop = on_stop;
-	r->started = true;
-	r->d.may_retry = false;
+	r->response_started = true;
+	r->disp.can_retry = false;
 	h2o_start_response(req, &r->gen);
 }
 
@@ -309,38 +311,43 @@
 static bool
 is_in_time(const struct gate_req *r)
 {
-	return r->d.target == 0 || clk_ns(r->gate->clk) <= r->d.target;
+	return r->disp.target == 0 || clk_ns(r->gate->clk) <= r->disp.target;
 }
 
 /* Hand the caller what is there, and the end when it has been reached. */
 static void
 send_more(struct gate_req *r)
 {
-	h2o_buffer_t **src = r->call == NULL ? &r->rest : up_body(r->call);
+	h2o_buffer_t **src =
+	    r->call == NULL ? &r->unsent_body : up_body(r->call);
 	h2o_send_state_t state = H2O_SEND_STATE_IN_PROGRESS;
 	h2o_iovec_t vec;
 
-	if (r->req == NULL || r->final || r->sending.bytes_inflight > 0)
+	if (r->req == NULL || r->final_sent ||
+	    r->send_buffer.bytes_inflight > 0)
 		return;
 	vec = h2o_doublebuffer_prepare(
-	    &r->sending, src, r->req->preferred_chunk_size);
-	if (r->ended && r->sending.buf->size == r->sending.bytes_inflight &&
+	    &r->send_buffer, src, r->req->preferred_chunk_size);
+	if (r->body_ended &&
+	    r->send_buffer.buf->size == r->send_buffer.bytes_inflight &&
 	    (*src)->size == 0) {
-		state = r->cut ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
-		r->final = true;
+		state =
+		    r->body_cut ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
+		r->final_sent = true;
 		gate_req_event(r, REQ_EV_END);
-		gate_req_settle(r, r->refused && !r->cut);
-		cnt_add(r->gate->cnt, r->cut ? GC_CUT : GC_ANSWERED, 1);
+		gate_req_settle_claim(r, r->response_not_run && !r->body_cut);
+		cnt_add(r->gate->cnt,
+		    r->body_cut ? GC_RESPONSES_CUT : GC_RESPONSES_COMPLETE, 1);
 		slog_decision(SLOG_ROUTE, "answered",
 		    "id=%.*s service=%.*s status=%d whole=%d in_time=%d "
 		    "ms=%lld tries=%d",
-		    STR_ARG(r->name), STR_ARG(r->service), r->req->res.status,
-		    !r->cut, is_in_time(r),
-		    (long long)((clk_ns(r->gate->clk) - r->began) / NS_MS),
-		    r->d.tries);
+		    STR_ARG(r->request_id), STR_ARG(r->service),
+		    r->req->res.status, !r->body_cut, is_in_time(r),
+		    (long long)((clk_ns(r->gate->clk) - r->arrived_at) / NS_MS),
+		    r->disp.attempt_count);
 		tmr_clear(&r->gate->tmr, &r->timer);
 	}
-	if (vec.len > 0 || r->final)
+	if (vec.len > 0 || r->final_sent)
 		h2o_send(r->req, &vec, vec.len > 0, state);
 }
 
@@ -351,8 +358,8 @@
 	    (struct gate_req *)((char *)gen - offsetof(struct gate_req, gen));
 
 	(void)req;
-	if (r->sending.bytes_inflight > 0)
-		h2o_doublebuffer_consume(&r->sending);
+	if (r->send_buffer.bytes_inflight > 0)
+		h2o_doublebuffer_consume(&r->send_buffer);
 	if (r->call != NULL && (*up_body(r->call))->size < BUFFER_MAX / 2) {
 		up_resume(r->call);
 		watch_silence(r);
@@ -368,7 +375,7 @@
 	    (struct gate_req *)((char *)gen - offsetof(struct gate_req, gen));
 
 	(void)req;
-	gate_try_abandon(r, DISP_GONE);
+	gate_try_abandon(r, DISP_CANCELED);
 }
 
 static void
@@ -387,12 +394,12 @@
 static void
 keep_rest(struct gate_req *r, struct up_call *call)
 {
-	h2o_buffer_t **body = up_body(call), *swap = r->rest;
+	h2o_buffer_t **body = up_body(call), *swap = r->unsent_body;
 
-	r->rest = *body;
+	r->unsent_body = *body;
 	*body = swap;
 	r->call = NULL;
-	r->ended = true;
+	r->body_ended = true;
 }
 
 static void
@@ -411,16 +418,16 @@
 	struct gate_req *r = ctx;
 
 	r->call = NULL;
-	if (!r->started) {
+	if (!r->response_started) {
 		gate_try_failed(r, kind);
 		return;
 	}
 	if (call != NULL)
 		keep_rest(r, call);
-	r->ended = true;
-	r->cut = true;
+	r->body_ended = true;
+	r->body_cut = true;
 	slog_decision(SLOG_GATE, "answer was cut", "id=%.*s why=%s",
-	    STR_ARG(r->name), err_answer(kind)->name);
+	    STR_ARG(r->request_id), err_answer(kind)->name);
 	gate_try_failed(r, kind);
 	send_more(r);
 }
--- a/gate_pass.c
+++ b/gate_pass.c
@@ -40,9 +40,9 @@
  * customer, and of the service.
  */
 bool
-gate_pass_read(struct str text, struct gate_pass *out)
+gate_forward_read(struct str text, struct gate_forward *out)
 {
-	char copy[GATE_PASS_MAX];
+	char copy[GATE_FORWARD_MAX];
 	unsigned bulk, repeatable, retried, paid, suspect;
 	unsigned long long hi, lo, caller;
 	long long target, left, waited;
@@ -55,21 +55,21 @@
 	n = sscanf(copy,
 	    "%u %u %u %u %u %u %u %u %u %lld %lld %lld %llx %llx %llx %u %n",
 	    &out->hops, &bulk, &repeatable, &retried, &paid, &out->tries,
-	    &out->attempts, &out->rank, &out->kind, &target, &left, &waited,
+	    &out->max_attempts, &out->rank, &out->kind, &target, &left, &waited,
 	    &hi, &lo, &caller, &suspect, &at);
 	if (n != FIELDS || at == 0)
 		return false;
 	out->bulk = bulk != 0;
 	out->repeatable = repeatable != 0;
 	out->retried = retried != 0;
-	out->paid = paid != 0;
+	out->within_retry_budget = paid != 0;
 	out->suspect = suspect != 0;
 	out->target_ms = target;
-	out->left_ms = left;
+	out->caller_deadline_ms = left;
 	out->waited_ms = waited;
-	out->print = (struct fprint){hi, lo, caller};
+	out->fingerprint = (struct fprint){hi, lo, caller};
 	out->service = str_n(text.p + at, text.n - (size_t)at);
-	if (!next_word(&out->service, &out->hall) ||
+	if (!next_word(&out->service, &out->target_hall) ||
 	    !next_word(&out->service, &out->regions) ||
 	    !next_word(&out->service, &out->customer) || out->customer.n == 0 ||
 	    out->customer.p[0] != CUSTOMER_SIGN)
@@ -77,23 +77,24 @@
 	out->customer = str_n(out->customer.p + 1, out->customer.n - 1);
 	if (str_eq(out->regions, str_c(ANY_REGION)))
 		out->regions = str_c(NULL);
-	return out->hall.n > 0 && out->service.n > 0;
+	return out->target_hall.n > 0 && out->service.n > 0;
 }
 
 size_t
-gate_pass_write(const struct gate_pass *p, char *out, size_t size)
+gate_forward_write(const struct gate_forward *p, char *out, size_t size)
 {
 	struct str regions = p->regions.n > 0 ? p->regions : str_c(ANY_REGION);
 	int n = snprintf(out, size,
 	    "%u %u %u %u %u %u %u %u %u %lld %lld %lld %llx %llx %llx %u "
 	    "%.*s %.*s %c%.*s %.*s",
-	    p->hops, p->bulk, p->repeatable, p->retried, p->paid, p->tries,
-	    p->attempts, p->rank, p->kind, (long long)p->target_ms,
-	    (long long)p->left_ms, (long long)p->waited_ms,
-	    (unsigned long long)p->print.hi, (unsigned long long)p->print.lo,
-	    (unsigned long long)p->print.caller, p->suspect, STR_ARG(p->hall),
-	    STR_ARG(regions), CUSTOMER_SIGN, STR_ARG(p->customer),
-	    STR_ARG(p->service));
+	    p->hops, p->bulk, p->repeatable, p->retried, p->within_retry_budget,
+	    p->tries, p->max_attempts, p->rank, p->kind,
+	    (long long)p->target_ms, (long long)p->caller_deadline_ms,
+	    (long long)p->waited_ms, (unsigned long long)p->fingerprint.hi,
+	    (unsigned long long)p->fingerprint.lo,
+	    (unsigned long long)p->fingerprint.caller, p->suspect,
+	    STR_ARG(p->target_hall), STR_ARG(regions), CUSTOMER_SIGN,
+	    STR_ARG(p->customer), STR_ARG(p->service));
 
 	return MIN((size_t)n, size - 1);
 }
--- a/gate_peek.c
+++ b/gate_peek.c
@@ -25,7 +25,7 @@
 	int64_t born_ms; /* which life was asked */
 	struct up_call *call;
 	struct tmr_item timer;
-	struct dial_word word; /* pace 0: it tells no load */
+	struct dial_report word; /* pace 0: it tells no load */
 };
 
 static void on_connected(void *, struct up_call *);
@@ -43,7 +43,7 @@
  * may have broken with it, and not be known for it yet.
  */
 void
-gate_peek_start(struct gate_shard *s, const struct pick_backend *b)
+gate_load_query_start(struct gate_shard *s, const struct pick_backend *b)
 {
 	struct gate *g = s->gate;
 	const struct route_service *svc = route_service(g->routes, s->service);
@@ -52,16 +52,16 @@
 	    .method = STR_LIT("GET"),
 	    .path = svc == NULL ? STR_LIT("/health") : svc->obj->probe_path,
 	    .host = b->address,
-	    .fresh = b->doubts != NULL,
-	    .connect_ns = TIMEOUT_NS};
+	    .new_connection = b->crash_suspects != NULL,
+	    .connect_timeout_ns = TIMEOUT_NS};
 
 	p->gate = g;
 	p->service = str_dup(s->service);
 	p->hall = str_dup(s->hall);
 	p->backend = str_dup(b->name);
 	p->address = str_dup(b->address);
-	p->born_ms = b->born_ms;
-	cnt_add(g->cnt, GC_PEEKS, 1);
+	p->born_ms = b->started_ms;
+	cnt_add(g->cnt, GC_LOAD_QUERIES, 1);
 	tmr_set(&g->tmr, &p->timer, clk_ns(g->clk) + TIMEOUT_NS, on_timeout, p);
 	p->call = up_start(g->up, &rq, &peek_ops, p);
 }
@@ -70,11 +70,11 @@
 static void
 take_word(const struct peek *p, struct gate_shard *s)
 {
-	struct pick_backend *b = disp_find(s->disp, p->backend);
+	struct pick_backend *b = disp_find_backend(s->disp, p->backend);
 
-	if (b != NULL && b->born_ms == p->born_ms &&
+	if (b != NULL && b->started_ms == p->born_ms &&
 	    str_eq(b->address, p->address))
-		gate_word_peeked(s, b, &p->word);
+		gate_report_from_query(s, b, &p->word);
 }
 
 /* The shard and the backend server may be gone by now. */
@@ -86,12 +86,13 @@
 
 	tmr_clear(&g->tmr, &p->timer);
 	if (!answered)
-		cnt_add(g->cnt, GC_PEEKS_LOST, 1);
+		cnt_add(g->cnt, GC_LOAD_QUERIES_LOST, 1);
 	if (s != NULL && answered)
 		take_word(p, s);
 	if (s != NULL)
-		disp_peeked(s->disp, p->backend, answered, p->word.load.running,
-		    p->word.load.waiting, p->word.load.pace);
+		disp_load_query_done(s->disp, p->backend, answered,
+		    p->word.load.running, p->word.load.waiting,
+		    p->word.load.latency_percent);
 	str_free(&p->service);
 	str_free(&p->hall);
 	str_free(&p->backend);
@@ -108,7 +109,7 @@
 
 	(void)call;
 	if (s != NULL)
-		disp_reached(s->disp, p->backend);
+		disp_load_query_connected(s->disp, p->backend);
 }
 
 static void
@@ -118,9 +119,9 @@
 	struct peek *p = ctx;
 
 	(void)call;
-	p->gate->dial->word(status, headers, n, &p->word);
-	if (!p->word.tells_load)
-		p->word.load.pace = 0;
+	p->gate->dialect->parse_report(status, headers, n, &p->word);
+	if (!p->word.has_load)
+		p->word.load.latency_percent = 0;
 }
 
 static void
--- a/gate_poison.c
+++ b/gate_poison.c
@@ -19,8 +19,8 @@
  * by turns, a list to one hub of all at random: from n hubs each hears of it
  * within a second or two, whoever restarts.
  *
- * A list has POISON_WORDS at most, 2 KB, so that a hub sends 4 KB a second at
- * worst, and nothing where nobody is suspected.
+ * A list has POISON_MSG_RECORDS_MAX at most, 2 KB, so that a hub sends 4 KB a
+ * second at worst, and nothing where nobody is suspected.
  */
 #define TURN_NS (500 * NS_MS)
 
@@ -28,9 +28,9 @@
 static void
 tell(struct gate *g, const struct gate_peer *to)
 {
-	struct msg_suspect items[POISON_WORDS];
+	struct msg_suspect items[POISON_MSG_RECORDS_MAX];
 	struct msg m = {.kind = MSG_SUSPECTS};
-	unsigned i, n = poison_msg_write(g->poison, clk_ns(g->clk), items);
+	unsigned i, n = poison_msg_encode(g->poison, clk_ns(g->clk), items);
 	const struct gate_peer *p;
 
 	if (n == 0)
@@ -42,11 +42,11 @@
 			wire_send(g->wire, p->info.gate_inbox, &m);
 	}
 	if (to == NULL)
-		wire_send(g->wire, g->set.agent, &m);
+		wire_send(g->wire, g->settings.agent, &m);
 }
 
 static void
-on_changed(void *ctx, struct fprint print, enum poison_verdict verdict)
+on_changed(void *ctx, struct fprint print, enum poison_status verdict)
 {
 	static const char *const msgs[] = {
 	    [POISON_NONE] = "a request is cleared, it was answered",
@@ -71,12 +71,12 @@
 {
 	unsigned at;
 
-	if (poison_has_news(g->poison))
+	if (poison_has_unsent_trial(g->poison))
 		tell(g, NULL);
-	if (now - g->poison_told < TURN_NS)
+	if (now - g->poison_sent_at < TURN_NS)
 		return;
-	g->poison_told = now;
-	poison_tick(g->poison);
+	g->poison_sent_at = now;
+	poison_expire(g->poison);
 	if (g->peers->len == 0)
 		return;
 	at = (unsigned)rnd_below(g->rnd, g->peers->len);
@@ -84,13 +84,13 @@
 }
 
 void
-gate_poison_take(struct gate *g, const struct msg_suspects *m)
+gate_poison_merge(struct gate *g, const struct msg_suspects *m)
 {
-	poison_msg_take(g->poison, clk_ns(g->clk), m);
+	poison_msg_merge(g->poison, clk_ns(g->clk), m);
 }
 
 void
-gate_poison_greet(struct gate *g, const struct gate_peer *p)
+gate_poison_send_to(struct gate *g, const struct gate_peer *p)
 {
 	tell(g, p);
 }
--- a/gate_roll.c
+++ b/gate_roll.c
@@ -34,8 +34,8 @@
 static double
 first_share(const struct gate *g)
 {
-	if (g->bounds.expose_share > 0)
-		return g->bounds.expose_share * EXPOSE_USED;
+	if (g->bounds.unproven_share > 0)
+		return g->bounds.unproven_share * EXPOSE_USED;
 	return SHARE;
 }
 
@@ -56,37 +56,38 @@
 {
 	const struct obj_rollout *order = svc->rollout;
 
-	if (s->roll != NULL && (order == NULL || !roll_is(s->roll, order)))
+	if (s->roll != NULL && (order == NULL || !roll_matches(s->roll, order)))
 		gate_roll_close(s);
 	if (order == NULL)
 		return;
 	if (s->roll == NULL) {
 		s->roll = roll_new(
 		    order, g->chart_roll, first_share(g), clk_ns(g->clk));
-		s->roll_seen = ROLL_WAITING;
+		s->roll_logged_state = ROLL_WAITING;
 	}
-	roll_settle(s->roll, (enum obj_rolled)order->state);
+	roll_set_platform_state(s->roll, (enum obj_rollout_state)order->state);
 }
 
 static void
 note_step(struct gate_shard *s, int64_t now)
 {
 	enum roll_state state = roll_state(s->roll);
-	struct roll_word word;
+	struct roll_report word;
 	const char *why;
 
-	if (state == s->roll_seen)
+	if (state == s->roll_logged_state)
 		return;
-	s->roll_seen = state;
-	word = roll_word_of(s->roll, disp_old_inflight(s->disp), now);
-	why = roll_why(s->roll);
+	s->roll_logged_state = state;
+	word =
+	    roll_make_report(s->roll, disp_old_version_inflight(s->disp), now);
+	why = roll_reason(s->roll);
 	slog(SLOG_PICK, "a roll-out goes on",
 	    "service=%.*s hall=%.*s state=%s age_ms=%lld answers=%llu "
 	    "bad=%llu old_out=%u why=%s",
 	    STR_ARG(s->service), STR_ARG(s->hall),
 	    roll_chart_names.states[state], (long long)(word.age / NS_MS),
-	    (unsigned long long)word.answers, (unsigned long long)word.bad,
-	    word.old_out, slog_quote(why != NULL ? why : ""));
+	    (unsigned long long)word.answers, (unsigned long long)word.failures,
+	    word.old_in_flight, slog_quote(why != NULL ? why : ""));
 }
 
 /* Tell the service's homes in the other halls; ours among them. */
@@ -94,35 +95,35 @@
 tell(struct gate *g, struct gate_shard *s, const struct route_service *svc,
     int64_t now)
 {
-	struct roll_word w =
-	    roll_word_of(s->roll, disp_old_inflight(s->disp), now);
-	struct msg m = {.kind = MSG_ROLL};
+	struct roll_report w =
+	    roll_make_report(s->roll, disp_old_version_inflight(s->disp), now);
+	struct msg m = {.kind = MSG_ROLLOUT};
 
-	s->roll_told = now;
-	m.u.roll = (struct msg_roll){.service = s->service,
+	s->roll_sent_at = now;
+	m.u.rollout = (struct msg_rollout){.service = s->service,
 	    .hall = s->hall,
-	    .box = g->set.box,
+	    .box = g->settings.box,
 	    .version = svc->rollout->version,
 	    .age_ms = (uint64_t)(w.age / NS_MS),
 	    .state = (uint64_t)w.state,
 	    .answers = w.answers,
-	    .bad = w.bad,
-	    .old_out = w.old_out};
-	gate_home_tell(g, s, svc, &m);
+	    .failures = w.failures,
+	    .old_in_flight = w.old_in_flight};
+	gate_owner_send_others(g, s, svc, &m);
 }
 
 /* What a home told reaches our shards of the service's other halls. */
 void
-gate_roll_take(struct gate *g, const struct msg_roll *m)
+gate_roll_merge(struct gate *g, const struct msg_rollout *m)
 {
 	const struct route_service *svc = route_service(g->routes, m->service);
 	int64_t now = clk_ns(g->clk);
-	struct roll_word w = {
+	struct roll_report w = {
 	    .age = (int64_t)MIN(m->age_ms, (uint64_t)(now / NS_MS)) * NS_MS,
-	    .state = (enum roll_state)MIN(m->state, ROLL_BACK),
+	    .state = (enum roll_state)MIN(m->state, ROLL_ROLLED_BACK),
 	    .answers = m->answers,
-	    .bad = m->bad,
-	    .old_out = (unsigned)MIN(m->old_out, G_MAXUINT)};
+	    .failures = m->failures,
+	    .old_in_flight = (unsigned)MIN(m->old_in_flight, G_MAXUINT)};
 	struct gate_shard *s;
 	GHashTableIter it;
 	gpointer value;
@@ -136,7 +137,7 @@
 		if (s->roll == NULL || !str_eq(s->service, m->service) ||
 		    str_eq(s->hall, m->hall))
 			continue;
-		roll_told(s->roll, m->box, m->hall, &w, now);
+		roll_merge_report(s->roll, m->box, m->hall, &w, now);
 	}
 }
 
@@ -161,11 +162,11 @@
 
 static void
 write_state(struct gate *g, struct gate_shard *s,
-    const struct route_service *svc, enum obj_rolled state, int64_t now)
+    const struct route_service *svc, enum obj_rollout_state state, int64_t now)
 {
 	char *key = g_strdup_printf("rollout/%.*s", STR_ARG(s->service));
 	const struct conf_entry *e = conf_get(g->conf, str_c(key));
-	struct plat_request rq = {.op = PLAT_STATUS,
+	struct plat_request rq = {.op = PLAT_UPDATE_STATUS,
 	    .kind = rollout_kind,
 	    .name = s->service,
 	    .version = MAX(e == NULL ? 0 : e->version, s->roll_version),
@@ -173,10 +174,10 @@
 	json_t *value;
 
 	g_free(key);
-	value = json_pack("{s:s, s:s%}", "state", obj_rolled_name(state),
+	value = json_pack("{s:s, s:s%}", "state", obj_rollout_state_name(state),
 	    "version", svc->rollout->version.p, svc->rollout->version.n);
 	rq.value = value;
-	s->roll_written = now;
+	s->roll_written_at = now;
 	s->roll_call = plat_start(g->plat, &rq, on_written, s);
 	json_decref(value);
 }
@@ -199,18 +200,20 @@
     const struct route_service *svc, int64_t now)
 {
 	struct str *halls = g_new0(struct str, svc->nhalls);
-	enum obj_rolled wants;
+	enum obj_rollout_state wants;
 	unsigned i, n = 0;
 
 	for (i = 0; i < svc->nhalls; i++)
 		if (!str_eq(svc->halls[i].hall, s->hall))
 			halls[n++] = svc->halls[i].hall;
-	wants = roll_wants(s->roll, halls, n, disp_old_inflight(s->disp), now);
+	wants = roll_state_to_write(
+	    s->roll, halls, n, disp_old_version_inflight(s->disp), now);
 	g_free(halls);
 	if ((int)wants == svc->rollout->state || s->roll_call != NULL ||
-	    (wants == s->roll_state && now - s->roll_written < WRITE_NS))
+	    (wants == s->roll_written_state &&
+		now - s->roll_written_at < WRITE_NS))
 		return;
-	s->roll_state = wants;
+	s->roll_written_state = wants;
 	write_state(g, s, svc, wants, now);
 }
 
@@ -221,12 +224,12 @@
 static bool
 is_news(const struct gate_shard *s, int64_t now)
 {
-	if (!s->home && disp_old_inflight(s->disp) == 0)
+	if (!s->is_owner && disp_old_version_inflight(s->disp) == 0)
 		return false;
 	if (roll_state(s->roll) == ROLL_COMPLETED)
 		return false;
-	return now - s->roll_told >= TELL_NS ||
-	    roll_state(s->roll) != s->roll_seen;
+	return now - s->roll_sent_at >= TELL_NS ||
+	    roll_state(s->roll) != s->roll_logged_state;
 }
 
 static void
@@ -236,12 +239,12 @@
 
 	if (s->roll == NULL || svc == NULL || svc->rollout == NULL)
 		return;
-	if (s->home)
-		roll_tick(s->roll, svc->has_new, now);
+	if (s->is_owner)
+		roll_tick(s->roll, svc->has_new_version, now);
 	if (is_news(s, now))
 		tell(g, s, svc, now);
 	note_step(s, now);
-	if (s->home && str_eq(s->hall, first_hall(svc)))
+	if (s->is_owner && str_eq(s->hall, first_hall(svc)))
 		write_if_due(g, s, svc, now);
 }
 
--- a/gate_word.c
+++ b/gate_word.c
@@ -20,12 +20,12 @@
 static void
 note_malformed(struct gate *g, struct pick_backend *b, struct str id)
 {
-	cnt_add(g->cnt, GC_MALFORMED, 1);
-	if (!b->malformed)
+	cnt_add(g->cnt, GC_MALFORMED_REPORTS, 1);
+	if (!b->malformed_report)
 		slog_decision(SLOG_PICK,
 		    "a backend server says what cannot be read",
 		    "id=%.*s backend=%.*s", STR_ARG(id), STR_ARG(b->name));
-	b->malformed = true;
+	b->malformed_report = true;
 }
 
 static void
@@ -51,7 +51,7 @@
 note_rest(const struct gate_shard *s, struct str backend, struct str id,
     int64_t rest_ms)
 {
-	cnt_add(s->gate->cnt, GC_RESTS, 1);
+	cnt_add(s->gate->cnt, GC_RETRY_AFTER_PAUSES, 1);
 	slog_decision(SLOG_PICK, "a backend server asks for a rest",
 	    "id=%.*s service=%.*s backend=%.*s rest_ms=%lld", STR_ARG(id),
 	    STR_ARG(s->service), STR_ARG(backend), (long long)rest_ms);
@@ -63,10 +63,11 @@
  */
 static bool
 tells_quota(const struct gate_req *r, int status, const h2o_header_t *headers,
-    size_t n, const struct dial_word *word)
+    size_t n, const struct dial_report *word)
 {
-	return word->limit > 0 ||
-	    (!word->malformed && !r->gate->dial->refused(status, headers, n));
+	return word->rate_limit > 0 ||
+	    (!word->malformed &&
+		!r->gate->dialect->not_executed(status, headers, n));
 }
 
 /*
@@ -76,66 +77,67 @@
 static void
 keep(struct gate *g, const struct pick_backend *b)
 {
-	struct word w = {.backend = b->name,
-	    .born_ms = b->born_ms,
-	    .leaves = b->leaves && g->dial->leaves_for_life,
+	struct backend_report w = {.backend = b->name,
+	    .started_ms = b->started_ms,
+	    .leaving = b->leaving && g->dialect->leaving_is_final,
 	    .rate = b->quota.rate,
-	    .heard = clk_ns(g->clk),
-	    .rest_until = b->rest_until};
+	    .reported_at = clk_ns(g->clk),
+	    .pause_until = b->pause_until};
 
-	gate_words_hear(g, &w);
+	gate_reports_add(g, &w);
 }
 
 /* The answer is to what was sent at a time, a request's or a question's. */
 static void
 take(struct gate_shard *s, struct pick_backend *b, struct str id,
-    const struct dial_word *word, int64_t sent, bool quota)
+    const struct dial_report *word, int64_t sent, bool quota)
 {
 	bool news = false;
 
 	if (word->malformed)
 		note_malformed(s->gate, b, id);
-	if (word->leaves && disp_leaves_told(b))
+	if (word->leaving && disp_leaving_reported(b))
 		note_leaving(s, b->name, id);
-	if (disp_rest_told(s->disp, b, word->rest_ms * NS_MS))
-		note_rest(s, b->name, id, word->rest_ms);
-	if (quota && disp_quota_told(s->disp, b, word->limit, sent)) {
-		note_quota(s, b->name, id, word->limit);
+	if (disp_pause_reported(s->disp, b, word->retry_after_ms * NS_MS))
+		note_rest(s, b->name, id, word->retry_after_ms);
+	if (quota && disp_quota_reported(s->disp, b, word->rate_limit, sent)) {
+		note_quota(s, b->name, id, word->rate_limit);
 		news = true;
 	}
-	if (news || word->limit > 0 || word->leaves || word->rest_ms > 0)
+	if (news || word->rate_limit > 0 || word->leaving ||
+	    word->retry_after_ms > 0)
 		keep(s->gate, b);
 }
 
 void
-gate_word_answer(
+gate_report_from_answer(
     struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
-	const struct dial *dial = r->gate->dial;
+	const struct dialect *dialect = r->gate->dialect;
 	struct gate_shard *s = r->shard;
-	struct dial_word word;
+	struct dial_report word;
 
 	/* Another backend server has the address, and speaks of itself. */
-	if (dial->moved(status, headers, n))
+	if (dialect->address_reassigned(status, headers, n))
 		return;
-	dial->word(status, headers, n, &word);
-	if (word.tells_load)
-		disp_load_told(s->disp, r->d.at, word.load.running,
-		    word.load.waiting, word.load.pace);
-	take(s, r->d.at, r->name, &word, r->d.sent,
+	dialect->parse_report(status, headers, n, &word);
+	if (word.has_load)
+		disp_load_reported(s->disp, r->disp.backend, word.load.running,
+		    word.load.waiting, word.load.latency_percent);
+	take(s, r->disp.backend, r->request_id, &word, r->disp.sent_at,
 	    tells_quota(r, status, headers, n, &word));
 }
 
 /* Where answers to requests name a limit, those to questions may not. */
 void
-gate_word_peeked(
-    struct gate_shard *s, struct pick_backend *b, const struct dial_word *word)
+gate_report_from_query(struct gate_shard *s, struct pick_backend *b,
+    const struct dial_report *word)
 {
-	if (disp_cold_told(s->disp, b->name, word->cold_ms * NS_MS))
+	if (disp_cold_reported(s->disp, b->name, word->slow_start_ms * NS_MS))
 		slog_decision(SLOG_PICK,
-		    word->cold_ms > 0 ? "a backend server is cold"
-				      : "a backend server is warm",
+		    word->slow_start_ms > 0 ? "a backend server is cold"
+					    : "a backend server is warm",
 		    "backend=%.*s service=%.*s cold_ms=%lld", STR_ARG(b->name),
-		    STR_ARG(s->service), (long long)word->cold_ms);
-	take(s, b, str_c(NULL), word, b->peeked_at, word->limit > 0);
+		    STR_ARG(s->service), (long long)word->slow_start_ms);
+	take(s, b, str_c(NULL), word, b->queried_at, word->rate_limit > 0);
 }
--- a/gate_words.c
+++ b/gate_words.c
@@ -29,45 +29,45 @@
 enum { LIST_MAX = 32, MILLI = 1000 };
 
 static void
-write_word(struct msg_word *out, const struct word *w, int64_t now)
+write_word(struct msg_report *out, const struct backend_report *w, int64_t now)
 {
-	*out = (struct msg_word){.backend = w->backend,
-	    .born_ms = (uint64_t)w->born_ms,
-	    .leaves = w->leaves,
+	*out = (struct msg_report){.backend = w->backend,
+	    .started_ms = (uint64_t)w->started_ms,
+	    .leaving = w->leaving,
 	    .rate_milli = (uint64_t)llround(w->rate * MILLI),
-	    .heard_ms = (uint64_t)(MAX(now - w->heard, 0) / NS_MS)};
+	    .age_ms = (uint64_t)(MAX(now - w->reported_at, 0) / NS_MS)};
 }
 
 /* An age beyond the start of our clock counts as of then. */
 static void
-read_word(struct word *out, const struct msg_word *in, int64_t now)
+read_word(struct backend_report *out, const struct msg_report *in, int64_t now)
 {
-	uint64_t age = MIN(in->heard_ms, (uint64_t)(now / NS_MS));
+	uint64_t age = MIN(in->age_ms, (uint64_t)(now / NS_MS));
 
-	*out = (struct word){.backend = in->backend,
-	    .born_ms = (int64_t)MIN(in->born_ms, (uint64_t)INT64_MAX),
-	    .leaves = in->leaves,
+	*out = (struct backend_report){.backend = in->backend,
+	    .started_ms = (int64_t)MIN(in->started_ms, (uint64_t)INT64_MAX),
+	    .leaving = in->leaving,
 	    .rate = (double)in->rate_milli / MILLI,
-	    .heard = now - (int64_t)age * NS_MS};
+	    .reported_at = now - (int64_t)age * NS_MS};
 }
 
 /* Send words to one gate, or to all that are listed, or to those near. */
 static void
-tell(struct gate *g, const struct word *words, unsigned n,
+tell(struct gate *g, const struct backend_report *words, unsigned n,
     const struct gate_peer *to, bool near)
 {
-	struct msg_word items[LIST_MAX];
-	struct msg m = {.kind = MSG_WORDS};
+	struct msg_report items[LIST_MAX];
+	struct msg m = {.kind = MSG_REPORTS};
 	const struct gate_peer *p;
 	unsigned i;
 
 	for (i = 0; i < n; i++)
 		write_word(&items[i], &words[i], clk_ns(g->clk));
-	m.u.words.words = (struct msg_list){items, n};
+	m.u.reports.reports = (struct msg_list){items, n};
 	for (i = 0; i < g->peers->len; i++) {
 		p = g_ptr_array_index(g->peers, i);
 		if (!p->listed || (to != NULL && to != p) ||
-		    (near && !str_eq(p->info.hall, g->set.hall)))
+		    (near && !str_eq(p->info.hall, g->settings.hall)))
 			continue;
 		wire_send(g->wire, p->info.gate_inbox, &m);
 	}
@@ -76,8 +76,8 @@
 static void
 tell_list(struct gate *g, const struct gate_peer *to)
 {
-	struct word words[LIST_MAX];
-	unsigned n = words_list(g->words, words, LIST_MAX);
+	struct backend_report words[LIST_MAX];
+	unsigned n = reports_next(g->reports, words, LIST_MAX);
 
 	if (n > 0)
 		tell(g, words, n, to, false);
@@ -86,41 +86,41 @@
 static void
 tell_news(struct gate *g)
 {
-	struct word words[LIST_MAX];
-	unsigned n = words_untold(g->words, words, LIST_MAX);
+	struct backend_report words[LIST_MAX];
+	unsigned n = reports_pop_unsent(g->reports, words, LIST_MAX);
 
 	if (n > 0)
 		tell(g, words, n, NULL, true);
 }
 
 void
-gate_words_hear(struct gate *g, const struct word *w)
+gate_reports_add(struct gate *g, const struct backend_report *w)
 {
-	const struct word *before =
-	    words_find(g->words, w->backend, w->born_ms);
-	bool left = before != NULL && before->leaves;
+	const struct backend_report *before =
+	    reports_find(g->reports, w->backend, w->started_ms);
+	bool left = before != NULL && before->leaving;
 
-	if (!words_take(g->words, w))
+	if (!reports_merge(g->reports, w))
 		return;
-	if (w->leaves && !left)
+	if (w->leaving && !left)
 		tell(g, w, 1, NULL, false);
 	else
-		words_mark(g->words, w->backend);
+		reports_mark_unsent(g->reports, w->backend);
 }
 
 void
-gate_words_tick(struct gate *g, int64_t now)
+gate_reports_tick(struct gate *g, int64_t now)
 {
 	unsigned at;
 
-	if (now - g->words_told >= NEWS_NS) {
-		g->words_told = now;
+	if (now - g->reports_sent_at >= NEWS_NS) {
+		g->reports_sent_at = now;
 		tell_news(g);
 	}
-	if (now - g->words_turn < TURN_NS)
+	if (now - g->reports_gossiped_at < TURN_NS)
 		return;
-	g->words_turn = now;
-	words_tick(g->words, now);
+	g->reports_gossiped_at = now;
+	reports_expire(g->reports, now);
 	if (g->peers->len == 0)
 		return;
 	at = (unsigned)rnd_below(g->rnd, g->peers->len);
@@ -128,29 +128,29 @@
 }
 
 void
-gate_words_take(struct gate *g, const struct msg_words *m)
+gate_reports_merge(struct gate *g, const struct msg_reports *m)
 {
-	const struct msg_word *v = m->words.items;
+	const struct msg_report *v = m->reports.items;
 	int64_t now = clk_ns(g->clk);
 	GHashTableIter it;
-	struct word word;
+	struct backend_report word;
 	bool news = false;
 	gpointer value;
 	size_t i;
 
-	for (i = 0; i < MIN(m->words.n, (size_t)LIST_MAX); i++) {
+	for (i = 0; i < MIN(m->reports.n, (size_t)LIST_MAX); i++) {
 		read_word(&word, &v[i], now);
-		news = words_take(g->words, &word) || news;
+		news = reports_merge(g->reports, &word) || news;
 	}
 	if (!news)
 		return;
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		disp_words_told(((struct gate_shard *)value)->disp);
+		disp_apply_reports(((struct gate_shard *)value)->disp);
 }
 
 void
-gate_words_greet(struct gate *g, const struct gate_peer *p)
+gate_reports_send_to(struct gate *g, const struct gate_peer *p)
 {
 	tell_list(g, p);
 }
--- a/home.c
+++ b/home.c
@@ -46,7 +46,7 @@
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		if (gates[i].homes >= max_services)
+		if (gates[i].nservices >= max_services)
 			continue;
 		w = home_weight(service, hall, gates[i].box);
 		if (best != NULL && w < best_w)
@@ -58,7 +58,7 @@
 }
 
 void
-home_deal(struct str hall, struct home_service *services, size_t nservices,
+home_assign(struct str hall, struct home_service *services, size_t nservices,
     struct home_gate *gates, size_t ngates)
 {
 	unsigned max_services;
@@ -72,7 +72,7 @@
 		struct home_gate *gate = best_gate(
 		    hall, services[i].name, gates, ngates, max_services);
 
-		gate->homes++;
+		gate->nservices++;
 		services[i].gate = gate;
 	}
 }
--- a/home.h
+++ b/home.h
@@ -33,7 +33,7 @@
 /* A gate that services may be assigned to. */
 struct home_gate {
 	struct str box;
-	unsigned homes; /* number of services assigned so far */
+	unsigned nservices; /* number of services assigned so far */
 	void *data; /* for the caller */
 };
 
@@ -48,7 +48,7 @@
  * services in each gate, and reorders the services.  Gates start with a count
  * of 0.
  */
-void home_deal(struct str hall, struct home_service *, size_t nservices,
+void home_assign(struct str hall, struct home_service *, size_t nservices,
     struct home_gate *, size_t ngates);
 
 /*
--- a/libsync.h
+++ b/libsync.h
@@ -16,18 +16,19 @@
 /* Functions of sync_pack.c that only sync.c uses. */
 
 /* Sends one message and counts it. */
-void sync_post(struct sync *, struct str to, const struct msg *);
+void sync_send(struct sync *, struct str to, const struct msg *);
 
 /*
  * Adds the deletion of an object that is not stored here, because it was
  * deleted at or before `version`.
  */
-void sync_pack_add_gone(struct sync_pack *, struct str key, uint64_t version);
+void
+sync_pack_add_deleted(struct sync_pack *, struct str key, uint64_t version);
 
 /*
  * Returns the contents of a received object as a new reference; NULL if they
  * cannot be decoded.
  */
-json_t *sync_read_spec(const struct msg_object *);
+json_t *sync_decode_spec(const struct msg_object *);
 
 #endif
--- a/poison.c
+++ b/poison.c
@@ -22,9 +22,9 @@
 struct poison {
 	const struct clk *clk;
 	const struct rnd *rnd;
-	GPtrArray *records; /* struct poison_word * */
+	GPtrArray *records; /* struct poison_record * */
 	bool has_unsent_trial;
-	poison_fn *changed; /* may be NULL */
+	poison_changed_fn *changed; /* may be NULL */
 	void *ctx;
 };
 
@@ -40,7 +40,7 @@
 }
 
 void
-poison_listen(struct poison *p, poison_fn *changed, void *ctx)
+poison_listen(struct poison *p, poison_changed_fn *changed, void *ctx)
 {
 	p->changed = changed;
 	p->ctx = ctx;
@@ -54,22 +54,22 @@
 }
 
 static unsigned
-count_trials(const struct poison_word *rec)
+count_trials(const struct poison_record *rec)
 {
 	unsigned i, n = 0;
 
 	for (i = 0; i < POISON_TRIALS; i++)
-		n += rec->trials[i] != 0;
+		n += rec->trial_ids[i] != 0;
 	return n;
 }
 
 /* Returns the status of a request by the record of one caller alone. */
-static enum poison_verdict
-record_status(const struct poison_word *rec, int64_t now)
+static enum poison_status
+record_status(const struct poison_record *rec, int64_t now)
 {
-	int64_t age = now - rec->ended;
+	int64_t age = now - rec->crashed_at;
 
-	if (rec->cleared >= rec->ended)
+	if (rec->cleared_at >= rec->crashed_at)
 		return POISON_NONE;
 	if (age < POISON_HOLD_NS)
 		return count_trials(rec) == POISON_TRIALS ? POISON_PROVED
@@ -80,15 +80,15 @@
 	    : POISON_NONE;
 }
 
-static struct poison_word *
+static struct poison_record *
 find(const struct poison *p, struct fprint fingerprint)
 {
-	struct poison_word *rec;
+	struct poison_record *rec;
 	guint i;
 
 	for (i = 0; i < p->records->len; i++) {
 		rec = g_ptr_array_index(p->records, i);
-		if (fprint_eq(rec->print, fingerprint))
+		if (fprint_eq(rec->fingerprint, fingerprint))
 			return rec;
 	}
 	return NULL;
@@ -96,7 +96,7 @@
 
 /* The records of all callers for a request. */
 struct combined_status {
-	const struct poison_word *caller_record; /* NULL: none */
+	const struct poison_record *caller_record; /* NULL: none */
 	unsigned callers_tried; /* callers with a recent crash in a trial */
 	int64_t last_crash; /* monotonic ns; 0: no suspect */
 };
@@ -105,33 +105,33 @@
 combine_records(const struct poison *p, struct fprint fingerprint, int64_t now)
 {
 	struct combined_status combined = {0};
-	const struct poison_word *rec;
+	const struct poison_record *rec;
 	guint i;
 
 	for (i = 0; i < p->records->len; i++) {
 		rec = g_ptr_array_index(p->records, i);
-		if (!fprint_same(rec->print, fingerprint))
+		if (!fprint_same(rec->fingerprint, fingerprint))
 			continue;
-		if (fprint_eq(rec->print, fingerprint))
+		if (fprint_eq(rec->fingerprint, fingerprint))
 			combined.caller_record = rec;
 		if (record_status(rec, now) == POISON_NONE)
 			continue;
-		combined.last_crash = MAX(combined.last_crash, rec->ended);
-		combined.callers_tried +=
-		    count_trials(rec) > 0 && now - rec->ended < POISON_HOLD_NS;
+		combined.last_crash = MAX(combined.last_crash, rec->crashed_at);
+		combined.callers_tried += count_trials(rec) > 0 &&
+		    now - rec->crashed_at < POISON_HOLD_NS;
 	}
 	return combined;
 }
 
-enum poison_verdict
-poison_look(const struct poison *p, struct fprint fingerprint)
+enum poison_status
+poison_status_of(const struct poison *p, struct fprint fingerprint)
 {
 	int64_t now = clk_ns(p->clk);
 	struct combined_status combined = combine_records(p, fingerprint, now);
 
 	if (combined.last_crash == 0 ||
 	    (combined.caller_record != NULL &&
-		combined.caller_record->cleared >= combined.last_crash))
+		combined.caller_record->cleared_at >= combined.last_crash))
 		return POISON_NONE;
 	if (combined.caller_record != NULL &&
 	    record_status(combined.caller_record, now) == POISON_PROVED)
@@ -143,16 +143,16 @@
 /* Calls the callback if the status differs from the one before. */
 static void
 notify_change(
-    struct poison *p, struct fprint fingerprint, enum poison_verdict before)
+    struct poison *p, struct fprint fingerprint, enum poison_status before)
 {
-	enum poison_verdict now = poison_look(p, fingerprint);
+	enum poison_status now = poison_status_of(p, fingerprint);
 
 	if (now != before && p->changed != NULL)
 		p->changed(p->ctx, fingerprint, now);
 }
 
 int64_t
-poison_until(const struct poison *p, struct fprint fingerprint)
+poison_retry_at(const struct poison *p, struct fprint fingerprint)
 {
 	struct combined_status combined =
 	    combine_records(p, fingerprint, clk_ns(p->clk));
@@ -163,21 +163,22 @@
 
 /* Order of records: those with more trials first, then the newer ones. */
 static bool
-ranks_before(const struct poison_word *a, const struct poison_word *b)
+ranks_before(const struct poison_record *a, const struct poison_record *b)
 {
 	if (count_trials(a) != count_trials(b))
 		return count_trials(a) > count_trials(b);
-	return MAX(a->ended, a->cleared) > MAX(b->ended, b->cleared);
+	return MAX(a->crashed_at, a->cleared_at) >
+	    MAX(b->crashed_at, b->cleared_at);
 }
 
 /* If the store is full, removes the record that ranks last. */
 static void
 evict_least(struct poison *p)
 {
-	struct poison_word *lowest = NULL, *rec;
+	struct poison_record *lowest = NULL, *rec;
 	guint i;
 
-	if (p->records->len < POISON_MAX)
+	if (p->records->len < POISON_RECORDS_MAX)
 		return;
 	for (i = 0; i < p->records->len; i++) {
 		rec = g_ptr_array_index(p->records, i);
@@ -187,55 +188,55 @@
 	g_ptr_array_remove_fast(p->records, lowest);
 }
 
-static struct poison_word *
+static struct poison_record *
 find_or_add(struct poison *p, struct fprint fingerprint)
 {
-	struct poison_word *rec = find(p, fingerprint);
+	struct poison_record *rec = find(p, fingerprint);
 
 	if (rec != NULL)
 		return rec;
 	evict_least(p);
-	rec = g_new0(struct poison_word, 1);
-	rec->print = fingerprint;
+	rec = g_new0(struct poison_record, 1);
+	rec->fingerprint = fingerprint;
 	g_ptr_array_add(p->records, rec);
 	return rec;
 }
 
 static void
-add_trial(struct poison_word *rec, uint64_t id)
+add_trial(struct poison_record *rec, uint64_t id)
 {
 	unsigned i;
 
 	for (i = 0; i < POISON_TRIALS; i++)
-		if (rec->trials[i] == id)
+		if (rec->trial_ids[i] == id)
 			return;
 	for (i = 0; i < POISON_TRIALS; i++)
-		if (rec->trials[i] == 0) {
-			rec->trials[i] = id;
+		if (rec->trial_ids[i] == 0) {
+			rec->trial_ids[i] = id;
 			return;
 		}
 }
 
 /* Drops trials that an answer has cleared or that have expired. */
 static void
-reset_expired_trials(struct poison_word *rec, int64_t now)
+reset_expired_trials(struct poison_record *rec, int64_t now)
 {
 	if (record_status(rec, now) == POISON_NONE)
-		memset(rec->trials, 0, sizeof(rec->trials));
+		memset(rec->trial_ids, 0, sizeof(rec->trial_ids));
 }
 
 void
-poison_ended(struct poison *p, struct fprint fingerprint, bool trial)
+poison_record_crash(struct poison *p, struct fprint fingerprint, bool trial)
 {
-	enum poison_verdict before = poison_look(p, fingerprint);
+	enum poison_status before = poison_status_of(p, fingerprint);
 	int64_t now = clk_ns(p->clk);
-	struct poison_word *rec;
+	struct poison_record *rec;
 
 	if (fprint_is_none(fingerprint))
 		return;
 	rec = find_or_add(p, fingerprint);
 	reset_expired_trials(rec, now);
-	rec->ended = MAX(now, rec->cleared + 1);
+	rec->crashed_at = MAX(now, rec->cleared_at + 1);
 	if (trial)
 		add_trial(rec, MAX(p->rnd->next(p->rnd->ctx), 1));
 	p->has_unsent_trial = p->has_unsent_trial || trial;
@@ -243,60 +244,62 @@
 }
 
 void
-poison_accuse(struct poison *p, struct fprint fingerprint)
+poison_mark_suspect(struct poison *p, struct fprint fingerprint)
 {
-	if (poison_look(p, fingerprint) == POISON_NONE)
-		poison_ended(p, fingerprint, false);
+	if (poison_status_of(p, fingerprint) == POISON_NONE)
+		poison_record_crash(p, fingerprint, false);
 }
 
 void
-poison_served(struct poison *p, struct fprint fingerprint)
+poison_record_success(struct poison *p, struct fprint fingerprint)
 {
-	enum poison_verdict before = poison_look(p, fingerprint);
-	struct poison_word *rec;
+	enum poison_status before = poison_status_of(p, fingerprint);
+	struct poison_record *rec;
 
 	if (before == POISON_NONE)
 		return;
 	rec = find_or_add(p, fingerprint);
-	rec->cleared = MAX(clk_ns(p->clk), rec->ended);
-	memset(rec->trials, 0, sizeof(rec->trials));
+	rec->cleared_at = MAX(clk_ns(p->clk), rec->crashed_at);
+	memset(rec->trial_ids, 0, sizeof(rec->trial_ids));
 	notify_change(p, fingerprint, before);
 }
 
 /* Merges a record into another; trials before an answer are left out. */
 static void
-merge(struct poison_word *rec, const struct poison_word *received)
+merge(struct poison_record *rec, const struct poison_record *received)
 {
 	unsigned i;
 
-	if (received->cleared > rec->cleared + SAME_TIME_NS)
-		rec->cleared = received->cleared;
-	if (received->ended > rec->ended + SAME_TIME_NS)
-		rec->ended = received->ended;
-	if (rec->cleared >= rec->ended) {
-		memset(rec->trials, 0, sizeof(rec->trials));
+	if (received->cleared_at > rec->cleared_at + SAME_TIME_NS)
+		rec->cleared_at = received->cleared_at;
+	if (received->crashed_at > rec->crashed_at + SAME_TIME_NS)
+		rec->crashed_at = received->crashed_at;
+	if (rec->cleared_at >= rec->crashed_at) {
+		memset(rec->trial_ids, 0, sizeof(rec->trial_ids));
 		return;
 	}
-	for (i = 0; received->ended > rec->cleared && i < POISON_TRIALS; i++)
-		if (received->trials[i] != 0)
-			add_trial(rec, received->trials[i]);
+	for (i = 0; received->crashed_at > rec->cleared_at && i < POISON_TRIALS;
+	     i++)
+		if (received->trial_ids[i] != 0)
+			add_trial(rec, received->trial_ids[i]);
 }
 
 void
-poison_take(struct poison *p, const struct poison_word *received)
+poison_merge(struct poison *p, const struct poison_record *received)
 {
-	enum poison_verdict before = poison_look(p, received->print);
+	enum poison_status before = poison_status_of(p, received->fingerprint);
 
-	if (fprint_is_none(received->print) || received->ended > clk_ns(p->clk))
+	if (fprint_is_none(received->fingerprint) ||
+	    received->crashed_at > clk_ns(p->clk))
 		return;
-	merge(find_or_add(p, received->print), received);
-	notify_change(p, received->print, before);
+	merge(find_or_add(p, received->fingerprint), received);
+	notify_change(p, received->fingerprint, before);
 }
 
 static gint
 by_rank(gconstpointer pa, gconstpointer pb)
 {
-	const struct poison_word *const *a = pa, *const *b = pb;
+	const struct poison_record *const *a = pa, *const *b = pb;
 
 	if (ranks_before(*a, *b))
 		return -1;
@@ -304,19 +307,19 @@
 }
 
 unsigned
-poison_words(struct poison *p, struct poison_word *out)
+poison_records(struct poison *p, struct poison_record *out)
 {
-	unsigned i, n = MIN(p->records->len, (guint)POISON_WORDS);
+	unsigned i, n = MIN(p->records->len, (guint)POISON_MSG_RECORDS_MAX);
 
 	g_ptr_array_sort(p->records, by_rank);
 	for (i = 0; i < n; i++)
-		out[i] = *(const struct poison_word *)g_ptr_array_index(
+		out[i] = *(const struct poison_record *)g_ptr_array_index(
 		    p->records, i);
 	return n;
 }
 
 bool
-poison_has_news(struct poison *p)
+poison_has_unsent_trial(struct poison *p)
 {
 	bool unsent = p->has_unsent_trial;
 
@@ -329,14 +332,14 @@
  * box cannot make the request a suspect again.
  */
 static bool
-is_expired(const struct poison_word *rec, int64_t now)
+is_expired(const struct poison_record *rec, int64_t now)
 {
 	return record_status(rec, now) == POISON_NONE &&
-	    now - MAX(rec->ended, rec->cleared) >= POISON_HOLD_NS;
+	    now - MAX(rec->crashed_at, rec->cleared_at) >= POISON_HOLD_NS;
 }
 
 void
-poison_tick(struct poison *p)
+poison_expire(struct poison *p)
 {
 	int64_t now = clk_ns(p->clk);
 	guint i;
@@ -347,15 +350,15 @@
 }
 
 unsigned
-poison_proved(const struct poison *p)
+poison_count_proved(const struct poison *p)
 {
-	const struct poison_word *rec;
+	const struct poison_record *rec;
 	unsigned n = 0;
 	guint i;
 
 	for (i = 0; i < p->records->len; i++) {
 		rec = g_ptr_array_index(p->records, i);
-		n += poison_look(p, rec->print) == POISON_PROVED;
+		n += poison_status_of(p, rec->fingerprint) == POISON_PROVED;
 	}
 	return n;
 }
--- a/poison.h
+++ b/poison.h
@@ -44,9 +44,9 @@
 	POISON_TRIALS = 2,
 	POISON_CALLERS = 2,
 	/* Records that a box stores: 56 bytes each, searched linearly. */
-	POISON_MAX = 256,
+	POISON_RECORDS_MAX = 256,
 	/* Records in one message: 70 bytes each. */
-	POISON_WORDS = 32
+	POISON_MSG_RECORDS_MAX = 32
 };
 
 /*
@@ -57,19 +57,19 @@
  */
 #define POISON_HOLD_NS (600 * NS_S)
 
-enum poison_verdict { POISON_NONE, POISON_SUSPECT, POISON_PROVED };
+enum poison_status { POISON_NONE, POISON_SUSPECT, POISON_PROVED };
 
 /* What is known of one request of one caller; boxes exchange these. */
-struct poison_word {
-	struct fprint print;
+struct poison_record {
+	struct fprint fingerprint;
 	/* Random ids of the trials with a crash; 0: unused. */
-	uint64_t trials[POISON_TRIALS];
-	int64_t ended; /* last crash, in ns of the local monotonic clock */
-	int64_t cleared; /* last answer, likewise; 0: none */
+	uint64_t trial_ids[POISON_TRIALS];
+	int64_t crashed_at; /* last crash, in ns of the local monotonic clock */
+	int64_t cleared_at; /* last answer, likewise; 0: none */
 };
 
 /* Called when the status of a request has changed. */
-typedef void poison_fn(void *, struct fprint, enum poison_verdict);
+typedef void poison_changed_fn(void *, struct fprint, enum poison_status);
 
 struct poison;
 
@@ -77,45 +77,45 @@
 void poison_free(struct poison *);
 
 /* Sets the callback for changes of status by an event or a record. */
-void poison_listen(struct poison *, poison_fn *, void *);
+void poison_listen(struct poison *, poison_changed_fn *, void *);
 
 /* Returns the present status of a request. */
-enum poison_verdict poison_look(const struct poison *, struct fprint);
+enum poison_status poison_status_of(const struct poison *, struct fprint);
 
 /*
  * Returns when a request that is proved to be poison may be tried again, in
  * monotonic ns; 0 if it is no suspect.
  */
-int64_t poison_until(const struct poison *, struct fprint);
+int64_t poison_retry_at(const struct poison *, struct fprint);
 
 /*
  * The request was in flight at a backend server that crashed; `trial`: as the
  * only request there.
  */
-void poison_ended(struct poison *, struct fprint, bool trial);
+void poison_record_crash(struct poison *, struct fprint, bool trial);
 
 /* The box that forwarded the request here marked it as a suspect. */
-void poison_accuse(struct poison *, struct fprint);
+void poison_mark_suspect(struct poison *, struct fprint);
 
 /* A backend server answered the request with a status below 500. */
-void poison_served(struct poison *, struct fprint);
+void poison_record_success(struct poison *, struct fprint);
 
 /* Merges a record of another box, with times converted to the local clock. */
-void poison_take(struct poison *, const struct poison_word *);
+void poison_merge(struct poison *, const struct poison_record *);
 
 /*
- * Writes up to POISON_WORDS records to an array and returns their number: those
- * with the most trials first, then the newest.
+ * Writes up to POISON_MSG_RECORDS_MAX records to an array and returns their
+ * number: those with the most trials first, then the newest.
  */
-unsigned poison_words(struct poison *, struct poison_word *);
+unsigned poison_records(struct poison *, struct poison_record *);
 
 /* Returns whether a local trial ended in a crash since the last call. */
-bool poison_has_news(struct poison *);
+bool poison_has_unsent_trial(struct poison *);
 
 /* Removes expired records. */
-void poison_tick(struct poison *);
+void poison_expire(struct poison *);
 
 /* Returns the number of requests that are refused now, counted per caller. */
-unsigned poison_proved(const struct poison *);
+unsigned poison_count_proved(const struct poison *);
 
 #endif
--- a/poison_msg.c
+++ b/poison_msg.c
@@ -26,32 +26,34 @@
 }
 
 static void
-encode_record(struct msg_suspect *out, const struct poison_word *w, int64_t now)
+encode_record(
+    struct msg_suspect *out, const struct poison_record *w, int64_t now)
 {
-	out->print_hi = w->print.hi;
-	out->print_lo = w->print.lo;
-	out->print_caller = w->print.caller;
-	memcpy(out->trials, w->trials, sizeof(out->trials));
-	out->ended_ms = to_age_ms(now, w->ended);
-	out->cleared_ms = to_age_ms(now, w->cleared);
+	out->fingerprint_hi = w->fingerprint.hi;
+	out->fingerprint_lo = w->fingerprint.lo;
+	out->fingerprint_caller = w->fingerprint.caller;
+	memcpy(out->trials, w->trial_ids, sizeof(out->trials));
+	out->crash_age_ms = to_age_ms(now, w->crashed_at);
+	out->cleared_age_ms = to_age_ms(now, w->cleared_at);
 }
 
 static void
 decode_record(
-    struct poison_word *out, const struct msg_suspect *in, int64_t now)
+    struct poison_record *out, const struct msg_suspect *in, int64_t now)
 {
-	*out = (struct poison_word){
-	    .print = {in->print_hi, in->print_lo, in->print_caller},
-	    .ended = to_time(now, in->ended_ms),
-	    .cleared = to_time(now, in->cleared_ms)};
-	memcpy(out->trials, in->trials, sizeof(out->trials));
+	*out = (struct poison_record){
+	    .fingerprint = {in->fingerprint_hi, in->fingerprint_lo,
+		in->fingerprint_caller},
+	    .crashed_at = to_time(now, in->crash_age_ms),
+	    .cleared_at = to_time(now, in->cleared_age_ms)};
+	memcpy(out->trial_ids, in->trials, sizeof(out->trial_ids));
 }
 
 unsigned
-poison_msg_write(struct poison *p, int64_t now, struct msg_suspect *out)
+poison_msg_encode(struct poison *p, int64_t now, struct msg_suspect *out)
 {
-	struct poison_word records[POISON_WORDS];
-	unsigned i, n = poison_words(p, records);
+	struct poison_record records[POISON_MSG_RECORDS_MAX];
+	unsigned i, n = poison_records(p, records);
 
 	for (i = 0; i < n; i++)
 		encode_record(&out[i], &records[i], now);
@@ -59,14 +61,15 @@
 }
 
 void
-poison_msg_take(struct poison *p, int64_t now, const struct msg_suspects *m)
+poison_msg_merge(struct poison *p, int64_t now, const struct msg_suspects *m)
 {
 	const struct msg_suspect *v = m->suspects.items;
-	struct poison_word record;
+	struct poison_record record;
 	size_t i;
 
-	for (i = 0; i < MIN(m->suspects.n, (size_t)POISON_WORDS); i++) {
+	for (i = 0; i < MIN(m->suspects.n, (size_t)POISON_MSG_RECORDS_MAX);
+	     i++) {
 		decode_record(&record, &v[i], now);
-		poison_take(p, &record);
+		poison_merge(p, &record);
 	}
 }
--- a/poison_msg.h
+++ b/poison_msg.h
@@ -19,10 +19,12 @@
  * in place of times.
  */
 
-/* Writes up to POISON_WORDS records to an array; returns their number. */
-unsigned poison_msg_write(struct poison *, int64_t now, struct msg_suspect *);
+/* Writes up to POISON_MSG_RECORDS_MAX records to an array; returns their
+ * number. */
+unsigned poison_msg_encode(struct poison *, int64_t now, struct msg_suspect *);
 
-/* Merges the records of a message, POISON_WORDS at most. */
-void poison_msg_take(struct poison *, int64_t now, const struct msg_suspects *);
+/* Merges the records of a message, POISON_MSG_RECORDS_MAX at most. */
+void
+poison_msg_merge(struct poison *, int64_t now, const struct msg_suspects *);
 
 #endif
--- a/quota.h
+++ b/quota.h
@@ -25,7 +25,7 @@
  */
 struct quota {
 	double rate; /* requests a second; 0: any number */
-	int64_t told; /* when this was said last; 0: never */
+	int64_t updated_at; /* when this was said last; 0: never */
 	struct bucket bucket;
 };
 
@@ -38,15 +38,15 @@
  * the answer to a request that was sent after what holds was said.  True if
  * that changes what holds.
  */
-bool quota_told(struct quota *, double rate, int64_t sent, int64_t now);
+bool quota_update(struct quota *, double rate, int64_t sent, int64_t now);
 
 /* How many requests it may get now; INT_MAX where it takes any number. */
-int quota_free(const struct quota *, int64_t now);
+int quota_available(const struct quota *, int64_t now);
 
 /* How many it takes from now to a later time; it has a rate. */
-double quota_by(const struct quota *, int64_t now, int64_t then);
+double quota_available_by(const struct quota *, int64_t now, int64_t then);
 
 /* It gets one. */
-void quota_sent(struct quota *, int64_t now);
+void quota_consume(struct quota *, int64_t now);
 
 #endif
--- a/spread.c
+++ b/spread.c
@@ -24,7 +24,7 @@
 static bool
 forwards_to_leaf(struct memb *mb, const struct memb_member *to, bool large)
 {
-	const struct memb_info *hubs[MEMB_HUBS];
+	const struct memb_info *hubs[MEMB_HUBS_MAX];
 	const struct memb_info *self = memb_self(mb);
 	unsigned n = (unsigned)memb_hubs(mb, self->hall, hubs), own_rank;
 	unsigned stride =
@@ -44,15 +44,15 @@
  * sent to one box only took two seconds to reach the other hubs.
  */
 bool
-spread_to(struct memb *mb, const struct memb_member *to,
+spread_should_send(struct memb *mb, const struct memb_member *to,
     enum spread_origin origin, bool large)
 {
 	const struct memb_info *self = memb_self(mb);
 
-	if (!memb_alive(to) || !memb_is_hub(mb, self->box))
+	if (!memb_is_alive(to) || !memb_is_hub(mb, self->box))
 		return false;
 	if (memb_is_hub(mb, to->info.box))
-		return origin == SPREAD_TOLD;
+		return origin == SPREAD_FROM_PLATFORM;
 	return str_eq(to->info.hall, self->hall) &&
 	    forwards_to_leaf(mb, to, large);
 }
@@ -75,8 +75,9 @@
 bool
 spread_should_compare(const struct spread_difference *d)
 {
-	int64_t delay = d->complete ? OTHER_HALL_DELAY_NS : START_DELAY_NS;
+	int64_t delay =
+	    d->lists_complete ? OTHER_HALL_DELAY_NS : START_DELAY_NS;
 
-	return d->near || d->alone || !d->seeing || d->lasts == 0 ||
-	    d->lasts > delay;
+	return d->same_hall || d->hall_box_silent || !d->hall_has_platform ||
+	    d->duration_ns == 0 || d->duration_ns > delay;
 }
--- a/spread.h
+++ b/spread.h
@@ -23,24 +23,25 @@
  */
 
 enum spread_origin {
-	SPREAD_TOLD, /* received from the platform */
-	SPREAD_HEARD /* received from another box */
+	SPREAD_FROM_PLATFORM, /* received from the platform */
+	SPREAD_FROM_BOX /* received from another box */
 };
 
 /*
  * Returns whether this box forwards a change to another box.  Large changes
  * are sent to each leaf by fewer hubs.
  */
-bool spread_to(struct memb *, const struct memb_member *to, enum spread_origin,
-    bool large);
+bool spread_should_send(struct memb *, const struct memb_member *to,
+    enum spread_origin, bool large);
 
 /* A difference between our configuration and that of another box. */
 struct spread_difference {
-	bool near; /* the other box is in our hall */
-	bool complete; /* we have seen complete lists */
-	bool seeing; /* the platform answers us or a box of our hall */
-	bool alone; /* a box of our hall does not answer us */
-	int64_t lasts; /* ns since configurations differ; 0: equal */
+	bool same_hall; /* the other box is in our hall */
+	bool lists_complete; /* we have seen complete lists */
+	bool hall_has_platform; /* the platform answers us or a box of our hall
+				 */
+	bool hall_box_silent; /* a box of our hall does not answer us */
+	int64_t duration_ns; /* ns since configurations differ; 0: equal */
 };
 
 /* Returns whether to compare configurations with that box now. */
--- a/sync.h
+++ b/sync.h
@@ -33,18 +33,18 @@
 	struct conf *conf;
 	sync_send_fn *send;
 	void *ctx;
-	bool partial; /* this process stores rules, but no backend servers */
-	uint64_t messages; /* number of messages sent */
+	bool rules_only; /* this process stores rules, but no backend servers */
+	uint64_t messages_sent; /* number of messages sent */
 	const struct clk *clk;
 	/*
 	 * Monotonic ns of the last confirmation by the platform that the rules
 	 * here are current; 0: never.
 	 */
-	int64_t confirmed;
+	int64_t confirmed_at;
 };
 
 /* Returns the digests, floor and age of our configuration, for a peer. */
-struct msg_holds sync_holds(const struct sync *);
+struct msg_conf_summary sync_conf_summary(const struct sync *);
 
 /* The platform confirmed just now that the rules here are current. */
 void sync_confirm(struct sync *);
@@ -53,7 +53,7 @@
  * Applies the time at which the platform last confirmed the rules of a peer,
  * if the peer has the same rules.
  */
-void sync_hear(struct sync *, const struct msg_holds *);
+void sync_confirm_from_peer(struct sync *, const struct msg_conf_summary *);
 
 /* Returns the time since the last confirmation in ms; -1: never. */
 int64_t sync_age_ms(const struct sync *);
@@ -62,19 +62,20 @@
  * Returns whether a peer has the same configuration, in the parts that both
  * store.
  */
-bool sync_equal(const struct sync *, const struct msg_holds *);
+bool sync_is_equal(const struct sync *, const struct msg_conf_summary *);
 
 /*
  * Compares our configuration with that of a peer.  If they are equal, the
  * floor of the peer is applied; if not, the exchange starts.
  */
-void sync_compare(struct sync *, struct str from, const struct msg_holds *);
+void
+sync_compare(struct sync *, struct str from, const struct msg_conf_summary *);
 
 /*
- * Handles MSG_BUCKETS, MSG_VERSIONS, MSG_WANT and MSG_OBJECTS; ignores other
- * messages.
+ * Handles MSG_BUCKETS, MSG_VERSIONS, MSG_OBJECT_REQUEST and MSG_OBJECTS;
+ * ignores other messages.
  */
-void sync_take(struct sync *, const struct msg *);
+void sync_on_message(struct sync *, const struct msg *);
 
 /* Objects that are encoded once, to be sent to many peers. */
 struct sync_pack;
--- a/sync_pack.c
+++ b/sync_pack.c
@@ -74,7 +74,7 @@
 }
 
 void
-sync_pack_add_gone(struct sync_pack *p, struct str key, uint64_t version)
+sync_pack_add_deleted(struct sync_pack *p, struct str key, uint64_t version)
 {
 	struct msg_object deletion = {
 	    .key = key, .version = version, .deleted = true};
@@ -88,14 +88,15 @@
 	struct msg_object valid = {.key = e->key,
 	    .version = e->version,
 	    .deleted = e->deleted,
-	    .hash = e->bad_version > 0 ? 0 : e->hash};
-	struct msg_object rejected = {.key = e->key, .version = e->bad_version};
+	    .hash = e->rejected_version > 0 ? 0 : e->hash};
+	struct msg_object rejected = {
+	    .key = e->key, .version = e->rejected_version};
 	size_t size = 0;
 
 	if (e->version > 0)
 		size += pack_append(p, &valid, e->spec);
-	if (e->bad_version > 0)
-		size += pack_append(p, &rejected, e->bad_spec);
+	if (e->rejected_version > 0)
+		size += pack_append(p, &rejected, e->rejected_spec);
 	return size;
 }
 
@@ -112,9 +113,9 @@
 }
 
 void
-sync_post(struct sync *s, struct str to, const struct msg *m)
+sync_send(struct sync *s, struct str to, const struct msg *m)
 {
-	s->messages++;
+	s->messages_sent++;
 	s->send(s->ctx, to, m);
 }
 
@@ -129,12 +130,12 @@
 		    &g_array_index(p->objects, struct msg_object, index);
 		m.u.objects.objects.n =
 		    MIN(p->objects->len - index, OBJECTS_PER_MESSAGE);
-		sync_post(s, to, &m);
+		sync_send(s, to, &m);
 	}
 }
 
 json_t *
-sync_read_spec(const struct msg_object *o)
+sync_decode_spec(const struct msg_object *o)
 {
 	struct str text;
 	json_t *spec;
--- a/verdict.c
+++ b/verdict.c
@@ -73,12 +73,12 @@
 }
 
 void
-verdict_old(struct verdict *v, unsigned kind, enum verdict_answer answer)
+verdict_add_old(struct verdict *v, unsigned kind, enum verdict_answer answer)
 {
 	struct verdict_kind *k = kind_of(v, kind);
 	int i;
 
-	if (answer == VERDICT_NOTHING)
+	if (answer == VERDICT_IGNORED)
 		return;
 	k->n = MIN(k->n + 1, MEMORY);
 	for (i = 0; i < MEASURES; i++)
@@ -97,13 +97,13 @@
 }
 
 const char *
-verdict_new(struct verdict *v, unsigned kind, enum verdict_answer answer)
+verdict_add_new(struct verdict *v, unsigned kind, enum verdict_answer answer)
 {
 	struct verdict_kind *k = kind_of(v, kind);
 	const struct measure *m;
 	int i;
 
-	if (answer == VERDICT_NOTHING)
+	if (answer == VERDICT_IGNORED)
 		return NULL;
 	v->answers++;
 	v->bad += answer != VERDICT_GOOD;
--- a/verdict.h
+++ b/verdict.h
@@ -30,7 +30,7 @@
 	VERDICT_GOOD,
 	VERDICT_SLOW, /* several times the expected time */
 	VERDICT_FAILED,
-	VERDICT_NOTHING /* it says nothing of the version */
+	VERDICT_IGNORED /* it says nothing of the version */
 };
 
 struct verdict {
@@ -43,12 +43,13 @@
 void verdict_close(struct verdict *);
 
 /* The old version answered. */
-void verdict_old(struct verdict *, unsigned kind, enum verdict_answer);
+void verdict_add_old(struct verdict *, unsigned kind, enum verdict_answer);
 
 /*
  * The new one did.  Not NULL if it is bad by now: a few words on why, valid for
  * ever.
  */
-const char *verdict_new(struct verdict *, unsigned kind, enum verdict_answer);
+const char *
+verdict_add_new(struct verdict *, unsigned kind, enum verdict_answer);
 
 #endif
--- a/word.c
+++ b/word.c
@@ -19,10 +19,10 @@
 /* Of so many backend servers, each with some 100 bytes. */
 enum { WORDS_MAX = 1024 };
 
-struct words {
-	GPtrArray *v; /* struct word * */
+struct backend_reports {
+	GPtrArray *v; /* struct backend_report * */
 	GHashTable *by_name; /* struct str * of a word to the word */
-	GPtrArray *untold; /* struct word *, of these */
+	GPtrArray *untold; /* struct backend_report *, of these */
 	guint turn; /* whose turn it is to be told */
 };
 
@@ -47,16 +47,16 @@
 static void
 word_free(void *p)
 {
-	struct word *w = p;
+	struct backend_report *w = p;
 
 	str_free(&w->backend);
 	g_free(w);
 }
 
-struct words *
-words_new(void)
+struct backend_reports *
+reports_new(void)
 {
-	struct words *ws = g_new0(struct words, 1);
+	struct backend_reports *ws = g_new0(struct backend_reports, 1);
 
 	ws->v = g_ptr_array_new_with_free_func(word_free);
 	ws->by_name = g_hash_table_new(hash_name, same_name);
@@ -65,7 +65,7 @@
 }
 
 void
-words_free(struct words *ws)
+reports_free(struct backend_reports *ws)
 {
 	g_hash_table_destroy(ws->by_name);
 	g_ptr_array_free(ws->untold, TRUE);
@@ -74,9 +74,9 @@
 }
 
 static void
-drop(struct words *ws, guint at)
+drop(struct backend_reports *ws, guint at)
 {
-	struct word *w = g_ptr_array_index(ws->v, at);
+	struct backend_report *w = g_ptr_array_index(ws->v, at);
 
 	g_hash_table_remove(ws->by_name, &w->backend);
 	g_ptr_array_remove_fast(ws->untold, w);
@@ -85,9 +85,9 @@
 
 /* Make room for one more, at the cost of what was heard longest ago. */
 static void
-make_room(struct words *ws)
+make_room(struct backend_reports *ws)
 {
-	const struct word *w, *old;
+	const struct backend_report *w, *old;
 	guint i, oldest = 0;
 
 	if (ws->v->len < WORDS_MAX)
@@ -95,16 +95,16 @@
 	for (i = 1; i < ws->v->len; i++) {
 		w = g_ptr_array_index(ws->v, i);
 		old = g_ptr_array_index(ws->v, oldest);
-		if (w->heard < old->heard)
+		if (w->reported_at < old->reported_at)
 			oldest = i;
 	}
 	drop(ws, oldest);
 }
 
-static struct word *
-add(struct words *ws, struct str backend)
+static struct backend_report *
+add(struct backend_reports *ws, struct str backend)
 {
-	struct word *w = g_new0(struct word, 1);
+	struct backend_report *w = g_new0(struct backend_report, 1);
 
 	make_room(ws);
 	w->backend = str_dup(backend);
@@ -121,50 +121,53 @@
 }
 
 static void
-begin_life(struct word *w, int64_t born_ms)
+begin_life(struct backend_report *w, int64_t born_ms)
 {
 	struct str backend = w->backend;
 
-	*w = (struct word){.backend = backend, .born_ms = born_ms};
+	*w = (struct backend_report){.backend = backend, .started_ms = born_ms};
 }
 
 bool
-words_take(struct words *ws, const struct word *said)
+reports_merge(struct backend_reports *ws, const struct backend_report *said)
 {
-	struct word *w = g_hash_table_lookup(ws->by_name, &said->backend);
+	struct backend_report *w =
+	    g_hash_table_lookup(ws->by_name, &said->backend);
 	bool news;
 
 	if (w == NULL)
 		w = add(ws, said->backend);
-	if (is_another(w->born_ms, said->born_ms)) {
-		if (said->born_ms < w->born_ms)
+	if (is_another(w->started_ms, said->started_ms)) {
+		if (said->started_ms < w->started_ms)
 			return false;
-		begin_life(w, said->born_ms);
+		begin_life(w, said->started_ms);
 	}
-	w->born_ms = MAX(w->born_ms, said->born_ms);
-	w->rest_until = MAX(w->rest_until, said->rest_until);
-	news = said->leaves && !w->leaves;
-	w->leaves = w->leaves || said->leaves;
-	if (said->heard <= w->heard)
+	w->started_ms = MAX(w->started_ms, said->started_ms);
+	w->pause_until = MAX(w->pause_until, said->pause_until);
+	news = said->leaving && !w->leaving;
+	w->leaving = w->leaving || said->leaving;
+	if (said->reported_at <= w->reported_at)
 		return news;
 	news = news || said->rate != w->rate;
 	w->rate = said->rate;
-	w->heard = said->heard;
+	w->reported_at = said->reported_at;
 	return news;
 }
 
-const struct word *
-words_find(const struct words *ws, struct str backend, int64_t born_ms)
+const struct backend_report *
+reports_find(
+    const struct backend_reports *ws, struct str backend, int64_t born_ms)
 {
-	const struct word *w = g_hash_table_lookup(ws->by_name, &backend);
+	const struct backend_report *w =
+	    g_hash_table_lookup(ws->by_name, &backend);
 
-	return w == NULL || is_another(w->born_ms, born_ms) ? NULL : w;
+	return w == NULL || is_another(w->started_ms, born_ms) ? NULL : w;
 }
 
 void
-words_mark(struct words *ws, struct str backend)
+reports_mark_unsent(struct backend_reports *ws, struct str backend)
 {
-	struct word *w = g_hash_table_lookup(ws->by_name, &backend);
+	struct backend_report *w = g_hash_table_lookup(ws->by_name, &backend);
 
 	if (w == NULL)
 		return;
@@ -173,14 +176,16 @@
 }
 
 unsigned
-words_untold(struct words *ws, struct word *out, unsigned max)
+reports_pop_unsent(
+    struct backend_reports *ws, struct backend_report *out, unsigned max)
 {
 	unsigned n = 0;
 	guint last;
 
 	while (n < max && ws->untold->len > 0) {
 		last = ws->untold->len - 1;
-		out[n] = *(struct word *)g_ptr_array_index(ws->untold, last);
+		out[n] = *(struct backend_report *)g_ptr_array_index(
+		    ws->untold, last);
 		g_ptr_array_remove_index_fast(ws->untold, last);
 		n++;
 	}
@@ -188,10 +193,11 @@
 }
 
 unsigned
-words_list(struct words *ws, struct word *out, unsigned max)
+reports_next(
+    struct backend_reports *ws, struct backend_report *out, unsigned max)
 {
 	unsigned i, n = MIN(ws->v->len, max);
-	const struct word *w;
+	const struct backend_report *w;
 
 	for (i = 0; i < n; i++) {
 		w = g_ptr_array_index(ws->v, (ws->turn + i) % ws->v->len);
@@ -202,14 +208,14 @@
 }
 
 void
-words_tick(struct words *ws, int64_t now)
+reports_expire(struct backend_reports *ws, int64_t now)
 {
-	const struct word *w;
+	const struct backend_report *w;
 	guint i;
 
 	for (i = ws->v->len; i-- > 0;) {
 		w = g_ptr_array_index(ws->v, i);
-		if (now - w->heard >= KEEP_NS && now >= w->rest_until)
+		if (now - w->reported_at >= KEEP_NS && now >= w->pause_until)
 			drop(ws, i);
 	}
 }
--- a/word.h
+++ b/word.h
@@ -23,41 +23,43 @@
  */
 
 /* What one said in one of its lives. */
-struct word {
+struct backend_report {
 	struct str backend; /* its name */
-	int64_t born_ms; /* start of that life, ms since 1970; 0: unsaid */
-	bool leaves; /* it wants nothing new */
+	int64_t started_ms; /* start of that life, ms since 1970; 0: unsaid */
+	bool leaving; /* it wants nothing new */
 	double rate; /* requests a second from all boxes; 0: any number */
-	int64_t heard; /* monotonic ns, when some box heard the rate */
-	int64_t rest_until; /* monotonic ns; what it asked of this box alone */
+	int64_t reported_at; /* monotonic ns, when some box heard the rate */
+	int64_t pause_until; /* monotonic ns; what it asked of this box alone */
 };
 
-struct words;
+struct backend_reports;
 
-struct words *words_new(void);
-void words_free(struct words *);
+struct backend_reports *reports_new(void);
+void reports_free(struct backend_reports *);
 
 /*
  * Take what one said, to this box or another.  Of the rates the one that was
  * heard last holds; leaving holds for a life, and a later life begins anew.
  * True if that changes what other boxes should know.
  */
-bool words_take(struct words *, const struct word *);
+bool reports_merge(struct backend_reports *, const struct backend_report *);
 
 /* What one said in a life; NULL if nothing is known. */
-const struct word *
-words_find(const struct words *, struct str backend, int64_t born_ms);
+const struct backend_report *reports_find(
+    const struct backend_reports *, struct str backend, int64_t born_ms);
 
 /* One has changed, and is to be told. */
-void words_mark(struct words *, struct str backend);
+void reports_mark_unsent(struct backend_reports *, struct str backend);
 
 /* Some of those that are to be told, which they are then; how many. */
-unsigned words_untold(struct words *, struct word *out, unsigned max);
+unsigned reports_pop_unsent(
+    struct backend_reports *, struct backend_report *out, unsigned max);
 
 /* Some of all words, others of them each time; how many. */
-unsigned words_list(struct words *, struct word *out, unsigned max);
+unsigned reports_next(
+    struct backend_reports *, struct backend_report *out, unsigned max);
 
 /* Forget what was heard too long ago. */
-void words_tick(struct words *, int64_t now);
+void reports_expire(struct backend_reports *, int64_t now);
 
 #endif
