--- a/agent_box.c
+++ b/agent_box.c
@@ -211,8 +211,8 @@
 	conf_each(a->conf, find_newest, &newest);
 	snprintf(digest, sizeof(digest), "%016llx",
 	    (unsigned long long)conf_digest(a->conf));
-	snprintf(
-	    gate, sizeof(gate), "%016llx", (unsigned long long)a->gate_digest);
+	snprintf(gate, sizeof(gate), "%016llx",
+	    (unsigned long long)a->gate_conf_digest);
 	return json_pack(
 	    "{s:s%, s:s%, s:s%, s:I, s:I, s:I, s:s, s:s, s:b, s:b, "
 	    "s:i, s:o, s:o*}",
--- a/agent_gate.c
+++ b/agent_gate.c
@@ -37,9 +37,9 @@
 
 /* Sends the box's status to the gate, with `ready` set if it may serve. */
 void
-agent_gate_send_state(struct agent *a)
+agent_gate_send_announcement(struct agent *a)
 {
-	struct msg m = agent_peer_own_state(a);
+	struct msg m = agent_peer_own_announcement(a);
 
 	m.u.announcement.self.ready = gate_may_serve(a);
 	wire_send(a->wire, a->settings.gate_inbox, &m);
@@ -85,7 +85,7 @@
 	if (ready && !a->ready_sent) {
 		/* The gate needs the hubs to find the owners of services. */
 		send_hubs(a);
-		agent_gate_send_state(a);
+		agent_gate_send_announcement(a);
 	}
 	a->ready_sent = ready;
 }
@@ -123,14 +123,14 @@
 	const struct msg_gate_status *status = &m->u.gate_status;
 	struct memb_info *self = memb_self(a->memb);
 	bool was_leaving = self->leaving;
-	bool is_new = status->started_ms != a->gate_boot, starts_serving;
+	bool is_new = status->started_ms != a->gate_started_ms, starts_serving;
 
 	a->gate_received_at = clk_ns(a->clk);
-	if (status->conf_summary.digest != a->gate_digest ||
+	if (status->conf_summary.digest != a->gate_conf_digest ||
 	    status->ready != a->gate_ready)
 		agent_box_schedule_status(a);
-	a->gate_boot = status->started_ms;
-	a->gate_digest = status->conf_summary.digest;
+	a->gate_started_ms = status->started_ms;
+	a->gate_conf_digest = status->conf_summary.digest;
 	a->gate_ready = status->ready;
 	if (is_new) {
 		/* The gate restarted: peers must drop the old state. */
@@ -150,7 +150,7 @@
 	if (status->leaving && !was_leaving)
 		agent_peer_announce_leaving(a);
 	else if (is_new)
-		agent_gate_send_state(a);
+		agent_gate_send_announcement(a);
 	if (status->suspect_box.n > 0)
 		agent_peer_suspect(a, status->suspect_box);
 	sync_compare(&a->sync, m->from, &status->conf_summary);
@@ -170,7 +170,7 @@
 	}
 	if (now - a->gate_sent_at >= a->settings.hello_ms * NS_MS) {
 		a->gate_sent_at = now;
-		agent_gate_send_state(a);
+		agent_gate_send_announcement(a);
 	}
 	agent_gate_schedule_members(a);
 }
--- a/agent_open.c
+++ b/agent_open.c
@@ -154,7 +154,7 @@
 	.text_dflt = ""},
     {.name = "platform_form",
 	.type = FIELD_NAME,
-	.offset = F(form),
+	.offset = F(platform_form),
 	.text_dflt = "fern"},
 };
 
@@ -203,12 +203,12 @@
 	if (!set_load(
 		file, section, fields, G_N_ELEMENTS(fields), &a->settings, err))
 		return false;
-	a->form = plat_adapter_by_name(a->settings.form);
-	if (a->form == NULL)
+	a->adapter = plat_adapter_by_name(a->settings.platform_form);
+	if (a->adapter == NULL)
 		return err_set(err, ERR_SETTINGS,
 		    "%s: platform_form: found \"%s\"; allowed is fern or "
 		    "objects",
-		    file, a->settings.form.p);
+		    file, a->settings.platform_form.p);
 	return true;
 }
 
@@ -229,7 +229,7 @@
 	tmr_open(&a->tmr, a->loop, a->clk);
 	a->up = up_open(a->loop, &a->tmr, a->clk);
 	a->plat = plat_http_open(
-	    a->up, &a->tmr, a->clk, a->settings.platform, a->form->codec);
+	    a->up, &a->tmr, a->clk, a->settings.platform, a->adapter->codec);
 	a->cnt = agent_stat_open();
 	a->shares_conf = a->conf != NULL;
 	if (!a->shares_conf)
--- a/agent_peer.c
+++ b/agent_peer.c
@@ -33,7 +33,7 @@
 
 /* Returns a status message with this box's state and configuration digests. */
 struct msg
-agent_peer_own_state(const struct agent *a)
+agent_peer_own_announcement(const struct agent *a)
 {
 	struct msg m = {.kind = MSG_ANNOUNCEMENT};
 
--- a/agent_probe.c
+++ b/agent_probe.c
@@ -113,7 +113,7 @@
 
 	(void)call;
 	pc->outcome = status < 400 ? PROBE_OK : PROBE_FAILED;
-	pc->agent->form->dialect->parse_report(status, headers, n, &report);
+	pc->agent->adapter->dialect->parse_report(status, headers, n, &report);
 	if (report.leaving)
 		pc->outcome = PROBE_DRAINING;
 }
--- a/agent_watch.c
+++ b/agent_watch.c
@@ -187,8 +187,8 @@
 static bool
 feed_exists(const struct agent *a, const char *feed)
 {
-	return a->form->has_feed == NULL ||
-	    a->form->has_feed(a->settings.contracts, feed);
+	return a->adapter->has_feed == NULL ||
+	    a->adapter->has_feed(a->settings.contracts, feed);
 }
 
 void
@@ -198,13 +198,13 @@
 	unsigned i;
 
 	a->platform_up = true;
-	for (i = 0; a->form->feeds[i] != NULL; i++) {
-		if (!feed_exists(a, a->form->feeds[i]))
+	for (i = 0; a->adapter->feeds[i] != NULL; i++) {
+		if (!feed_exists(a, a->adapter->feeds[i]))
 			continue;
 		g_assert(a->nfeeds < AGENT_FEEDS_MAX);
 		f = &a->feeds[a->nfeeds++];
 		f->agent = a;
-		f->kinds = a->form->feeds[i];
+		f->kinds = a->adapter->feeds[i];
 		f->kind_mask = parse_kinds(f->kinds);
 		schedule_call(
 		    f, rnd_jitter(a->rnd, a->settings.first_ms * NS_MS));
--- a/libagent.h
+++ b/libagent.h
@@ -53,7 +53,7 @@
 	int64_t retry_ms;
 	int64_t status_ms;
 	int status_by; /* enum agent_status_by */
-	struct str form; /* name of the platform's API */
+	struct str platform_form; /* name of the platform's API */
 	struct str contracts; /* API parts that exist there; empty: all */
 };
 
@@ -127,7 +127,7 @@
 	struct up *up;
 	struct wire *wire;
 	struct plat *plat;
-	const struct plat_adapter *form;
+	const struct plat_adapter *adapter;
 	struct limit plat_budget; /* rate limit of calls to the platform */
 	struct conf *conf; /* if set before agent_open(): the gate's */
 	bool shares_conf; /* the gate uses the same conf */
@@ -188,8 +188,8 @@
 	int64_t differs_since;
 	/* agent_gate.c */
 	bool ready_sent; /* the gate was notified that it may serve */
-	uint64_t gate_boot; /* start time that the gate reported */
-	uint64_t gate_digest; /* of the gate's configuration */
+	uint64_t gate_started_ms; /* start time that the gate reported */
+	uint64_t gate_conf_digest; /* of the gate's configuration */
 	int64_t gate_received_at; /* last message from the gate, monotonic ns */
 	int64_t gate_sent_at; /* last status sent to it, monotonic ns */
 	bool gate_ready; /* the gate reported that it serves */
@@ -278,11 +278,11 @@
 void agent_peer_announce_ready(struct agent *);
 void agent_peer_announce_leaving(struct agent *);
 void agent_peer_suspect(struct agent *, struct str box);
-struct msg agent_peer_own_state(const struct agent *);
+struct msg agent_peer_own_announcement(const struct agent *);
 void agent_peer_announce_outage(struct agent *, bool blind);
 
 /* agent_gate.c: messages between the agent and the gate of its box. */
-void agent_gate_send_state(struct agent *);
+void agent_gate_send_announcement(struct agent *);
 void agent_gate_send_ready(struct agent *);
 void agent_gate_schedule_members(struct agent *);
 void agent_gate_on_status(struct agent *, const struct msg *);
