--- a/agent_gate.c
+++ b/agent_gate.c
@@ -35,7 +35,7 @@
 	return agent_conf_is_complete(a) && a->peers_known;
 }
 
-/* Sends the box's status to the gate, with `ready` set if it may serve. */
+/* Sends this box's announcement to the gate; `ready` means: it may serve. */
 void
 agent_gate_send_announcement(struct agent *a)
 {
--- a/agent_peer.c
+++ b/agent_peer.c
@@ -31,7 +31,7 @@
 	wire_send(a->wire, to, &copy);
 }
 
-/* Returns a status message with this box's state and configuration digests. */
+/* Returns an announcement of this box's state and configuration digests. */
 struct msg
 agent_peer_own_announcement(const struct agent *a)
 {
@@ -43,9 +43,11 @@
 }
 
 static void
-op_send_status(void *ctx, struct str to, const struct msg_announcement *status)
+op_send_announcement(
+    void *ctx, struct str to, const struct msg_announcement *announcement)
 {
-	struct msg m = {.kind = MSG_ANNOUNCEMENT, .u.announcement = *status};
+	struct msg m = {
+	    .kind = MSG_ANNOUNCEMENT, .u.announcement = *announcement};
 	struct agent *a = ctx;
 
 	wire_send(a->wire, to, &m);
@@ -71,7 +73,7 @@
 }
 
 static struct msg_conf_summary
-op_config(void *ctx)
+op_conf_summary(void *ctx)
 {
 	struct agent *a = ctx;
 
@@ -101,8 +103,8 @@
 void
 agent_peer_open(struct agent *a)
 {
-	const struct gossip_ops ops = {op_send_status, op_send_heartbeat,
-	    op_send_members, op_config, op_list_boxes, a};
+	const struct gossip_ops ops = {op_send_announcement, op_send_heartbeat,
+	    op_send_members, op_conf_summary, op_list_boxes, a};
 
 	a->sync.conf = a->conf;
 	a->sync.send = send_to;
@@ -188,7 +190,7 @@
 
 static bool
 should_compare(struct agent *a, struct str hall,
-    const struct msg_conf_summary *config, int64_t now)
+    const struct msg_conf_summary *summary, int64_t now)
 {
 	struct hall_contact contact = {a, a->platform_up};
 	struct spread_difference difference = {
@@ -196,7 +198,7 @@
 	    .lists_complete = agent_conf_is_complete(a),
 	    .hall_box_silent = gossip_has_unresponsive_peer(a->gossip)};
 
-	if (sync_is_equal(&a->sync, config))
+	if (sync_is_equal(&a->sync, summary))
 		a->differs_since = 0;
 	else if (a->differs_since == 0)
 		a->differs_since = now;
@@ -208,23 +210,24 @@
 	return spread_should_compare(&difference);
 }
 
-/* Handles the digests of another box's configuration. */
+/* Handles the summary of another box's configuration. */
 static void
-handle_config(struct agent *a, struct str from, struct str hall,
-    const struct msg_conf_summary *config)
+handle_conf_summary(struct agent *a, struct str from, struct str hall,
+    const struct msg_conf_summary *summary)
 {
-	sync_confirm_from_peer(&a->sync, config);
-	if (should_compare(a, hall, config, clk_ns(a->clk)))
-		sync_compare(&a->sync, from, config);
+	sync_confirm_from_peer(&a->sync, summary);
+	if (should_compare(a, hall, summary, clk_ns(a->clk)))
+		sync_compare(&a->sync, from, summary);
 }
 
 static void
-handle_status(struct agent *a, const struct msg *m)
+handle_announcement(struct agent *a, const struct msg *m)
 {
-	const struct msg_announcement *status = &m->u.announcement;
+	const struct msg_announcement *announcement = &m->u.announcement;
 
-	gossip_on_announcement(a->gossip, m->from, status);
-	handle_config(a, m->from, status->self.hall, &status->conf_summary);
+	gossip_on_announcement(a->gossip, m->from, announcement);
+	handle_conf_summary(
+	    a, m->from, announcement->self.hall, &announcement->conf_summary);
 	agent_gate_send_ready(a);
 	agent_gate_schedule_members(a);
 	run_gossip(a);
@@ -239,7 +242,7 @@
 	gossip_on_heartbeat(a->gossip, m->from, heartbeat);
 	member = memb_find(a->memb, heartbeat->box);
 	if (member != NULL)
-		handle_config(
+		handle_conf_summary(
 		    a, m->from, member->info.hall, &heartbeat->conf_summary);
 	agent_gate_send_ready(a);
 	run_gossip(a);
@@ -274,7 +277,7 @@
 
 /*
  * Announces at once that the gate serves and may own services.  If this were
- * left to the periodic status messages, then after a loss of all boxes each box
+ * left to the periodic announcements, then after a loss of all boxes each box
  * would take itself for the owner of all services for a second, and together
  * they would overload the backend servers.
  */
@@ -311,7 +314,7 @@
 
 	switch (m->kind) {
 	case MSG_ANNOUNCEMENT:
-		handle_status(a, m);
+		handle_announcement(a, m);
 		break;
 	case MSG_HEARTBEAT:
 		handle_heartbeat(a, m);
--- a/home.h
+++ b/home.h
@@ -33,7 +33,7 @@
 /* A gate that services may be assigned to. */
 struct home_gate {
 	struct str box;
-	unsigned nservices; /* number of services assigned so far */
+	unsigned nservices; /* assigned so far */
 	void *data; /* for the caller */
 };
 
--- a/libagent.h
+++ b/libagent.h
@@ -139,14 +139,13 @@
 	/* agent_watch.c */
 	struct agent_feed feeds[AGENT_FEEDS_MAX];
 	unsigned nfeeds;
-	bool offer_from_platform; /* objects offered now come from the platform
-				   */
+	/* The objects that are offered now come from the platform. */
+	bool offer_from_platform;
 	bool offer_may_be_stale; /* from a list that may be stale */
 	bool platform_up; /* the platform answers, as far as is known */
 	/* Monotonic ns of the end of the last outage; 0: there was none. */
 	int64_t platform_up_at;
-	int64_t
-	    platform_down_at; /* last call without an answer, monotonic ns */
+	int64_t platform_down_at; /* last unanswered call, monotonic ns */
 	enum agent_scope scope;
 	/* agent_box.c */
 	struct tmr_item boxes_timer, status_timer;
@@ -164,8 +163,7 @@
 	unsigned polls; /* rounds of polls since the start */
 	/* Start of the latest poll that was answered, monotonic ns. */
 	int64_t poll_answered_at;
-	bool platform_silent; /* a poll timed out, and no later one was answered
-			       */
+	bool platform_silent; /* a poll timed out, none since was answered */
 	/* agent_poison.c */
 	struct poison *poison;
 	bool poison_unsaved; /* the written status lacks a new record */
@@ -191,7 +189,7 @@
 	uint64_t gate_started_ms; /* start time that the gate reported */
 	uint64_t gate_conf_digest; /* of the gate's configuration */
 	int64_t gate_received_at; /* last message from the gate, monotonic ns */
-	int64_t gate_sent_at; /* last status sent to it, monotonic ns */
+	int64_t gate_sent_at; /* last announcement to it, monotonic ns */
 	bool gate_ready; /* the gate reported that it serves */
 	uint64_t members_sent_hash; /* of the members that the gate was sent */
 	int64_t members_sent_at; /* monotonic ns; 0: send them again */
@@ -200,9 +198,8 @@
 	GHashTable *health; /* char * backend to struct health * */
 	bool targets_dirty; /* the configuration changed since `routes` */
 	struct route_table *routes;
-	int64_t
-	    targets_refreshed_at; /* last update of the targets, monotonic ns */
-	int64_t health_sent_at; /* last resend of probe results, monotonic ns */
+	int64_t targets_refreshed_at; /* monotonic ns */
+	int64_t health_sent_at; /* all probe results, monotonic ns */
 	/* agent_open.c */
 	int64_t last_tick_at; /* monotonic ns; 0: none yet */
 	bool leaving;
--- a/poison.h
+++ b/poison.h
@@ -23,13 +23,13 @@
  *
  * All requests in flight at a backend server that crashes become suspects, and
  * so do the same requests of other callers.  A suspect is retried only on a
- * backend server that runs no other request.  Such a try is a trial: if the
- * backend server crashes, no other request is the cause.  After POISON_TRIALS
- * trials with a crash the request is proved to be poison for its caller, and
- * after such trials of POISON_CALLERS callers it is proved for all, as backend
- * servers do not see where a request comes from.  An answer clears the request
- * for the caller who got it, so that no caller is refused because of the
- * requests of others.
+ * backend server that runs no other request.  Such an attempt is a trial: if
+ * the backend server crashes, no other request is the cause.  After
+ * POISON_TRIALS trials with a crash the request is proved to be poison for its
+ * caller, and after such trials of POISON_CALLERS callers it is proved for all,
+ * as backend servers do not see where a request comes from.  An answer clears
+ * the request for the caller who got it, so that no caller is refused because
+ * of the requests of others.
  *
  * Boxes exchange their records, which may arrive in any order and more than
  * once.  No I/O is done here.
--- a/spread.h
+++ b/spread.h
@@ -38,10 +38,10 @@
 struct spread_difference {
 	bool same_hall; /* the other box is in our hall */
 	bool lists_complete; /* we have seen complete lists */
-	bool hall_has_platform; /* the platform answers us or a box of our hall
-				 */
+	/* The platform answers this box or another one of our hall. */
+	bool hall_has_platform;
 	bool hall_box_silent; /* a box of our hall does not answer us */
-	int64_t duration_ns; /* ns since configurations differ; 0: equal */
+	int64_t duration_ns; /* since configurations differ; 0: equal */
 };
 
 /* Returns whether to compare configurations with that box now. */
--- a/sync.h
+++ b/sync.h
@@ -34,7 +34,7 @@
 	sync_send_fn *send;
 	void *ctx;
 	bool rules_only; /* this process stores rules, but no backend servers */
-	uint64_t messages_sent; /* number of messages sent */
+	uint64_t messages_sent;
 	const struct clk *clk;
 	/*
 	 * Monotonic ns of the last confirmation by the platform that the rules
