--- a/agent_look.c
+++ b/agent_look.c
@@ -13,7 +13,7 @@
 
 /*
  * Polls that detect a watch whose connection is silent.  A watch waits for a
- * change, so that a dead connection cannot be told from a time without changes.
+ * change, so that a dead connection looks the same as a time without changes.
  * So some of the boxes that watch also poll at intervals, with a call that
  * does not wait for a change.  The changes that a poll returns are applied like
  * those of the watch, and a poll that times out shows that the platform does
--- a/agent_open.c
+++ b/agent_open.c
@@ -165,33 +165,33 @@
 void
 agent_reload(struct agent *a)
 {
-	struct agent_settings set = {0};
+	struct agent_settings settings = {0};
 	GError *err = NULL;
 	json_t *seeds;
 
 	if (!set_load(a->settings_file, a->settings_section, fields,
-		G_N_ELEMENTS(fields), &set, &err)) {
+		G_N_ELEMENTS(fields), &settings, &err)) {
 		slog(SLOG_AGENT, "settings are kept, the new file is invalid",
 		    "why=%s", slog_quote(err->message));
 		g_error_free(err);
 		return;
 	}
 	seeds = a->settings.seeds;
-	a->settings.seeds = set.seeds;
-	set.seeds = seeds;
-	a->settings.watchers = set.watchers;
-	a->settings.probe_rate = set.probe_rate;
-	a->settings.platform_rate = set.platform_rate;
-	a->settings.hello_ms = set.hello_ms;
-	a->settings.list_ms = set.list_ms;
-	a->settings.watch_ms = set.watch_ms;
-	a->settings.gather_ms = set.gather_ms;
-	a->settings.boxes_ms = set.boxes_ms;
-	a->settings.look_ms = set.look_ms;
-	a->settings.retry_ms = set.retry_ms;
-	a->settings.status_ms = set.status_ms;
+	a->settings.seeds = settings.seeds;
+	settings.seeds = seeds;
+	a->settings.watchers = settings.watchers;
+	a->settings.probe_rate = settings.probe_rate;
+	a->settings.platform_rate = settings.platform_rate;
+	a->settings.hello_ms = settings.hello_ms;
+	a->settings.list_ms = settings.list_ms;
+	a->settings.watch_ms = settings.watch_ms;
+	a->settings.gather_ms = settings.gather_ms;
+	a->settings.boxes_ms = settings.boxes_ms;
+	a->settings.look_ms = settings.look_ms;
+	a->settings.retry_ms = settings.retry_ms;
+	a->settings.status_ms = settings.status_ms;
 	agent_peer_configure(a);
-	field_free(fields, G_N_ELEMENTS(fields), &set);
+	field_free(fields, G_N_ELEMENTS(fields), &settings);
 	slog(SLOG_AGENT, "settings are read anew", "file=%s", a->settings_file);
 }
 
--- a/agent_peer.c
+++ b/agent_peer.c
@@ -89,7 +89,7 @@
 void
 agent_peer_configure(struct agent *a)
 {
-	struct gossip_settings set = {
+	struct gossip_settings settings = {
 	    .announce_interval_ns = a->settings.hello_ms * NS_MS,
 	    .list_interval_ns = a->settings.boxes_ms * NS_MS,
 	    .hub_list_interval_ns = HUB_LIST_INTERVAL_NS,
@@ -97,7 +97,7 @@
 	    .seeds = a->settings.seeds,
 	};
 
-	gossip_configure(a->gossip, &set);
+	gossip_configure(a->gossip, &settings);
 }
 
 void
@@ -268,9 +268,9 @@
 
 /* Announces to other boxes whether the platform answers this box. */
 void
-agent_peer_announce_outage(struct agent *a, bool blind)
+agent_peer_announce_outage(struct agent *a, bool unreachable)
 {
-	memb_self(a->memb)->platform_unreachable = blind;
+	memb_self(a->memb)->platform_unreachable = unreachable;
 	memb_self_changed(a->memb);
 	gossip_announce(a->gossip, false);
 }
--- a/home.h
+++ b/home.h
@@ -22,12 +22,12 @@
  * dispatches all its requests.  A pure function: boxes that know the same gates
  * and services get the same result without any agreement.
  *
- * Rendezvous hashing alone would give some gates many more services than
- * others.  In a hall of three boxes and few services, one of which gets half of
- * all requests, all requests would go to one box in one hall of nine, and two
- * thirds or more in most halls.  So no gate gets more than its share of the
- * number of services, and each service goes to the gate with the highest weight
- * for it among those below their share.
+ * No gate gets more than its share of the number of services, and each service
+ * goes to the gate with the highest weight for it among those below their
+ * share.  Rendezvous hashing alone gives some gates many more services than
+ * others.  Where a hall has three strong boxes and few services, one of which
+ * gets half of all requests, two thirds or more of the requests would go to one
+ * box in most halls, and all of them in one hall of nine.
  */
 
 /* A gate that services may be assigned to. */
--- a/libagent.h
+++ b/libagent.h
@@ -276,7 +276,7 @@
 void agent_peer_announce_leaving(struct agent *);
 void agent_peer_suspect(struct agent *, struct str box);
 struct msg agent_peer_own_announcement(const struct agent *);
-void agent_peer_announce_outage(struct agent *, bool blind);
+void agent_peer_announce_outage(struct agent *, bool unreachable);
 
 /* agent_gate.c: messages between the agent and the gate of its box. */
 void agent_gate_send_announcement(struct agent *);
--- a/poison.h
+++ b/poison.h
@@ -28,8 +28,8 @@
  * POISON_TRIALS trials with a crash the request is proved to be poison for its
  * caller, and after such trials of POISON_CALLERS callers it is proved for all,
  * as backend servers do not see where a request comes from.  An answer clears
- * the request for the caller who got it, so that no caller is refused because
- * of the requests of others.
+ * the request for the caller that received it, so that no caller is refused
+ * because of the requests of others.
  *
  * Boxes exchange their records, which may arrive in any order and more than
  * once.  No I/O is done here.
