--- a/agent_gate.c
+++ b/agent_gate.c
@@ -12,86 +12,87 @@
 #include "slog.h"
 
 /*
- * What goes between this agent and its gate: that it may serve, which boxes
- * there are, and how the gate does.
+ * Messages between the agent and its gate.  The agent sends whether the gate
+ * may serve and which hubs are alive; the gate reports its status.
  */
 
-#define MEMBERS_AGAIN_NS (30 * NS_S)
-/* Between two lists of members. */
-#define MEMBERS_GAP_NS (40 * NS_MS)
-#define GATE_SILENT_NS (4 * NS_S)
+/* An unchanged list of members is sent again after this time. */
+#define MEMBERS_REFRESH_NS (30 * NS_S)
+/* Delay that combines several changes into one list of members. */
+#define MEMBERS_DELAY_NS (40 * NS_MS)
+#define GATE_TIMEOUT_NS (4 * NS_S)
 
 /*
- * The configuration is whole, and so are the boxes as far as they answer: a
- * gate that knows no other takes itself for home of everything.  One that holds
- * no backend servers can do nothing without a home.
+ * The gate may serve once the configuration is complete and the boxes of the
+ * hall are known: a gate that knows no other box would act as the owner of all
+ * services.  A gate without backend servers needs a hub to forward to.
  */
 static bool
-may_serve(struct agent *a)
+gate_may_serve(struct agent *a)
 {
 	if (a->scope == SCOPE_RULES && memb_count_hubs(a->memb) == 0)
 		return false;
 	return agent_conf_is_complete(a) && a->peers_known;
 }
 
-/* To the gate: ready means that it may serve. */
+/* Sends this box's announcement to the gate; `ready` means: it may serve. */
 void
-agent_gate_send_state(struct agent *a)
+agent_gate_send_announcement(struct agent *a)
 {
-	struct msg m = agent_peer_own_state(a);
+	struct msg m = agent_peer_own_announcement(a);
 
-	m.u.announcement.self.ready = may_serve(a);
+	m.u.announcement.self.ready = gate_may_serve(a);
 	wire_send(a->wire, a->settings.gate_inbox, &m);
 }
 
-/* The hubs of all halls, for our gate. */
+/* Collects the hubs of all halls. */
 struct hub_list {
 	struct agent *agent;
 	GArray *infos; /* struct memb_info */
 };
 
 static void
-gather_hub(void *ctx, const struct memb_member *m)
+add_hub(void *ctx, const struct memb_member *m)
 {
-	struct hub_list *l = ctx;
+	struct hub_list *list = ctx;
 
-	if (memb_is_hub(l->agent->memb, m->info.box))
-		g_array_append_val(l->infos, m->info);
+	if (memb_is_hub(list->agent->memb, m->info.box))
+		g_array_append_val(list->infos, m->info);
 }
 
 static void
 send_hubs(struct agent *a)
 {
-	struct hub_list l = {
+	struct hub_list list = {
 	    a, g_array_new(FALSE, FALSE, sizeof(struct memb_info))};
 	struct msg m = {.kind = MSG_MEMBERS};
 
-	memb_each(a->memb, gather_hub, &l);
-	m.u.members.members.items = (struct memb_info *)l.infos->data;
-	m.u.members.members.n = l.infos->len;
+	memb_each(a->memb, add_hub, &list);
+	m.u.members.members.items = (struct memb_info *)list.infos->data;
+	m.u.members.members.n = list.infos->len;
 	m.u.members.serving_gates = memb_count_fleet_serving(a->memb);
 	m.u.members.is_hub = memb_is_hub(a->memb, a->settings.box);
 	wire_send(a->wire, a->settings.gate_inbox, &m);
-	g_array_free(l.infos, TRUE);
+	g_array_free(list.infos, TRUE);
 }
 
-/* The gate waits until it may serve: tell it so at once. */
+/* Notifies the gate as soon as it may serve. */
 void
 agent_gate_send_ready(struct agent *a)
 {
-	bool ready = may_serve(a);
+	bool ready = gate_may_serve(a);
 
 	if (ready && !a->ready_sent) {
-		/* It has to know homes before it serves. */
+		/* The gate needs the hubs to find the owners of services. */
 		send_hubs(a);
-		agent_gate_send_state(a);
+		agent_gate_send_announcement(a);
 	}
 	a->ready_sent = ready;
 }
 
-/* To the gate, when they have changed and now and then. */
+/* Sends the members if they changed, or if the last list is old. */
 static void
-on_members_due(void *ctx)
+send_members(void *ctx)
 {
 	struct agent *a = ctx;
 	int64_t now = clk_ns(a->clk);
@@ -99,59 +100,60 @@
 	    memb_digest_hubs(a->memb) + memb_count_fleet_serving(a->memb);
 
 	if (hash == a->members_sent_hash &&
-	    now - a->members_sent_at <= MEMBERS_AGAIN_NS)
+	    now - a->members_sent_at <= MEMBERS_REFRESH_NS)
 		return;
 	a->members_sent_hash = hash;
 	a->members_sent_at = now;
 	send_hubs(a);
 }
 
-/* When all boxes start, news come by the dozen, and go on together. */
+/* Members change often while all boxes start, so that changes are combined. */
 void
 agent_gate_schedule_members(struct agent *a)
 {
 	if (!a->members_timer.armed)
 		tmr_set(&a->tmr, &a->members_timer,
-		    clk_ns(a->clk) + MEMBERS_GAP_NS, on_members_due, a);
+		    clk_ns(a->clk) + MEMBERS_DELAY_NS, send_members, a);
 }
 
-/* Our gate told of itself. */
+/* Handles a status message of the gate. */
 void
 agent_gate_on_status(struct agent *a, const struct msg *m)
 {
-	const struct msg_gate_status *gt = &m->u.gate_status;
+	const struct msg_gate_status *status = &m->u.gate_status;
 	struct memb_info *self = memb_self(a->memb);
 	bool was_leaving = self->leaving;
-	bool fresh = gt->started_ms != a->gate_boot, begins;
+	bool is_new = status->started_ms != a->gate_started_ms, starts_serving;
 
 	a->gate_received_at = clk_ns(a->clk);
-	if (gt->conf_summary.digest != a->gate_digest ||
-	    gt->ready != a->gate_ready)
+	if (status->conf_summary.digest != a->gate_conf_digest ||
+	    status->ready != a->gate_ready)
 		agent_box_schedule_status(a);
-	a->gate_boot = gt->started_ms;
-	a->gate_digest = gt->conf_summary.digest;
-	a->gate_ready = gt->ready;
-	if (fresh) {
-		/* A new gate: whoever knew the old one must look anew. */
-		self->started_ms = MAX(self->started_ms + 1, gt->started_ms);
+	a->gate_started_ms = status->started_ms;
+	a->gate_conf_digest = status->conf_summary.digest;
+	a->gate_ready = status->ready;
+	if (is_new) {
+		/* The gate restarted: peers must drop the old state. */
+		self->started_ms =
+		    MAX(self->started_ms + 1, status->started_ms);
 		self->leaving = false;
 		a->members_sent_at = 0;
 		agent_probe_send_to_gate(a);
 	}
-	begins = gt->ready && !self->ready;
-	if (fresh || self->ready != gt->ready) {
-		self->ready = gt->ready;
+	starts_serving = status->ready && !self->ready;
+	if (is_new || self->ready != status->ready) {
+		self->ready = status->ready;
 		memb_self_changed(a->memb);
 	}
-	if (begins && memb_is_hub(a->memb, self->box))
+	if (starts_serving && memb_is_hub(a->memb, self->box))
 		agent_peer_announce_ready(a);
-	if (gt->leaving && !was_leaving)
+	if (status->leaving && !was_leaving)
 		agent_peer_announce_leaving(a);
-	else if (fresh)
-		agent_gate_send_state(a);
-	if (gt->suspect_box.n > 0)
-		agent_peer_suspect(a, gt->suspect_box);
-	sync_compare(&a->sync, m->from, &gt->conf_summary);
+	else if (is_new)
+		agent_gate_send_announcement(a);
+	if (status->suspect_box.n > 0)
+		agent_peer_suspect(a, status->suspect_box);
+	sync_compare(&a->sync, m->from, &status->conf_summary);
 	agent_gate_schedule_members(a);
 }
 
@@ -160,15 +162,15 @@
 {
 	struct memb_info *self = memb_self(a->memb);
 
-	if (self->ready && now - a->gate_received_at > GATE_SILENT_NS) {
+	if (self->ready && now - a->gate_received_at > GATE_TIMEOUT_NS) {
 		self->ready = false;
 		memb_self_changed(a->memb);
-		slog(SLOG_AGENT, "the gate is silent", "for_ms=%lld",
+		slog(SLOG_AGENT, "gate does not answer", "for_ms=%lld",
 		    (long long)((now - a->gate_received_at) / NS_MS));
 	}
 	if (now - a->gate_sent_at >= a->settings.hello_ms * NS_MS) {
 		a->gate_sent_at = now;
-		agent_gate_send_state(a);
+		agent_gate_send_announcement(a);
 	}
 	agent_gate_schedule_members(a);
 }
--- a/agent_open.c
+++ b/agent_open.c
@@ -15,30 +15,32 @@
 #include "slog.h"
 
 /*
- * The agent's settings, its start and its end, and the tick that all its parts
- * share.
+ * The agent's settings, its start and shutdown, and the periodic tick that runs
+ * all its parts.
  */
 
-enum { LEAVE_MS = 300, ADMIN_BODY_MAX = 4096 };
+/* Time to send the last messages before the process exits. */
+enum { SHUTDOWN_MS = 300, ADMIN_BODY_MAX = 4096 };
 /*
- * Rules that were confirmed no later than this ago are not late: a word of the
- * platform takes a second from box to box, and another one to the last.
+ * A change is logged as late if the rules were confirmed longer ago than this.
+ * A confirmation by the platform takes up to a second from box to box, and a
+ * second more to the last box.
  */
-enum { LATE_MS = 3000 };
-/* Between two looks, with probes to start or without. */
+enum { RULES_LATE_MS = 3000 };
+/* Interval of the tick, with probes enabled or disabled. */
 #define TICK_NS (100 * NS_MS)
 #define TICK_IDLE_NS (500 * NS_MS)
-/* A tick that comes so late tells that the process was paused. */
-#define PAUSE_NS (2 * NS_S)
+/* A longer gap between two ticks means that the process was suspended. */
+#define SUSPEND_GAP_NS (2 * NS_S)
 
 static void on_tick(void *);
 static void on_signal(uv_signal_t *, int);
-static void on_left(void *);
+static void on_shutdown_timer(void *);
 static void on_conf_changed(void *, const struct conf_entry *);
 
 #define F(member) offsetof(struct agent_settings, member)
 
-static const char *const words_status_by[] = {"all", "hubs", NULL};
+static const char *const status_by_names[] = {"all", "hubs", NULL};
 
 static const struct field fields[] = {
     {.name = "box", .type = FIELD_NAME, .offset = F(box), .required = true},
@@ -145,52 +147,51 @@
     {.name = "status_by",
 	.type = FIELD_WORD,
 	.offset = F(status_by),
-	.words = words_status_by},
+	.words = status_by_names},
     {.name = "contracts",
 	.type = FIELD_STR,
 	.offset = F(contracts),
 	.text_dflt = ""},
     {.name = "platform_form",
 	.type = FIELD_NAME,
-	.offset = F(form),
+	.offset = F(platform_form),
 	.text_dflt = "fern"},
 };
 
 /*
- * Read the settings anew and take over what may change while the agent runs.
- * A file that is not valid changes nothing.
+ * Reads the settings file again and applies the settings that may change while
+ * the agent runs.  An invalid file changes nothing.
  */
 void
 agent_reload(struct agent *a)
 {
-	struct agent_settings set = {0};
+	struct agent_settings settings = {0};
 	GError *err = NULL;
 	json_t *seeds;
 
 	if (!set_load(a->settings_file, a->settings_section, fields,
-		G_N_ELEMENTS(fields), &set, &err)) {
-		slog(SLOG_AGENT,
-		    "settings are kept, the new ones are not valid", "why=%s",
-		    slog_quote(err->message));
+		G_N_ELEMENTS(fields), &settings, &err)) {
+		slog(SLOG_AGENT, "settings are kept, the new file is invalid",
+		    "why=%s", slog_quote(err->message));
 		g_error_free(err);
 		return;
 	}
 	seeds = a->settings.seeds;
-	a->settings.seeds = set.seeds;
-	set.seeds = seeds;
-	a->settings.watchers = set.watchers;
-	a->settings.probe_rate = set.probe_rate;
-	a->settings.platform_rate = set.platform_rate;
-	a->settings.hello_ms = set.hello_ms;
-	a->settings.list_ms = set.list_ms;
-	a->settings.watch_ms = set.watch_ms;
-	a->settings.gather_ms = set.gather_ms;
-	a->settings.boxes_ms = set.boxes_ms;
-	a->settings.look_ms = set.look_ms;
-	a->settings.retry_ms = set.retry_ms;
-	a->settings.status_ms = set.status_ms;
+	a->settings.seeds = settings.seeds;
+	settings.seeds = seeds;
+	a->settings.watchers = settings.watchers;
+	a->settings.probe_rate = settings.probe_rate;
+	a->settings.platform_rate = settings.platform_rate;
+	a->settings.hello_ms = settings.hello_ms;
+	a->settings.list_ms = settings.list_ms;
+	a->settings.watch_ms = settings.watch_ms;
+	a->settings.gather_ms = settings.gather_ms;
+	a->settings.boxes_ms = settings.boxes_ms;
+	a->settings.look_ms = settings.look_ms;
+	a->settings.retry_ms = settings.retry_ms;
+	a->settings.status_ms = settings.status_ms;
 	agent_peer_configure(a);
-	field_free(fields, G_N_ELEMENTS(fields), &set);
+	field_free(fields, G_N_ELEMENTS(fields), &settings);
 	slog(SLOG_AGENT, "settings are read anew", "file=%s", a->settings_file);
 }
 
@@ -202,12 +203,12 @@
 	if (!set_load(
 		file, section, fields, G_N_ELEMENTS(fields), &a->settings, err))
 		return false;
-	a->form = plat_adapter_by_name(a->settings.form);
-	if (a->form == NULL)
+	a->adapter = plat_adapter_by_name(a->settings.platform_form);
+	if (a->adapter == NULL)
 		return err_set(err, ERR_SETTINGS,
 		    "%s: platform_form: found \"%s\"; allowed is fern or "
 		    "objects",
-		    file, a->settings.form.p);
+		    file, a->settings.platform_form.p);
 	return true;
 }
 
@@ -228,7 +229,7 @@
 	tmr_open(&a->tmr, a->loop, a->clk);
 	a->up = up_open(a->loop, &a->tmr, a->clk);
 	a->plat = plat_http_open(
-	    a->up, &a->tmr, a->clk, a->settings.platform, a->form->codec);
+	    a->up, &a->tmr, a->clk, a->settings.platform, a->adapter->codec);
 	a->cnt = agent_stat_open();
 	a->shares_conf = a->conf != NULL;
 	if (!a->shares_conf)
@@ -263,10 +264,10 @@
 
 	if (!a->shares_conf)
 		slog(SLOG_CONF,
-		    e->deleted ? "object is deleted" : "object is known",
+		    e->deleted ? "object deleted" : "object version applied",
 		    "key=%.*s version=%llu from=%.*s", STR_ARG(e->key),
 		    (unsigned long long)e->version, STR_ARG(e->source));
-	if (e->kind != OBJ_BACKEND && sync_age_ms(&a->sync) > LATE_MS)
+	if (e->kind != OBJ_BACKEND && sync_age_ms(&a->sync) > RULES_LATE_MS)
 		slog(SLOG_CONF, "our rules had not been confirmed for long",
 		    "key=%.*s version=%llu from=%.*s for_ms=%lld",
 		    STR_ARG(e->key), (unsigned long long)e->version,
@@ -285,7 +286,7 @@
 	struct agent *a = ctx;
 	int64_t now = clk_ns(a->clk), gap = now - a->last_tick_at;
 
-	if (a->last_tick_at != 0 && gap > PAUSE_NS) {
+	if (a->last_tick_at != 0 && gap > SUSPEND_GAP_NS) {
 		slog(SLOG_AGENT, "was paused, looks anew", "gap_ms=%lld",
 		    (long long)(gap / NS_MS));
 		memb_cancel_requests(a->memb);
@@ -302,7 +303,7 @@
 }
 
 static void
-on_left(void *ctx)
+on_shutdown_timer(void *ctx)
 {
 	struct agent *a = ctx;
 
@@ -312,7 +313,7 @@
 static void
 on_signal(uv_signal_t *signal, int signum)
 {
-	static struct tmr_item left;
+	static struct tmr_item shutdown_timer;
 	struct agent *a = signal->data;
 
 	(void)signum;
@@ -320,22 +321,27 @@
 		uv_stop(a->loop);
 		return;
 	}
-	slog(SLOG_AGENT, "leaves", "boxes=%zu", memb_count_alive(a->memb));
+	slog(SLOG_AGENT, "agent shuts down", "boxes=%zu",
+	    memb_count_alive(a->memb));
 	a->leaving = true;
 	agent_peer_announce_leaving(a);
-	tmr_set(&a->tmr, &left, clk_ns(a->clk) + LEAVE_MS * NS_MS, on_left, a);
+	tmr_set(&a->tmr, &shutdown_timer, clk_ns(a->clk) + SHUTDOWN_MS * NS_MS,
+	    on_shutdown_timer, a);
 }
 
 void
 agent_start(struct agent *a)
 {
 	tmr_set(&a->tmr, &a->tick, clk_ns(a->clk), on_tick, a);
-	slog(SLOG_AGENT, "started", "box=%s hall=%s inbox=%s platform=%s",
+	slog(SLOG_AGENT, "agent started", "box=%s hall=%s inbox=%s platform=%s",
 	    a->settings.box.p, a->settings.hall.p, a->settings.inbox.p,
 	    a->settings.platform.p);
 }
 
-/* Leave on a signal; an agent beside its gate leaves with the gate. */
+/*
+ * Shuts down on SIGTERM or SIGINT.  An agent in the same process as its gate
+ * does not use this, as the gate handles the signals for both.
+ */
 void
 agent_handle_signals(struct agent *a)
 {
--- a/agent_peer.c
+++ b/agent_peer.c
@@ -13,14 +13,14 @@
 #include "spread.h"
 
 /*
- * What this box says to the others, and what it makes of theirs: membership,
- * which gossip.c decides on, and configuration that differs.
+ * Messages to and from other boxes: membership, which gossip.c handles, and
+ * comparison of configurations.
  */
 
-/* Hubs that do not watch list the boxes this seldom. */
-#define LIST_OTHER_NS (60 * NS_S)
+/* Interval at which hubs that do not watch fetch the list of boxes. */
+#define HUB_LIST_INTERVAL_NS (60 * NS_S)
 
-static void on_due(void *);
+static void run_gossip(void *);
 
 static void
 send_to(void *ctx, struct str to, const struct msg *m)
@@ -31,9 +31,9 @@
 	wire_send(a->wire, to, &copy);
 }
 
-/* A announcement to our own gate: who we are and what configuration we have. */
+/* Returns an announcement of this box's state and configuration digests. */
 struct msg
-agent_peer_own_state(const struct agent *a)
+agent_peer_own_announcement(const struct agent *a)
 {
 	struct msg m = {.kind = MSG_ANNOUNCEMENT};
 
@@ -43,25 +43,28 @@
 }
 
 static void
-op_hello(void *ctx, struct str to, const struct msg_announcement *h)
+op_send_announcement(
+    void *ctx, struct str to, const struct msg_announcement *announcement)
 {
-	struct msg m = {.kind = MSG_ANNOUNCEMENT, .u.announcement = *h};
+	struct msg m = {
+	    .kind = MSG_ANNOUNCEMENT, .u.announcement = *announcement};
 	struct agent *a = ctx;
 
 	wire_send(a->wire, to, &m);
 }
 
 static void
-op_beat(void *ctx, struct str to, const struct msg_heartbeat *b)
+op_send_heartbeat(
+    void *ctx, struct str to, const struct msg_heartbeat *heartbeat)
 {
-	struct msg m = {.kind = MSG_HEARTBEAT, .u.heartbeat = *b};
+	struct msg m = {.kind = MSG_HEARTBEAT, .u.heartbeat = *heartbeat};
 	struct agent *a = ctx;
 
 	wire_send(a->wire, to, &m);
 }
 
 static void
-op_members(void *ctx, struct str to, const struct msg_members *list)
+op_send_members(void *ctx, struct str to, const struct msg_members *list)
 {
 	struct msg m = {.kind = MSG_MEMBERS, .u.members = *list};
 	struct agent *a = ctx;
@@ -70,7 +73,7 @@
 }
 
 static struct msg_conf_summary
-op_holds(void *ctx)
+op_conf_summary(void *ctx)
 {
 	struct agent *a = ctx;
 
@@ -78,7 +81,7 @@
 }
 
 static void
-op_list(void *ctx)
+op_list_boxes(void *ctx)
 {
 	agent_box_fetch_list(ctx);
 }
@@ -86,22 +89,22 @@
 void
 agent_peer_configure(struct agent *a)
 {
-	struct gossip_settings set = {
+	struct gossip_settings settings = {
 	    .announce_interval_ns = a->settings.hello_ms * NS_MS,
 	    .list_interval_ns = a->settings.boxes_ms * NS_MS,
-	    .hub_list_interval_ns = LIST_OTHER_NS,
+	    .hub_list_interval_ns = HUB_LIST_INTERVAL_NS,
 	    .watchers = (int)a->settings.watchers,
 	    .seeds = a->settings.seeds,
 	};
 
-	gossip_configure(a->gossip, &set);
+	gossip_configure(a->gossip, &settings);
 }
 
 void
 agent_peer_open(struct agent *a)
 {
-	const struct gossip_ops ops = {
-	    op_hello, op_beat, op_members, op_holds, op_list, a};
+	const struct gossip_ops ops = {op_send_announcement, op_send_heartbeat,
+	    op_send_members, op_conf_summary, op_list_boxes, a};
 
 	a->sync.conf = a->conf;
 	a->sync.send = send_to;
@@ -109,12 +112,12 @@
 	a->sync.ctx = a;
 	a->gossip = gossip_new(&ops, a->memb, a->clk, a->rnd);
 	agent_peer_configure(a);
-	on_due(a);
+	run_gossip(a);
 }
 
-/* The boxes near are known: our gate may serve. */
+/* Once the boxes of the hall are known, the gate may serve. */
 static void
-look_settled(struct agent *a)
+check_peers_known(struct agent *a)
 {
 	if (a->peers_known || !gossip_is_settled(a->gossip))
 		return;
@@ -125,9 +128,12 @@
 	agent_gate_send_ready(a);
 }
 
-/* Who watches needs nobody to tell it of changes. */
+/*
+ * A box is unattended while no hub that has contact with the platform answers
+ * it, so that it receives no changes.  A watcher reads changes by itself.
+ */
 static void
-look_unattended(struct agent *a)
+check_unattended(struct agent *a)
 {
 	bool unattended =
 	    !agent_is_watcher(a) && gossip_is_unattended(a->gossip);
@@ -145,107 +151,109 @@
 		agent_watch_start_unattended(a);
 }
 
-/* Do what is due, and wake up for what is due next. */
+/* Runs the gossip actions that are due and sets the timer for the next. */
 static void
-on_due(void *ctx)
+run_gossip(void *ctx)
 {
 	struct agent *a = ctx;
 	int64_t next = gossip_run(a->gossip);
 
-	look_settled(a);
-	look_unattended(a);
-	tmr_set(&a->tmr, &a->gossip_timer, next, on_due, a);
+	check_peers_known(a);
+	check_unattended(a);
+	tmr_set(&a->tmr, &a->gossip_timer, next, run_gossip, a);
 }
 
-/* The platform's list of boxes is here. */
+/* Handles a new list of boxes, which is in memb already. */
 void
 agent_peer_on_boxes_listed(struct agent *a)
 {
 	gossip_list_received(a->gossip);
 	agent_scope_update(a);
-	on_due(a);
+	run_gossip(a);
 }
 
-/* Does a box of our hall, or this one, hear from the platform? */
-struct sight {
+/* Whether this box or another of its hall has contact with the platform. */
+struct hall_contact {
 	const struct agent *agent;
-	bool seeing;
+	bool has_platform;
 };
 
 static void
-look_for_sight(void *ctx, const struct memb_member *m)
+find_hall_contact(void *ctx, const struct memb_member *m)
 {
-	struct sight *s = ctx;
+	struct hall_contact *contact = ctx;
 
 	if (memb_is_alive(m) && !m->info.platform_unreachable &&
-	    str_eq(m->info.hall, s->agent->settings.hall))
-		s->seeing = true;
+	    str_eq(m->info.hall, contact->agent->settings.hall))
+		contact->has_platform = true;
 }
 
 static bool
 should_compare(struct agent *a, struct str hall,
-    const struct msg_conf_summary *holds, int64_t now)
+    const struct msg_conf_summary *summary, int64_t now)
 {
-	struct sight s = {a, a->platform_up};
-	struct spread_difference d = {
+	struct hall_contact contact = {a, a->platform_up};
+	struct spread_difference difference = {
 	    .same_hall = str_eq(hall, a->settings.hall),
 	    .lists_complete = agent_conf_is_complete(a),
 	    .hall_box_silent = gossip_has_unresponsive_peer(a->gossip)};
 
-	if (sync_is_equal(&a->sync, holds))
+	if (sync_is_equal(&a->sync, summary))
 		a->differs_since = 0;
 	else if (a->differs_since == 0)
 		a->differs_since = now;
 	if (a->differs_since != 0)
-		d.duration_ns = MAX(now - a->differs_since, 1);
-	if (!s.seeing)
-		memb_each(a->memb, look_for_sight, &s);
-	d.hall_has_platform = s.seeing;
-	return spread_should_compare(&d);
+		difference.duration_ns = MAX(now - a->differs_since, 1);
+	if (!contact.has_platform)
+		memb_each(a->memb, find_hall_contact, &contact);
+	difference.hall_has_platform = contact.has_platform;
+	return spread_should_compare(&difference);
 }
 
-/* A box has told which configuration it has. */
+/* Handles the summary of another box's configuration. */
 static void
-take_holds(struct agent *a, struct str from, struct str hall,
-    const struct msg_conf_summary *holds)
+handle_conf_summary(struct agent *a, struct str from, struct str hall,
+    const struct msg_conf_summary *summary)
 {
-	sync_confirm_from_peer(&a->sync, holds);
-	if (should_compare(a, hall, holds, clk_ns(a->clk)))
-		sync_compare(&a->sync, from, holds);
+	sync_confirm_from_peer(&a->sync, summary);
+	if (should_compare(a, hall, summary, clk_ns(a->clk)))
+		sync_compare(&a->sync, from, summary);
 }
 
 static void
-take_hello(struct agent *a, const struct msg *m)
+handle_announcement(struct agent *a, const struct msg *m)
 {
-	const struct msg_announcement *h = &m->u.announcement;
+	const struct msg_announcement *announcement = &m->u.announcement;
 
-	gossip_on_announcement(a->gossip, m->from, h);
-	take_holds(a, m->from, h->self.hall, &h->conf_summary);
+	gossip_on_announcement(a->gossip, m->from, announcement);
+	handle_conf_summary(
+	    a, m->from, announcement->self.hall, &announcement->conf_summary);
 	agent_gate_send_ready(a);
 	agent_gate_schedule_members(a);
-	on_due(a);
+	run_gossip(a);
 }
 
 static void
-take_beat(struct agent *a, const struct msg *m)
+handle_heartbeat(struct agent *a, const struct msg *m)
 {
-	const struct msg_heartbeat *b = &m->u.heartbeat;
+	const struct msg_heartbeat *heartbeat = &m->u.heartbeat;
 	const struct memb_member *member;
 
-	gossip_on_heartbeat(a->gossip, m->from, b);
-	member = memb_find(a->memb, b->box);
+	gossip_on_heartbeat(a->gossip, m->from, heartbeat);
+	member = memb_find(a->memb, heartbeat->box);
 	if (member != NULL)
-		take_holds(a, m->from, member->info.hall, &b->conf_summary);
+		handle_conf_summary(
+		    a, m->from, member->info.hall, &heartbeat->conf_summary);
 	agent_gate_send_ready(a);
-	on_due(a);
+	run_gossip(a);
 }
 
 static void
-take_members(struct agent *a, const struct msg_members *list)
+handle_members(struct agent *a, const struct msg_members *list)
 {
 	gossip_on_members(a->gossip, list);
 	agent_gate_schedule_members(a);
-	on_due(a);
+	run_gossip(a);
 }
 
 void
@@ -258,45 +266,45 @@
 	agent_box_tick(a);
 }
 
-/* Tell the others that the platform does, or does not, answer us. */
+/* Announces to other boxes whether the platform answers this box. */
 void
-agent_peer_announce_outage(struct agent *a, bool blind)
+agent_peer_announce_outage(struct agent *a, bool unreachable)
 {
-	memb_self(a->memb)->platform_unreachable = blind;
+	memb_self(a->memb)->platform_unreachable = unreachable;
 	memb_self_changed(a->memb);
 	gossip_announce(a->gossip, false);
 }
 
 /*
- * Our gate serves now, and may be home: all whom it concerns are told at once.
- * Left to the next hellos, each box takes itself for home of everything for a
- * second after a fault that took all of them, and they crowd the backend
- * servers.
+ * Announces at once that the gate serves and may own services.  If this were
+ * left to the periodic announcements, then after a loss of all boxes each box
+ * would take itself for the owner of all services for a second, and together
+ * they would overload the backend servers.
  */
 void
 agent_peer_announce_ready(struct agent *a)
 {
 	gossip_announce(a->gossip, false);
-	on_due(a);
+	run_gossip(a);
 }
 
 void
 agent_peer_announce_leaving(struct agent *a)
 {
-	slog(SLOG_PEER, "tells the other boxes that this one leaves",
-	    "boxes=%zu", memb_count_alive(a->memb));
+	slog(SLOG_PEER, "box announces that it is leaving", "boxes=%zu",
+	    memb_count_alive(a->memb));
 	memb_self(a->memb)->leaving = true;
 	memb_self_changed(a->memb);
 	gossip_announce(a->gossip, true);
 	agent_box_schedule_status(a);
 }
 
-/* Our gate got no answer of another one. */
+/* The gate got no answer from the gate of another box; probes that box. */
 void
 agent_peer_suspect(struct agent *a, struct str box)
 {
 	gossip_check_suspect(a->gossip, box);
-	on_due(a);
+	run_gossip(a);
 }
 
 void
@@ -306,10 +314,10 @@
 
 	switch (m->kind) {
 	case MSG_ANNOUNCEMENT:
-		take_hello(a, m);
+		handle_announcement(a, m);
 		break;
 	case MSG_HEARTBEAT:
-		take_beat(a, m);
+		handle_heartbeat(a, m);
 		break;
 	case MSG_SUSPECTS:
 		agent_poison_merge(a, &m->u.suspects);
@@ -318,7 +326,7 @@
 		agent_gate_on_status(a, m);
 		break;
 	case MSG_MEMBERS:
-		take_members(a, &m->u.members);
+		handle_members(a, &m->u.members);
 		break;
 	case MSG_HEALTH:
 		agent_probe_on_health(a, &m->u.health);
--- a/agent_poison.c
+++ b/agent_poison.c
@@ -14,19 +14,20 @@
 #include "poison_msg.h"
 
 /*
- * Requests that are refused because they end backend servers, kept in the
- * box's status on the platform: after a loss of all boxes nobody else could
- * tell those that start.  All boxes read all statuses when they start, so that
- * this costs a write for each request that is proved, and no call besides.
+ * Stores the requests that are refused because they crash backend servers in
+ * the box's status on the platform, so that they outlive a loss of all boxes.
+ * Each box reads all statuses when it starts, so that this costs one write for
+ * each request that is proved, and no other call.
  *
- * A status has them as hexadecimal texts, and the time of the last end in
- * seconds since 1970: in ms it would seem to change from look to look.
+ * A status has fingerprints and trial ids as hexadecimal strings, and the time
+ * of the last crash in seconds since 1970.  In ms that time would vary with
+ * rounding, and an unchanged status would seem to differ from the written one.
  */
 
-enum { HEX_SIZE = 17, HEX_BASE = 16, MS_A_SECOND = 1000 };
+enum { HEX_SIZE = 17, HEX_BASE = 16, MS_PER_S = 1000 };
 
 static uint64_t
-hex_of(const json_t *o, const char *key)
+get_hex(const json_t *o, const char *key)
 {
 	const char *text = json_string_value(json_object_get(o, key));
 
@@ -49,7 +50,7 @@
 }
 
 static void
-tell_gate(struct agent *a)
+send_to_gate(struct agent *a)
 {
 	struct msg_suspect items[POISON_MSG_RECORDS_MAX];
 	struct msg m = {.kind = MSG_SUSPECTS};
@@ -60,7 +61,7 @@
 		wire_send(a->wire, a->settings.gate_inbox, &m);
 }
 
-/* Our gate has proved something, by trials of its own. */
+/* Merges records of the gate, which has proved a request by its own trials. */
 void
 agent_poison_merge(struct agent *a, const struct msg_suspects *m)
 {
@@ -71,34 +72,38 @@
 }
 
 static json_t *
-word_spec(struct agent *a, const struct poison_record *w)
+record_to_json(struct agent *a, const struct poison_record *rec)
 {
-	int64_t ago = (clk_ns(a->clk) - w->crashed_at) / NS_MS;
-	int64_t ended = clk_wall_ms(a->clk) - ago;
+	int64_t age_ms = (clk_ns(a->clk) - rec->crashed_at) / NS_MS;
+	int64_t crashed_ms = clk_wall_ms(a->clk) - age_ms;
 	json_t *o = json_object();
 
-	add_hex(o, "hi", w->fingerprint.hi);
-	add_hex(o, "lo", w->fingerprint.lo);
-	add_hex(o, "caller", w->fingerprint.caller);
-	add_hex(o, "first", w->trial_ids[0]);
-	add_hex(o, "second", w->trial_ids[1]);
-	json_object_set_new(o, "ended_s",
-	    json_integer((ended + MS_A_SECOND / 2) / MS_A_SECOND));
+	add_hex(o, "hi", rec->fingerprint.hi);
+	add_hex(o, "lo", rec->fingerprint.lo);
+	add_hex(o, "caller", rec->fingerprint.caller);
+	add_hex(o, "first", rec->trial_ids[0]);
+	add_hex(o, "second", rec->trial_ids[1]);
+	json_object_set_new(
+	    o, "ended_s", json_integer((crashed_ms + MS_PER_S / 2) / MS_PER_S));
 	return o;
 }
 
-/* What is proved, for our status; NULL if there is nothing. */
+/*
+ * Returns the proved requests as a JSON array for the status, which the caller
+ * owns; NULL if there are none.
+ */
 json_t *
 agent_poison_spec(struct agent *a)
 {
-	struct poison_record words[POISON_MSG_RECORDS_MAX];
-	unsigned i, n = poison_records(a->poison, words);
+	struct poison_record records[POISON_MSG_RECORDS_MAX];
+	unsigned i, n = poison_records(a->poison, records);
 	json_t *list = json_array();
 
 	for (i = 0; i < n; i++)
-		if (poison_status_of(a->poison, words[i].fingerprint) ==
+		if (poison_status_of(a->poison, records[i].fingerprint) ==
 		    POISON_PROVED)
-			json_array_append_new(list, word_spec(a, &words[i]));
+			json_array_append_new(
+			    list, record_to_json(a, &records[i]));
 	if (json_array_size(list) > 0)
 		return list;
 	json_decref(list);
@@ -106,22 +111,22 @@
 }
 
 static void
-take_word(struct agent *a, const json_t *o)
+merge_json(struct agent *a, const json_t *o)
 {
 	int64_t now = clk_ns(a->clk);
-	int64_t at = json_integer_value(json_object_get(o, "ended_s"));
-	int64_t ago = clk_wall_ms(a->clk) - at * MS_A_SECOND;
-	struct poison_record w = {.fingerprint = {hex_of(o, "hi"),
-				      hex_of(o, "lo"), hex_of(o, "caller")},
-	    .trial_ids = {hex_of(o, "first"), hex_of(o, "second")}};
+	int64_t crashed_s = json_integer_value(json_object_get(o, "ended_s"));
+	int64_t age_ms = clk_wall_ms(a->clk) - crashed_s * MS_PER_S;
+	struct poison_record rec = {.fingerprint = {get_hex(o, "hi"),
+					get_hex(o, "lo"), get_hex(o, "caller")},
+	    .trial_ids = {get_hex(o, "first"), get_hex(o, "second")}};
 
-	if (at <= 0 || ago >= POISON_HOLD_NS / NS_MS)
+	if (crashed_s <= 0 || age_ms >= POISON_HOLD_NS / NS_MS)
 		return;
-	w.crashed_at = now - MAX(ago, 0) * NS_MS;
-	poison_merge(a->poison, &w);
+	rec.crashed_at = now - MAX(age_ms, 0) * NS_MS;
+	poison_merge(a->poison, &rec);
 }
 
-/* The platform listed a box, and what it had proved. */
+/* Merges the records in the listed status of a box; `list` may be NULL. */
 void
 agent_poison_merge_listed(struct agent *a, const json_t *list)
 {
@@ -129,13 +134,13 @@
 	size_t i;
 
 	json_array_foreach (list, i, o)
-		take_word(a, o);
+		merge_json(a, o);
 }
 
-/* The whole list has been read: our gate is told before it serves. */
+/* Called after the whole list of boxes was read, before the gate may serve. */
 void
 agent_poison_send_to_gate(struct agent *a)
 {
 	poison_expire(a->poison);
-	tell_gate(a);
+	send_to_gate(a);
 }
--- a/poison.c
+++ b/poison.c
@@ -14,17 +14,17 @@
 #include "poison.h"
 
 /*
- * A word that went to another box and back is a little later each time; what
- * differs by less is the same.
+ * Times that differ by less are taken as equal, as the time in a record shifts
+ * a little whenever the record goes to another box and back.
  */
-#define SAME_NS (200 * NS_MS)
+#define SAME_TIME_NS (200 * NS_MS)
 
 struct poison {
 	const struct clk *clk;
 	const struct rnd *rnd;
-	GPtrArray *words; /* struct poison_record * */
-	bool news;
-	poison_changed_fn *changed; /* NULL: nobody listens */
+	GPtrArray *records; /* struct poison_record * */
+	bool has_unsent_trial;
+	poison_changed_fn *changed; /* may be NULL */
 	void *ctx;
 };
 
@@ -35,7 +35,7 @@
 
 	p->clk = clk;
 	p->rnd = rnd;
-	p->words = g_ptr_array_new_with_free_func(g_free);
+	p->records = g_ptr_array_new_with_free_func(g_free);
 	return p;
 }
 
@@ -49,281 +49,293 @@
 void
 poison_free(struct poison *p)
 {
-	g_ptr_array_free(p->words, TRUE);
+	g_ptr_array_free(p->records, TRUE);
 	g_free(p);
 }
 
 static unsigned
-trials(const struct poison_record *w)
+count_trials(const struct poison_record *rec)
 {
 	unsigned i, n = 0;
 
 	for (i = 0; i < POISON_TRIALS; i++)
-		n += w->trial_ids[i] != 0;
+		n += rec->trial_ids[i] != 0;
 	return n;
 }
 
-/* What a word says of its caller's request by itself. */
+/* Returns the status of a request by the record of one caller alone. */
 static enum poison_status
-judge(const struct poison_record *w, int64_t now)
+record_status(const struct poison_record *rec, int64_t now)
 {
-	int64_t age = now - w->crashed_at;
+	int64_t age = now - rec->crashed_at;
 
-	if (w->cleared_at >= w->crashed_at)
+	if (rec->cleared_at >= rec->crashed_at)
 		return POISON_NONE;
 	if (age < POISON_HOLD_NS)
-		return trials(w) == POISON_TRIALS ? POISON_PROVED
-						  : POISON_SUSPECT;
-	/* What was tried stays a suspect for the same time again. */
-	return trials(w) > 0 && age < 2 * POISON_HOLD_NS ? POISON_SUSPECT
-							 : POISON_NONE;
+		return count_trials(rec) == POISON_TRIALS ? POISON_PROVED
+							  : POISON_SUSPECT;
+	/* A request with trials stays a suspect for the same time again. */
+	return count_trials(rec) > 0 && age < 2 * POISON_HOLD_NS
+	    ? POISON_SUSPECT
+	    : POISON_NONE;
 }
 
 static struct poison_record *
-find(const struct poison *p, struct fprint print)
+find(const struct poison *p, struct fprint fingerprint)
 {
-	struct poison_record *w;
+	struct poison_record *rec;
 	guint i;
 
-	for (i = 0; i < p->words->len; i++) {
-		w = g_ptr_array_index(p->words, i);
-		if (fprint_eq(w->fingerprint, print))
-			return w;
+	for (i = 0; i < p->records->len; i++) {
+		rec = g_ptr_array_index(p->records, i);
+		if (fprint_eq(rec->fingerprint, fingerprint))
+			return rec;
 	}
 	return NULL;
 }
 
-/* What the words of all callers say of a request. */
-struct opinion {
-	const struct poison_record *own; /* the caller's; NULL: none */
-	unsigned tried; /* callers whose trials ended backend servers lately */
-	int64_t ended; /* the last end; 0: it is no suspect */
+/* The records of all callers for a request. */
+struct combined_status {
+	const struct poison_record *caller_record; /* NULL: none */
+	unsigned callers_tried; /* callers with a recent crash in a trial */
+	int64_t last_crash; /* monotonic ns; 0: no suspect */
 };
 
-static struct opinion
-opinion_of(const struct poison *p, struct fprint print, int64_t now)
+static struct combined_status
+combine_records(const struct poison *p, struct fprint fingerprint, int64_t now)
 {
-	struct opinion o = {0};
-	const struct poison_record *w;
+	struct combined_status combined = {0};
+	const struct poison_record *rec;
 	guint i;
 
-	for (i = 0; i < p->words->len; i++) {
-		w = g_ptr_array_index(p->words, i);
-		if (!fprint_same(w->fingerprint, print))
+	for (i = 0; i < p->records->len; i++) {
+		rec = g_ptr_array_index(p->records, i);
+		if (!fprint_same(rec->fingerprint, fingerprint))
 			continue;
-		if (fprint_eq(w->fingerprint, print))
-			o.own = w;
-		if (judge(w, now) == POISON_NONE)
+		if (fprint_eq(rec->fingerprint, fingerprint))
+			combined.caller_record = rec;
+		if (record_status(rec, now) == POISON_NONE)
 			continue;
-		o.ended = MAX(o.ended, w->crashed_at);
-		o.tried +=
-		    trials(w) > 0 && now - w->crashed_at < POISON_HOLD_NS;
+		combined.last_crash = MAX(combined.last_crash, rec->crashed_at);
+		combined.callers_tried += count_trials(rec) > 0 &&
+		    now - rec->crashed_at < POISON_HOLD_NS;
 	}
-	return o;
+	return combined;
 }
 
 enum poison_status
-poison_status_of(const struct poison *p, struct fprint print)
+poison_status_of(const struct poison *p, struct fprint fingerprint)
 {
 	int64_t now = clk_ns(p->clk);
-	struct opinion o = opinion_of(p, print, now);
+	struct combined_status combined = combine_records(p, fingerprint, now);
 
-	if (o.ended == 0 || (o.own != NULL && o.own->cleared_at >= o.ended))
+	if (combined.last_crash == 0 ||
+	    (combined.caller_record != NULL &&
+		combined.caller_record->cleared_at >= combined.last_crash))
 		return POISON_NONE;
-	if (o.own != NULL && judge(o.own, now) == POISON_PROVED)
+	if (combined.caller_record != NULL &&
+	    record_status(combined.caller_record, now) == POISON_PROVED)
 		return POISON_PROVED;
-	return o.tried >= POISON_CALLERS ? POISON_PROVED : POISON_SUSPECT;
+	return combined.callers_tried >= POISON_CALLERS ? POISON_PROVED
+							: POISON_SUSPECT;
 }
 
-/* Tell who listens, if something is thought now that was not before. */
+/* Calls the callback if the status differs from the one before. */
 static void
-note(struct poison *p, struct fprint print, enum poison_status before)
+notify_change(
+    struct poison *p, struct fprint fingerprint, enum poison_status before)
 {
-	enum poison_status now = poison_status_of(p, print);
+	enum poison_status now = poison_status_of(p, fingerprint);
 
 	if (now != before && p->changed != NULL)
-		p->changed(p->ctx, print, now);
+		p->changed(p->ctx, fingerprint, now);
 }
 
 int64_t
-poison_retry_at(const struct poison *p, struct fprint print)
+poison_retry_at(const struct poison *p, struct fprint fingerprint)
 {
-	struct opinion o = opinion_of(p, print, clk_ns(p->clk));
+	struct combined_status combined =
+	    combine_records(p, fingerprint, clk_ns(p->clk));
 
-	return o.ended == 0 ? 0 : o.ended + POISON_HOLD_NS;
+	return combined.last_crash == 0 ? 0
+					: combined.last_crash + POISON_HOLD_NS;
 }
 
-/* Does one word matter more than another? */
+/* Order of records: those with more trials first, then the newer ones. */
 static bool
-is_weightier(const struct poison_record *a, const struct poison_record *b)
+ranks_before(const struct poison_record *a, const struct poison_record *b)
 {
-	if (trials(a) != trials(b))
-		return trials(a) > trials(b);
+	if (count_trials(a) != count_trials(b))
+		return count_trials(a) > count_trials(b);
 	return MAX(a->crashed_at, a->cleared_at) >
 	    MAX(b->crashed_at, b->cleared_at);
 }
 
-/* What matters least makes room for something new. */
+/* If the store is full, removes the record that ranks last. */
 static void
-make_room(struct poison *p)
+evict_least(struct poison *p)
 {
-	struct poison_record *least = NULL, *w;
+	struct poison_record *lowest = NULL, *rec;
 	guint i;
 
-	if (p->words->len < POISON_RECORDS_MAX)
+	if (p->records->len < POISON_RECORDS_MAX)
 		return;
-	for (i = 0; i < p->words->len; i++) {
-		w = g_ptr_array_index(p->words, i);
-		if (least == NULL || is_weightier(least, w))
-			least = w;
+	for (i = 0; i < p->records->len; i++) {
+		rec = g_ptr_array_index(p->records, i);
+		if (lowest == NULL || ranks_before(lowest, rec))
+			lowest = rec;
 	}
-	g_ptr_array_remove_fast(p->words, least);
+	g_ptr_array_remove_fast(p->records, lowest);
 }
 
 static struct poison_record *
-find_or_add(struct poison *p, struct fprint print)
+find_or_add(struct poison *p, struct fprint fingerprint)
 {
-	struct poison_record *w = find(p, print);
-
-	if (w != NULL)
-		return w;
-	make_room(p);
-	w = g_new0(struct poison_record, 1);
-	w->fingerprint = print;
-	g_ptr_array_add(p->words, w);
-	return w;
+	struct poison_record *rec = find(p, fingerprint);
+
+	if (rec != NULL)
+		return rec;
+	evict_least(p);
+	rec = g_new0(struct poison_record, 1);
+	rec->fingerprint = fingerprint;
+	g_ptr_array_add(p->records, rec);
+	return rec;
 }
 
 static void
-add_trial(struct poison_record *w, uint64_t number)
+add_trial(struct poison_record *rec, uint64_t id)
 {
 	unsigned i;
 
 	for (i = 0; i < POISON_TRIALS; i++)
-		if (w->trial_ids[i] == number)
+		if (rec->trial_ids[i] == id)
 			return;
 	for (i = 0; i < POISON_TRIALS; i++)
-		if (w->trial_ids[i] == 0) {
-			w->trial_ids[i] = number;
+		if (rec->trial_ids[i] == 0) {
+			rec->trial_ids[i] = id;
 			return;
 		}
 }
 
-/* Trials from before an answer, or from before its time was over, are void. */
+/* Drops trials that an answer has cleared or that have expired. */
 static void
-begin_anew(struct poison_record *w, int64_t now)
+reset_expired_trials(struct poison_record *rec, int64_t now)
 {
-	if (judge(w, now) == POISON_NONE)
-		memset(w->trial_ids, 0, sizeof(w->trial_ids));
+	if (record_status(rec, now) == POISON_NONE)
+		memset(rec->trial_ids, 0, sizeof(rec->trial_ids));
 }
 
 void
-poison_record_crash(struct poison *p, struct fprint print, bool trial)
+poison_record_crash(struct poison *p, struct fprint fingerprint, bool trial)
 {
-	enum poison_status before = poison_status_of(p, print);
+	enum poison_status before = poison_status_of(p, fingerprint);
 	int64_t now = clk_ns(p->clk);
-	struct poison_record *w;
+	struct poison_record *rec;
 
-	if (fprint_is_none(print))
+	if (fprint_is_none(fingerprint))
 		return;
-	w = find_or_add(p, print);
-	begin_anew(w, now);
-	w->crashed_at = MAX(now, w->cleared_at + 1);
+	rec = find_or_add(p, fingerprint);
+	reset_expired_trials(rec, now);
+	rec->crashed_at = MAX(now, rec->cleared_at + 1);
 	if (trial)
-		add_trial(w, MAX(p->rnd->next(p->rnd->ctx), 1));
-	p->news = p->news || trial;
-	note(p, print, before);
+		add_trial(rec, MAX(p->rnd->next(p->rnd->ctx), 1));
+	p->has_unsent_trial = p->has_unsent_trial || trial;
+	notify_change(p, fingerprint, before);
 }
 
 void
-poison_mark_suspect(struct poison *p, struct fprint print)
+poison_mark_suspect(struct poison *p, struct fprint fingerprint)
 {
-	if (poison_status_of(p, print) == POISON_NONE)
-		poison_record_crash(p, print, false);
+	if (poison_status_of(p, fingerprint) == POISON_NONE)
+		poison_record_crash(p, fingerprint, false);
 }
 
 void
-poison_record_success(struct poison *p, struct fprint print)
+poison_record_success(struct poison *p, struct fprint fingerprint)
 {
-	enum poison_status before = poison_status_of(p, print);
-	struct poison_record *w;
+	enum poison_status before = poison_status_of(p, fingerprint);
+	struct poison_record *rec;
 
 	if (before == POISON_NONE)
 		return;
-	w = find_or_add(p, print);
-	w->cleared_at = MAX(clk_ns(p->clk), w->crashed_at);
-	memset(w->trial_ids, 0, sizeof(w->trial_ids));
-	note(p, print, before);
+	rec = find_or_add(p, fingerprint);
+	rec->cleared_at = MAX(clk_ns(p->clk), rec->crashed_at);
+	memset(rec->trial_ids, 0, sizeof(rec->trial_ids));
+	notify_change(p, fingerprint, before);
 }
 
-/* The union of both, without what an answer has made void. */
+/* Merges a record into another; trials before an answer are left out. */
 static void
-merge(struct poison_record *w, const struct poison_record *told)
+merge(struct poison_record *rec, const struct poison_record *received)
 {
 	unsigned i;
 
-	if (told->cleared_at > w->cleared_at + SAME_NS)
-		w->cleared_at = told->cleared_at;
-	if (told->crashed_at > w->crashed_at + SAME_NS)
-		w->crashed_at = told->crashed_at;
-	if (w->cleared_at >= w->crashed_at) {
-		memset(w->trial_ids, 0, sizeof(w->trial_ids));
+	if (received->cleared_at > rec->cleared_at + SAME_TIME_NS)
+		rec->cleared_at = received->cleared_at;
+	if (received->crashed_at > rec->crashed_at + SAME_TIME_NS)
+		rec->crashed_at = received->crashed_at;
+	if (rec->cleared_at >= rec->crashed_at) {
+		memset(rec->trial_ids, 0, sizeof(rec->trial_ids));
 		return;
 	}
-	for (i = 0; told->crashed_at > w->cleared_at && i < POISON_TRIALS; i++)
-		if (told->trial_ids[i] != 0)
-			add_trial(w, told->trial_ids[i]);
+	for (i = 0; received->crashed_at > rec->cleared_at && i < POISON_TRIALS;
+	     i++)
+		if (received->trial_ids[i] != 0)
+			add_trial(rec, received->trial_ids[i]);
 }
 
 void
-poison_merge(struct poison *p, const struct poison_record *told)
+poison_merge(struct poison *p, const struct poison_record *received)
 {
-	enum poison_status before = poison_status_of(p, told->fingerprint);
+	enum poison_status before = poison_status_of(p, received->fingerprint);
 
-	if (fprint_is_none(told->fingerprint) ||
-	    told->crashed_at > clk_ns(p->clk))
+	if (fprint_is_none(received->fingerprint) ||
+	    received->crashed_at > clk_ns(p->clk))
 		return;
-	merge(find_or_add(p, told->fingerprint), told);
-	note(p, told->fingerprint, before);
+	merge(find_or_add(p, received->fingerprint), received);
+	notify_change(p, received->fingerprint, before);
 }
 
 static gint
-by_weight(gconstpointer pa, gconstpointer pb)
+by_rank(gconstpointer pa, gconstpointer pb)
 {
 	const struct poison_record *const *a = pa, *const *b = pb;
 
-	if (is_weightier(*a, *b))
+	if (ranks_before(*a, *b))
 		return -1;
-	return is_weightier(*b, *a);
+	return ranks_before(*b, *a);
 }
 
 unsigned
 poison_records(struct poison *p, struct poison_record *out)
 {
-	unsigned i, n = MIN(p->words->len, (guint)POISON_MSG_RECORDS_MAX);
+	unsigned i, n = MIN(p->records->len, (guint)POISON_MSG_RECORDS_MAX);
 
-	g_ptr_array_sort(p->words, by_weight);
+	g_ptr_array_sort(p->records, by_rank);
 	for (i = 0; i < n; i++)
 		out[i] = *(const struct poison_record *)g_ptr_array_index(
-		    p->words, i);
+		    p->records, i);
 	return n;
 }
 
 bool
 poison_has_unsent_trial(struct poison *p)
 {
-	bool news = p->news;
+	bool unsent = p->has_unsent_trial;
 
-	p->news = false;
-	return news;
+	p->has_unsent_trial = false;
+	return unsent;
 }
 
-/* An answer is remembered as long as an end, so that no old word undoes it. */
+/*
+ * An answer is stored as long as a crash, so that an old record from another
+ * box cannot make the request a suspect again.
+ */
 static bool
-is_over(const struct poison_record *w, int64_t now)
+is_expired(const struct poison_record *rec, int64_t now)
 {
-	return judge(w, now) == POISON_NONE &&
-	    now - MAX(w->crashed_at, w->cleared_at) >= POISON_HOLD_NS;
+	return record_status(rec, now) == POISON_NONE &&
+	    now - MAX(rec->crashed_at, rec->cleared_at) >= POISON_HOLD_NS;
 }
 
 void
@@ -332,21 +344,21 @@
 	int64_t now = clk_ns(p->clk);
 	guint i;
 
-	for (i = p->words->len; i-- > 0;)
-		if (is_over(g_ptr_array_index(p->words, i), now))
-			g_ptr_array_remove_index_fast(p->words, i);
+	for (i = p->records->len; i-- > 0;)
+		if (is_expired(g_ptr_array_index(p->records, i), now))
+			g_ptr_array_remove_index_fast(p->records, i);
 }
 
 unsigned
 poison_count_proved(const struct poison *p)
 {
-	const struct poison_record *w;
+	const struct poison_record *rec;
 	unsigned n = 0;
 	guint i;
 
-	for (i = 0; i < p->words->len; i++) {
-		w = g_ptr_array_index(p->words, i);
-		n += poison_status_of(p, w->fingerprint) == POISON_PROVED;
+	for (i = 0; i < p->records->len; i++) {
+		rec = g_ptr_array_index(p->records, i);
+		n += poison_status_of(p, rec->fingerprint) == POISON_PROVED;
 	}
 	return n;
 }
--- a/poison_msg.c
+++ b/poison_msg.c
@@ -10,9 +10,9 @@
  */
 #include "poison_msg.h"
 
-/* Ages are in ms, and 0 stands for a time that there is not. */
+/* An age is in ms plus 1, and 0 stands for no time. */
 static int64_t
-ns_ago(int64_t now, uint64_t ms)
+to_time(int64_t now, uint64_t ms)
 {
 	return ms == 0
 	    ? 0
@@ -20,41 +20,43 @@
 }
 
 static uint64_t
-ms_ago(int64_t now, int64_t at)
+to_age_ms(int64_t now, int64_t at)
 {
 	return at == 0 ? 0 : (uint64_t)((now - at) / NS_MS + 1);
 }
 
 static void
-write_word(struct msg_suspect *out, const struct poison_record *w, int64_t now)
+encode_record(
+    struct msg_suspect *out, const struct poison_record *w, int64_t now)
 {
 	out->fingerprint_hi = w->fingerprint.hi;
 	out->fingerprint_lo = w->fingerprint.lo;
 	out->fingerprint_caller = w->fingerprint.caller;
 	memcpy(out->trials, w->trial_ids, sizeof(out->trials));
-	out->crash_age_ms = ms_ago(now, w->crashed_at);
-	out->cleared_age_ms = ms_ago(now, w->cleared_at);
+	out->crash_age_ms = to_age_ms(now, w->crashed_at);
+	out->cleared_age_ms = to_age_ms(now, w->cleared_at);
 }
 
 static void
-read_word(struct poison_record *out, const struct msg_suspect *in, int64_t now)
+decode_record(
+    struct poison_record *out, const struct msg_suspect *in, int64_t now)
 {
 	*out = (struct poison_record){
 	    .fingerprint = {in->fingerprint_hi, in->fingerprint_lo,
 		in->fingerprint_caller},
-	    .crashed_at = ns_ago(now, in->crash_age_ms),
-	    .cleared_at = ns_ago(now, in->cleared_age_ms)};
+	    .crashed_at = to_time(now, in->crash_age_ms),
+	    .cleared_at = to_time(now, in->cleared_age_ms)};
 	memcpy(out->trial_ids, in->trials, sizeof(out->trial_ids));
 }
 
 unsigned
 poison_msg_encode(struct poison *p, int64_t now, struct msg_suspect *out)
 {
-	struct poison_record words[POISON_MSG_RECORDS_MAX];
-	unsigned i, n = poison_records(p, words);
+	struct poison_record records[POISON_MSG_RECORDS_MAX];
+	unsigned i, n = poison_records(p, records);
 
 	for (i = 0; i < n; i++)
-		write_word(&out[i], &words[i], now);
+		encode_record(&out[i], &records[i], now);
 	return n;
 }
 
@@ -62,12 +64,12 @@
 poison_msg_merge(struct poison *p, int64_t now, const struct msg_suspects *m)
 {
 	const struct msg_suspect *v = m->suspects.items;
-	struct poison_record word;
+	struct poison_record record;
 	size_t i;
 
 	for (i = 0; i < MIN(m->suspects.n, (size_t)POISON_MSG_RECORDS_MAX);
 	     i++) {
-		read_word(&word, &v[i], now);
-		poison_merge(p, &word);
+		decode_record(&record, &v[i], now);
+		poison_merge(p, &record);
 	}
 }
