--- a/obj.h
+++ b/obj.h
@@ -30,7 +30,7 @@
 	OBJ_SERVICE, /* a set of backend servers and how they are used */
 	OBJ_RULE, /* which requests go to which service */
 	OBJ_LISTENER, /* limits for callers */
-	OBJ_BUNDLE, /* other objects that come into force together */
+	OBJ_BUNDLE, /* other objects, applied as a whole or not at all */
 	OBJ_EVACUATION, /* evacuation of the hall with its name */
 	OBJ_ROLLOUT, /* roll-out of a version of the service with its name */
 	OBJ_CUSTOMER,
