--- a/gate_roll.c
+++ b/gate_roll.c
@@ -86,8 +86,9 @@
 	    "bad=%llu old_out=%u why=%s",
 	    STR_ARG(s->service), STR_ARG(s->hall),
 	    roll_chart_names.states[state], (long long)(word.age / NS_MS),
-	    (unsigned long long)word.responses, (unsigned long long)word.failures,
-	    word.old_in_flight, slog_quote(why != NULL ? why : ""));
+	    (unsigned long long)word.responses,
+	    (unsigned long long)word.failures, word.old_in_flight,
+	    slog_quote(why != NULL ? why : ""));
 }
 
 /* Tell the service's homes in the other halls; ours among them. */
