--- a/disp.h
+++ b/disp.h
@@ -28,11 +28,15 @@
 #include "word.h"
 
 /*
- * The dispatcher of one shard: the backend servers of one service in one hall.
- * It runs in the gate that owns the shard and queues requests until a slot is
- * free.  It does no I/O: events arrive as function calls, actions are
- * callbacks, and the clock and the random numbers are passed in.  The same
- * sequence of events therefore always gives the same result.
+ * The dispatcher of one shard: the backend servers of one service in one hall,
+ * which is a zone.  It runs in the gate (proxy process) that owns the shard.
+ * A backend server has a number of slots, one for each concurrent request; the
+ * dispatcher chooses a backend server for each request, and queues requests
+ * until a slot is free.
+ *
+ * It does no I/O: events arrive as function calls, actions are callbacks, and
+ * the clock and the random numbers are passed in.  The same sequence of events
+ * therefore always gives the same result.
  */
 
 /* How one attempt at a backend server ended. */
--- a/disp_pace.c
+++ b/disp_pace.c
@@ -114,9 +114,9 @@
 static int64_t
 retry_after(const struct disp *d, const struct disp_req *r, int64_t wait)
 {
-	int64_t left = r->deadline - clk_ns(d->clk) - r->service_time;
-	int64_t min = left / RETRY_AFTER_MIN_DIVISOR;
-	int64_t max = left / RETRY_AFTER_MAX_DIVISOR;
+	int64_t remaining = r->deadline - clk_ns(d->clk) - r->service_time;
+	int64_t min = remaining / RETRY_AFTER_MIN_DIVISOR;
+	int64_t max = remaining / RETRY_AFTER_MAX_DIVISOR;
 
 	if (r->target == 0 || min <= RETRY_AFTER_MIN_NS)
 		return CLAMP(wait, RETRY_AFTER_MIN_NS, RETRY_AFTER_MAX_NS);
--- a/disp_roll.c
+++ b/disp_roll.c
@@ -38,7 +38,7 @@
 
 /* Updates what the roll-out allows for a backend server. */
 static void
-mark(struct pick_backend *b, const struct disp *d)
+mark_backend(struct pick_backend *b, const struct disp *d)
 {
 	const struct roll *roll = d->params.rollout;
 
@@ -78,7 +78,7 @@
 	d->old_allowed = roll == NULL || roll_allows(roll, false);
 	d->prefer_new = false;
 	for (i = 0; i < d->backends->len; i++)
-		mark(g_ptr_array_index(d->backends, i), d);
+		mark_backend(g_ptr_array_index(d->backends, i), d);
 }
 
 /* Updates the marks if needed; called before a server is chosen. */
@@ -99,7 +99,7 @@
 		return;
 	d->prefer_new = prefer_new;
 	for (i = 0; i < d->backends->len; i++)
-		mark(g_ptr_array_index(d->backends, i), d);
+		mark_backend(g_ptr_array_index(d->backends, i), d);
 }
 
 void
@@ -120,7 +120,7 @@
 is_slow(const struct disp *d, const struct disp_req *r,
     const struct pick_backend *b)
 {
-	double took = (double)(clk_ns(d->clk) - r->sent_at);
+	double elapsed = (double)(clk_ns(d->clk) - r->sent_at);
 	double expected = (double)r->service_time * r->slowdown;
 
 	if (r->service_time == 0 ||
@@ -128,8 +128,8 @@
 		return false;
 	if (r->load_report_fresh)
 		expected *= r->latency_factor;
-	return took > SLOW_FACTOR * expected &&
-	    took - expected > SLOW_MIN_EXCESS_NS;
+	return elapsed > SLOW_FACTOR * expected &&
+	    elapsed - expected > SLOW_MIN_EXCESS_NS;
 }
 
 static enum verdict_answer
--- a/pace.c
+++ b/pace.c
@@ -64,7 +64,7 @@
 /*
  * While the request waits for a time t, the latency factor p decays towards the
  * mean m as m + (p - m) e^(-t/T).  A longer wait makes the request end sooner
- * as long as service_time * (p - m) > T.
+ * as long as service_time * (p - m) > T, where T is PACE_DECAY_NS.
  */
 bool
 pace_waiting_is_faster(const struct pick_backend *b, int64_t service_time,
