--- a/disp_cold.c
+++ b/disp_cold.c
@@ -44,7 +44,10 @@
 	    pick_is_usable(b, now);
 }
 
-/* Sends load queries to servers whose state is unconfirmed, in turn. */
+/*
+ * Sends load queries to servers whose state is unconfirmed, in turn; the
+ * responses report the remaining slow start.
+ */
 void
 disp_cold_query(struct disp *d, int64_t now)
 {
