--- a/libgate.h
+++ b/libgate.h
@@ -31,7 +31,7 @@
 #include "tmr.h"
 #include "up.h"
 
-/* What ferngate's settings file holds; ferngate(8) describes each key. */
+/* Contents of ferngate's settings file; ferngate(8) describes each key. */
 struct gate_set {
 	struct str box;
 	struct str hall;
@@ -43,24 +43,28 @@
 	struct str platform;
 	struct str charts;
 	struct str policy;
-	int route; /* enum gate_route */
+	int route; /* one of enum gate_route */
 	int64_t body_max;
 	int64_t leave_wait_ms;
 	int64_t grace_ms;
 	int64_t summary_ms;
 	int64_t silent_ms;
-	int64_t early_ms; /* a request may wait for the first configuration */
-	double power; /* share of a processor that the box has */
+	/* How long a request may wait for the first configuration. */
+	int64_t early_ms;
+	double power; /* CPUs that the box has, possibly a fraction */
 	int64_t ping_wait_ms;
-	json_t *regions; /* of halls, by their names */
-	struct str bounds; /* the platform's, in its own words */
-	struct str form; /* the platform's form, by name */
+	json_t *regions; /* maps the name of a hall to its region */
+	struct str bounds; /* the platform's limits, unparsed */
+	struct str form; /* name of the platform adapter */
 };
 
-/* Where a request is decided: at its service's home, or where it came in. */
+/*
+ * Where a request is scheduled: at the gate that owns its shard, or at the gate
+ * that received it.
+ */
 enum gate_route { ROUTE_HOME, ROUTE_ALONE };
 
-/* States and events of the box's gate, as charts/box.toml has them. */
+/* States and events of the gate, in the order of charts/box.toml. */
 enum box_state {
 	BOX_EMPTY,
 	BOX_READY,
@@ -79,7 +83,7 @@
 	BOX_EVENT_MAX
 };
 
-/* Counters, in the order of the table in gate_stat.c. */
+/* Metrics; descs[] in gate_stat.c has their names and help texts. */
 enum gate_cnt {
 	GC_REQUESTS,
 	GC_PASSED_IN,
@@ -120,45 +124,57 @@
 	GC_MAX
 };
 
-/* Another box's gate. */
+/* The gate of another box. */
 struct gate_peer {
 	struct memb_info info;
-	int64_t suspect_until; /* nothing is passed to it before that */
-	int64_t heard; /* last sign of life */
-	int64_t pinged; /* 0: no ping is out */
-	unsigned outstanding; /* requests passed to it and not answered */
-	bool listed; /* by the agent's last word */
+	/* No request is forwarded to it before this time. */
+	int64_t suspect_until;
+	int64_t heard; /* time of the last sign of life, monotonic ns */
+	int64_t pinged; /* time of the unanswered ping, monotonic ns; 0: none */
+	unsigned outstanding; /* requests forwarded to it and not finished */
+	bool listed; /* it is in the agent's latest member list */
 };
 
-/* One service's backend servers in one hall, where this gate is home. */
+/*
+ * A shard: the backend servers of one service in one hall.  A gate has one for
+ * each shard that it owns or has owned.
+ */
 struct gate_shard {
 	struct gate *gate;
 	struct str service;
 	struct str hall;
 	struct disp *disp;
-	struct disp_room told; /* in the last summary */
+	struct disp_room told; /* capacity sent in the last summary */
 	int64_t told_at;
-	bool home; /* we take ourselves for its home */
-	/* gate_roll.c */
-	struct roll *roll; /* the service's roll-out; NULL: none */
-	enum roll_state roll_seen; /* in the log */
-	int64_t roll_told, roll_written; /* to other homes; to the platform */
-	struct plat_call *roll_call; /* a write on its way */
-	uint64_t roll_version; /* of the order, by the last one's answer */
-	enum obj_rolled roll_state; /* that the last one told */
+	bool home; /* this gate takes itself for the shard's owner */
+	/* The rest belongs to gate_roll.c. */
+	struct roll *roll; /* rollout of the service; NULL: none */
+	enum roll_state roll_seen; /* state that was logged last */
+	/*
+	 * Times of the last report to the other owners and of the last write to
+	 * the platform, monotonic ns.
+	 */
+	int64_t roll_told, roll_written;
+	/* Write to the platform in flight; NULL: none. */
+	struct plat_call *roll_call;
+	/* Version of the rollout object in the response to the last write. */
+	uint64_t roll_version;
+	enum obj_rolled roll_state; /* state in the last write */
 };
 
 struct gate {
 	struct gate_set set;
-	char *file; /* of the settings */
-	const char *section; /* its table; NULL: the whole file */
+	char *file; /* path of the settings file */
+	/* Table of the settings file; NULL: the whole file. */
+	const char *section;
 	struct reload reload;
 	uv_loop_t *loop;
 	const struct clk *clk;
 	const struct rnd *rnd;
 	struct tmr tmr;
 	struct tmr_item tick;
-	int64_t reported; /* last, by the tick */
+	/* Time of the last report to the agent, monotonic ns. */
+	int64_t reported;
 	uv_signal_t term, intr;
 	struct up *up;
 	struct wire *wire;
@@ -166,43 +182,65 @@
 	const struct plat_form *form;
 	const struct dial *dial;
 	struct plat_bounds bounds;
-	struct conf *conf; /* set before gate_open(): the agent's too */
+	/* Shared with the agent if it is set before gate_open(). */
+	struct conf *conf;
 	struct sync sync;
 	struct cnt *cnt;
 	struct chart *chart_backend, *chart_request, *chart_box, *chart_roll;
 	struct hsrv *callers, *pass, *admin;
 	struct route_table *routes;
 	struct tmr_item rebuild;
-	GPtrArray *unrouted; /* struct news *, not in the routes yet */
-	struct str rules_from; /* who gave the rules that the routes have */
-	int64_t rules_since; /* monotonic ns; 0: there are none yet */
-	GHashTable *versions; /* char * key of a rule to uint64_t * last told */
+	GPtrArray *unrouted; /* struct change *, not yet in the routes */
+	/* Box or platform that the rules in the routes came from. */
+	struct str rules_from;
+	/*
+	 * When the routes got these rules, monotonic ns; 0: there are none yet.
+	 */
+	int64_t rules_since;
+	/* Maps char * key of a rule to uint64_t *, its last version. */
+	GHashTable *versions;
 	GHashTable *shards; /* char * "service/hall" to struct gate_shard * */
-	GPtrArray *peers; /* struct gate_peer *, hubs of all halls */
-	GHashTable *homes; /* char * "service/hall" to struct home * */
-	bool hub; /* our box is a hub of its hall, and may be home */
-	struct poison *poison; /* requests that end backend servers */
-	int64_t poison_told; /* to some hub, last */
-	struct words *words; /* what backend servers said of themselves */
-	int64_t words_told, words_turn; /* to hubs near, and to any one, last */
+	GPtrArray *peers; /* struct gate_peer *, the hubs of all halls */
+	GHashTable *homes; /* char * "service/hall" to struct shard_owner * */
+	bool hub; /* this box is a hub of its hall, so it may own shards */
+	struct poison *poison; /* requests that crash backend servers */
+	int64_t poison_told; /* last periodic list to a hub, monotonic ns */
+	/* What backend servers reported about themselves. */
+	struct words *words;
+	/*
+	 * Times of the last changes sent to the hubs of this hall, and of the
+	 * last list sent to any hub, monotonic ns.
+	 */
+	int64_t words_told, words_turn;
 	struct limit_table *caller_limits;
-	struct returns *returns; /* requests that we refused as their home */
-	GHashTable *callers_of; /* char * service/kind to struct callers * */
-	GHashTable *rule_limits; /* char * rule to struct limit * */
-	/* gate_rate.c */
-	GHashTable *rates; /* char * customer to struct bucket *: our own */
-	GHashTable *asks; /* uint64_t * in a request to struct gate_req * */
-	uint64_t rates_seen; /* hash of what decides whose home we are */
-	GQueue reqs; /* struct gate_req * that are live */
+	/* Requests that this gate refused as owner of their shards. */
+	struct returns *returns;
+	GHashTable *callers_of; /* char * "service/kind" to struct callers * */
+	GHashTable *rule_limits; /* char * name of a rule to struct limit * */
+	/* The next three belong to gate_rate.c. */
+	/*
+	 * Maps char * customer to struct bucket *, for customers that this gate
+	 * owns.
+	 */
+	GHashTable *rates;
+	/*
+	 * Maps the number of a query to its struct gate_req *.  The key, a
+	 * uint64_t, is part of the request.
+	 */
+	GHashTable *asks;
+	/* Hash of the hubs and the routes that customers were assigned by. */
+	uint64_t rates_seen;
+	GQueue reqs; /* struct gate_req *, all that are not disposed of */
 	uint64_t boot, seq;
 	int64_t last_tick, last_pass, leaving_since;
-	unsigned boxes; /* gates that are alive, ours among them */
+	unsigned boxes; /* gates that are alive, including this one */
 	enum box_state state;
 };
 
 /*
- * gate_open.c: settings, all that a gate opens, and its tick.  `section` is
- * the table of the settings file, NULL for the whole file.
+ * gate_open.c: settings, start-up and the periodic tick.  `section` is the
+ * table of the settings file, NULL for the whole file; it is not copied.
+ * Functions with a GError return false on errors and set it.
  */
 bool gate_load(struct gate *, const char *file, const char *section, GError **);
 bool gate_open(struct gate *, GError **);
@@ -210,14 +248,17 @@
 void gate_reload(struct gate *);
 void gate_tick_soon(struct gate *);
 
-/* gate_box.c: the life of the gate, up to its planned end. */
+/* gate_box.c: the states of the gate, from start to planned shutdown. */
 extern const struct chart_names gate_box_chart_names;
 void gate_box_open(struct gate *);
 void gate_box_configured(struct gate *);
 void gate_box_tick(struct gate *, int64_t now);
 bool gate_box_leaving(const struct gate *);
 
-/* gate_conf.c: configuration from the agent, and what is built of it. */
+/*
+ * gate_conf.c: configuration from the agent, and the routes, shards and limits
+ * that are built from it.
+ */
 bool gate_conf_open(struct gate *, GError **);
 void gate_conf_take(void *, const struct msg *);
 void gate_conf_report(struct gate *);
@@ -227,10 +268,16 @@
 struct gate_shard *
 gate_conf_shard(struct gate *, const struct route_service *, struct str hall);
 
-/* gate_home.c: which gate is home for a shard. */
+/*
+ * gate_home.c: which gate owns a shard.  Functions that return an owner return
+ * NULL and set *self if it is this gate.
+ */
 struct gate_peer *
 gate_home(struct gate *, struct str service, struct str hall, bool *self);
-/* The gate that has something by name, of all hubs; the n-th choice. */
+/*
+ * The owner of a name, chosen among the hubs of all halls. nth is 0 for the
+ * first choice, 1 for the next one.
+ */
 struct gate_peer *
 gate_home_by_name(struct gate *, struct str name, unsigned nth, bool *self);
 uint64_t gate_home_hubs(struct gate *);
@@ -248,67 +295,87 @@
 struct gate_shard *
 gate_conf_find_shard(struct gate *, struct str service, struct str hall);
 
-/* gate_req.c: the life of a request. */
+/* gate_req.c: the life cycle of a request. */
 struct gate_req;
 bool gate_req_open(struct gate *, GError **);
 void gate_req_caller(void *, h2o_req_t *);
 void gate_req_passed(void *, h2o_req_t *);
 void gate_req_home_lost(struct gate *, struct gate_peer *);
 unsigned gate_req_count(const struct gate *);
-/* The gate ends: answer what has no answer yet. */
+/* Before the gate exits: answers the requests that have no response yet. */
 void gate_req_end_all(struct gate *);
 
-/* gate_admit.c: may a request run beside others of its connection? */
+/*
+ * gate_admit.c: whether a request may run concurrently with others of its
+ * connection.
+ */
 bool gate_admit_beside(void *, const h2o_req_t *);
 extern const struct disp_ops gate_req_disp_ops;
 
-/* gate_early.c: the first configuration is here. */
+/*
+ * gate_early.c: admits the requests that came before the first configuration.
+ */
 void gate_early_admit(struct gate *);
 
-/* gate_claim.c: requests with a key, claimed on the platform. */
+/*
+ * gate_claim.c: requests with an idempotency key, which are claimed in the
+ * platform's store.  The callback gets ERR_NONE if the request may run.
+ * `claimed` is true if the claim still exists; its owner then ends it by
+ * gate_claim_release() or gate_claim_keep().
+ */
 struct gate_claim;
 typedef void gate_claim_fn(void *, enum err_kind, bool claimed);
 struct gate_claim *gate_claim_start(struct gate *, struct str rule,
     struct str key, bool allow_outage, gate_claim_fn *, void *);
-/* The request did not run: give the key back.  Frees the claim. */
+/* The request did not run: deletes the claim from the store, and frees it. */
 void gate_claim_release(struct gate_claim *);
-/* The request ran or may have run: the claim stays.  Frees the claim. */
+/*
+ * The request ran or may have run: leaves the claim in the store, and frees it.
+ */
 void gate_claim_keep(struct gate_claim *);
 
-/* gate_poison.c: what gates tell one another of requests that end servers. */
+/*
+ * gate_poison.c: exchanges with other gates which requests crash backend
+ * servers.
+ */
 void gate_poison_open(struct gate *);
 void gate_poison_tick(struct gate *, int64_t now);
 void gate_poison_take(struct gate *, const struct msg_suspects *);
-/* A hub has started, or was not known before. */
+/*
+ * Sends all that is known to a hub that has started, or was not known before.
+ */
 void gate_poison_greet(struct gate *, const struct gate_peer *);
 
-/* gate_peek.c: questions for the load of backend servers. */
+/* gate_peek.c: load queries to backend servers. */
 void gate_peek_start(struct gate_shard *, const struct pick_backend *);
 
-/* gate_word.c: what backend servers say of themselves. */
+/* gate_word.c: what backend servers report about themselves. */
 void gate_word_peeked(
     struct gate_shard *, struct pick_backend *, const struct dial_word *);
 
-/* gate_words.c: what gates tell one another of that. */
+/* gate_words.c: exchanges these reports with other gates. */
 void gate_words_hear(struct gate *, const struct word *);
 void gate_words_tick(struct gate *, int64_t now);
 void gate_words_take(struct gate *, const struct msg_words *);
 void gate_words_greet(struct gate *, const struct gate_peer *);
 
-/* gate_roll.c: roll-outs, as homes tell one another and the platform. */
+/*
+ * gate_roll.c: rollouts, reported to the other owners of the service's shards
+ * and to the platform.
+ */
 void gate_roll_update(
     struct gate *, struct gate_shard *, const struct route_service *);
 void gate_roll_close(struct gate_shard *);
 void gate_roll_tick(struct gate *, int64_t now);
 void gate_roll_take(struct gate *, const struct msg_roll *);
 
-/* gate_rate.c: what customers may have, counted at one gate for each. */
+/* gate_rate.c: rate limits of customers, each counted at one gate. */
 void gate_rate_open(struct gate *);
 void gate_rate_homes(struct gate *);
 void gate_rate_answer(struct gate *, struct str from, const struct msg_ask *);
 void gate_rate_granted(struct gate *, const struct msg_grant *);
 
-/* gate_stat.c: counters and the admin pages. */
+/* gate_stat.c: metrics and the admin pages. */
 struct cnt *gate_stat_open(void);
 void gate_stat_page(void *, h2o_req_t *);
 
--- a/libreq.h
+++ b/libreq.h
@@ -13,7 +13,7 @@
 
 #include "libgate.h"
 
-/* States and events of a request, as charts/request.toml has them. */
+/* States and events of a request, in the order of charts/request.toml. */
 enum req_state {
 	REQ_NEW,
 	REQ_CLAIMING,
@@ -37,79 +37,92 @@
 	REQ_EVENT_MAX
 };
 
-/* Gates that a request comes through before the one that must keep it. */
+/* Most gates that forward a request; the next one schedules it itself. */
 enum { HOPS_MAX = 2 };
 
 extern const struct chart_names req_chart_names;
 
-/* One request in the gate, from its arrival until h2o lets go of it. */
+/* A request in the gate, from its arrival until h2o disposes of it. */
 struct gate_req {
 	struct disp_req d;
 	h2o_generator_t gen;
 	struct gate *gate;
-	h2o_req_t *req; /* NULL once h2o has let go of it */
+	h2o_req_t *req; /* NULL once h2o has disposed of it */
 	GList link; /* in gate->reqs */
 	uint64_t id;
 	enum req_state state;
-	int hops; /* gates it came through before us */
-	int passes; /* tries at homes, HOPS_MAX + 1 at most */
-	struct str name; /* as its caller names it, for the log; a copy */
-	bool maybe_ran; /* an earlier try may have run */
-	bool refused; /* the answer on its way says that it did not run */
+	int hops; /* gates that forwarded it before this one */
+	/* Times that it was forwarded to an owner, HOPS_MAX + 1 at most. */
+	int passes;
+	/* From its caller, or else a number; a copy, for the log. */
+	struct str name;
+	bool maybe_ran; /* an earlier attempt may have run */
+	/* The response being sent says that the request did not run. */
+	bool refused;
 	bool keyed;
-	bool early; /* it waits for the first configuration */
-	bool passed; /* by another gate */
+	bool early; /* waits for the first configuration */
+	bool passed; /* it came from another gate */
 	int64_t began;
-	int64_t left_ms; /* until its deadline, as its caller said; 0: unsaid */
-	int64_t waited_ms; /* before it came to us, as far as is known */
-	uint64_t conf; /* version of the routes that decided it */
+	int64_t left_ms; /* time limit that its caller gave; 0: none */
+	/*
+	 * Time that its caller had waited before, as far as is known; 0: none.
+	 */
+	int64_t waited_ms;
+	uint64_t conf; /* version of the routes that it was admitted by */
 	struct str rule, service; /* copies */
-	struct str
-	    hall; /* whose home it is with, or is on its way to; a copy */
-	struct str regions; /* where it may be served; a copy */
-	struct str customer; /* for whom it is made; a copy */
-	/* gate_rate.c: what the customer's home is asked; 0: nothing */
+	struct str hall; /* hall of the shard that it is assigned to; a copy */
+	struct str regions; /* regions that may serve it; a copy */
+	struct str customer; /* customer that it is made for; a copy */
+	/* gate_rate.c: number of the rate query in flight; 0: none */
 	uint64_t ask;
-	unsigned asks; /* homes that were asked */
-	struct tmr_item ask_timer; /* their answer, or the wait it tells */
+	unsigned asks; /* gates that were queried */
+	/* Timeout of the query, or the wait that was granted. */
+	struct tmr_item ask_timer;
 	bool allow_outage;
 	struct gate_claim *claim;
-	struct gate_shard *shard; /* where it is held or was sent from */
-	struct gate_peer *peer; /* the home it was passed to */
+	struct gate_shard *shard; /* where it is queued or was sent from */
+	struct gate_peer *peer; /* owner that it was forwarded to; NULL: none */
 	struct up_call *call;
-	struct tmr_item timer; /* the deadline; later, silence */
-	/* The answer on its way to the caller. */
+	/* The deadline; once the response has begun, the silence timeout. */
+	struct tmr_item timer;
+	/* The response being sent to the caller. */
 	h2o_doublebuffer_t sending;
-	h2o_buffer_t *rest; /* what came after the connection went back */
+	/* Body left to send after the upstream call has ended. */
+	h2o_buffer_t *rest;
 	bool started, ended, cut, final;
 };
 
 /*
- * What one gate tells another with a request that it passes on.  Sent as one
- * header, which is never taken from callers nor sent to backend servers.
+ * Data that one gate sends to another with a request that it forwards.  It is
+ * sent as one header, which is never accepted from callers nor sent to backend
+ * servers.
  */
 struct gate_pass {
-	unsigned hops; /* gates it came through */
+	unsigned hops; /* gates that have forwarded it, the sender included */
 	bool bulk, repeatable, retried;
-	bool paid; /* its tries are within a retry budget */
+	bool paid; /* its attempts so far are within a retry budget */
 	unsigned tries; /* backend servers that it was sent to */
-	unsigned attempts; /* how many it may be sent to; 0: unsaid */
+	unsigned attempts; /* how many it may be sent to; 0: the default */
 	unsigned rank;
-	unsigned kind; /* requests of one kind take alike */
-	int64_t target_ms; /* left until its target; 0: unsaid */
-	int64_t left_ms; /* until its deadline, as its caller said; 0: unsaid */
-	int64_t waited_ms; /* before, of what the target leaves out already */
-	struct fprint print; /* none: unsaid */
-	bool suspect; /* a backend server ended under it: poison.h */
-	/* Where it is to go; these point into the header. */
-	struct str hall; /* whose slots it is to use */
-	struct str regions; /* which may serve it; empty: any */
-	struct str customer; /* for whom it is made; empty: unsaid */
+	unsigned kind; /* requests of one kind take about the same time */
+	int64_t target_ms; /* time left until its target; 0: none */
+	int64_t left_ms; /* time limit that its caller gave; 0: none */
+	/*
+	 * Time its caller had waited before, already subtracted from target_ms.
+	 */
+	int64_t waited_ms;
+	struct fprint print; /* all zero: unknown */
+	/* A backend server crashed while running it, see poison.h. */
+	bool suspect;
+	/* Where it is to go.  These strings point into the header. */
+	struct str hall; /* hall whose slots it is to use */
+	struct str regions; /* regions that may serve it; empty: any */
+	struct str customer; /* customer that it is made for; empty: unknown */
 	struct str service;
 };
 
 #define GATE_PASS_HEADER "fern-pass"
-/* The longest such header, with its NUL. */
+/* Longest such header in bytes, with its NUL. */
 enum { GATE_PASS_MAX = 600 };
 
 /* gate_pass.c */
@@ -124,44 +137,54 @@
 void gate_req_settle(struct gate_req *, bool not_run);
 enum err_ran gate_req_ran(const struct gate_req *);
 
-/* gate_admit.c: what holds for a request, by its rule or the gate before. */
+/*
+ * gate_admit.c: applies the rule of a request, or what the forwarding gate
+ * found.
+ */
 void gate_admit(struct gate_req *);
-/* At its home: how long has its caller waited before? */
+/* At the owner: finds out how long the caller has waited before. */
 void gate_admit_waited(struct gate_req *);
 
 /*
- * gate_rate.c: may the request's customer make it now?  Goes on with
- * gate_admit_go() once it may, or answers it.
+ * gate_rate.c: applies the rate limit of the request's customer.  Goes on with
+ * gate_admit_go() once a token is granted, or answers the request with an
+ * error.
  */
 void gate_rate_ask(struct gate_req *);
 void gate_rate_forget(struct gate_req *);
 
-/* gate_admit.c: what is left once the customer's rate is kept. */
+/* gate_admit.c: the steps after the customer's rate limit. */
 void gate_admit_go(struct gate_req *);
 
-/* gate_early.c: requests that wait for the first configuration. */
+/* gate_early.c: queues a request until the first configuration. */
 void gate_early_wait(struct gate_req *);
 
-/* gate_answer.c: our own answer; retry_after in ns, 0: the kind's own. */
+/*
+ * gate_answer.c: ends a request with an error response. retry_after is in ns;
+ * 0: the default of the error kind.
+ */
 void gate_answer(
     struct gate_req *, enum err_kind, enum err_ran, int64_t retry_after);
 
-/* gate_flow.c: the request's way to the other side, and the answer's back. */
+/* gate_flow.c: sends the request upstream, and its response to the caller. */
 void gate_flow_send(struct gate_req *, struct str address, bool fresh);
 void gate_flow_stop(struct gate_req *);
 void gate_flow_dispose(struct gate_req *);
 void gate_flow_proceed(h2o_generator_t *, h2o_req_t *);
 
-/* What the flow tells of a try; gate_try.c decides what follows. */
+/* The flow reports how an attempt goes; gate_try.c decides what follows. */
 void gate_try_failed(struct gate_req *, enum err_kind);
-/* True if the head is to be dropped, as the request is tried again. */
+/* Returns whether the head is to be dropped, as the request is retried. */
 bool gate_try_head(struct gate_req *, int status, const h2o_header_t *, size_t);
 void gate_try_end(struct gate_req *);
-/* The try is over without an answer: the caller or the deadline ended it. */
+/*
+ * The attempt ended without a response: the caller is gone or the deadline
+ * passed.
+ */
 void gate_try_abandon(struct gate_req *, enum disp_outcome);
 void gate_try_home(struct gate_req *);
 
-/* gate_word.c: what the backend server says of itself with an answer. */
+/* gate_word.c: what the backend server reports about itself in a response. */
 void
 gate_word_answer(struct gate_req *, int status, const h2o_header_t *, size_t);
 
