--- a/gate_admit.c
+++ b/gate_admit.c
@@ -13,11 +13,15 @@
 #include "libreq.h"
 
 /*
- * What holds for a request: its rule and service, its deadline, its target,
- * the limits it counts against and the claim that it needs.
+ * Admission of a request: finds its rule and service, its deadline and its
+ * target, applies the rate limits that it counts against, and starts the claim
+ * that it needs.
  */
 
-/* A gate that passes a request on gives up a little before the deadline. */
+/*
+ * Shortest deadline that is applied.  A gate that forwards a request shortens
+ * its deadline a little, which may leave nothing of it.
+ */
 enum { DEADLINE_MIN_MS = 1 };
 
 static struct str
@@ -34,7 +38,7 @@
 }
 
 static const struct route_rule *
-match(struct gate *g, const h2o_req_t *req)
+match_rule(struct gate *g, const h2o_req_t *req)
 {
 	struct route_query q = {
 	    .host = str_n(req->input.authority.base, req->input.authority.len),
@@ -43,58 +47,62 @@
 	    .header = query_header,
 	    .ctx = (void *)req,
 	};
-	const char *colon = memrchr(q.host.p, ':', q.host.n);
+	const char *port = memrchr(q.host.p, ':', q.host.n);
 
-	if (colon != NULL)
-		q.host.n = (size_t)(colon - q.host.p);
+	if (port != NULL)
+		q.host.n = (size_t)(port - q.host.p);
 	return route_match(g->routes, &q);
 }
 
-/* The caller's own deadline counts where it is the shorter one. */
+/*
+ * Returns the deadline by a limit of limit_ms, or by the caller's own limit
+ * where that is shorter.
+ */
 static int64_t
-shorter_deadline(const struct gate_req *r, int64_t own)
+deadline_from_limit(const struct gate_req *r, int64_t limit_ms)
 {
-	unsigned long long ms;
+	unsigned long long caller_ms;
 
-	if (str_u64(hsrv_header(r->req, r->gate->dial->deadline.p), &ms) &&
-	    (int64_t)ms < own)
-		own = MAX((int64_t)ms, DEADLINE_MIN_MS);
-	return r->began + own * NS_MS;
+	if (str_u64(
+		hsrv_header(r->req, r->gate->dial->deadline.p), &caller_ms) &&
+	    (int64_t)caller_ms < limit_ms)
+		limit_ms = MAX((int64_t)caller_ms, DEADLINE_MIN_MS);
+	return r->began + limit_ms * NS_MS;
 }
 
 static int64_t
 deadline_of(const struct gate_req *r, const struct route_rule *rule,
-    const struct route_service *svc)
+    const struct route_service *service)
 {
-	int64_t own = rule->obj->deadline_ms;
+	int64_t limit_ms = rule->obj->deadline_ms;
 
-	if (own == 0)
-		own = svc->obj->deadline_ms;
-	return shorter_deadline(r, own);
+	if (limit_ms == 0)
+		limit_ms = service->obj->deadline_ms;
+	return deadline_from_limit(r, limit_ms);
 }
 
 /*
- * A request that another gate passed to us: what its rule says was found
+ * Admits a request that another gate forwarded.  What the rule says was found
  * there, so that both gates agree even while their configurations differ.
  */
 static void
-admit_passed(struct gate_req *r)
+admit_forwarded(struct gate_req *r)
 {
 	struct gate *g = r->gate;
 	struct gate_pass pass;
-	const struct route_service *svc;
+	const struct route_service *service;
 
 	if (!gate_pass_read(hsrv_header(r->req, GATE_PASS_HEADER), &pass)) {
 		gate_answer(r, ERR_BAD_REQUEST, RAN_NO, 0);
 		return;
 	}
-	svc = route_service(g->routes, pass.service);
-	if (svc == NULL) {
+	service = route_service(g->routes, pass.service);
+	if (service == NULL) {
 		gate_answer(r, ERR_NO_SERVICE, RAN_NO, 0);
 		return;
 	}
 	r->hops = (int)MIN(pass.hops, HOPS_MAX);
-	r->service = str_dup(svc->name);
+	r->service = str_dup(service->name);
 	r->hall = str_dup(pass.hall);
 	r->regions = r->d.regions = str_dup(pass.regions);
 	r->customer = str_dup(pass.customer);
@@ -115,13 +123,14 @@
 	r->maybe_ran = pass.retried;
 	if (pass.target_ms > 0)
 		r->d.target = r->began + pass.target_ms * NS_MS;
-	r->d.deadline = shorter_deadline(r, svc->obj->deadline_ms);
+	r->d.deadline = deadline_from_limit(r, service->obj->deadline_ms);
 	gate_req_set_deadline(r);
 	gate_req_route(r);
 }
 
 static bool
-rule_limited(struct gate_req *r, const struct route_rule *rule, double share)
+is_over_rule_rate(
+    struct gate_req *r, const struct route_rule *rule, double share)
 {
 	struct gate *g = r->gate;
 	struct limit *l;
@@ -136,48 +145,58 @@
 	return !limit_take(l, (double)rule->obj->rate * share, r->began);
 }
 
-/* The address that a request comes from; valid until *sa goes. */
+/* Returns the address that a request comes from; it points into *sa. */
 static struct str
-address_of(const struct gate_req *r, struct sockaddr_storage *sa)
+address_of(const struct gate_req *r, struct sockaddr_storage *addr)
 {
-	memset(sa, 0, sizeof(*sa));
+	memset(addr, 0, sizeof(*addr));
 	r->req->conn->callbacks->get_peername(
-	    r->req->conn, (struct sockaddr *)sa);
-	if (sa->ss_family == AF_INET6)
+	    r->req->conn, (struct sockaddr *)addr);
+	if (addr->ss_family == AF_INET6)
 		return str_n(
-		    (char *)&((struct sockaddr_in6 *)sa)->sin6_addr, 16);
-	return str_n((char *)&((struct sockaddr_in *)sa)->sin_addr, 4);
+		    (char *)&((struct sockaddr_in6 *)addr)->sin6_addr, 16);
+	return str_n((char *)&((struct sockaddr_in *)addr)->sin_addr, 4);
 }
 
-/* Who calls, by the rule's header; empty where that says nothing. */
+/*
+ * Returns the caller's identity from the header that the rule names; empty if
+ * there is none.
+ */
 static struct str
-named_caller(const struct gate_req *r, const struct route_rule *rule)
+caller_from_header(const struct gate_req *r, const struct route_rule *rule)
 {
 	if (rule->obj->caller_header.n == 0)
 		return str_c(NULL);
 	return hsrv_header(r->req, rule->obj->caller_header.p);
 }
 
-/* Who calls: by the rule's header, else by address; valid until *sa goes. */
+/*
+ * Returns the caller's identity, from the rule's header or else its address; it
+ * may point into *addr.
+ */
 static struct str
-caller_of(const struct gate_req *r, const struct route_rule *rule,
-    struct sockaddr_storage *sa)
+caller_identity(const struct gate_req *r, const struct route_rule *rule,
+    struct sockaddr_storage *addr)
 {
-	struct str caller = named_caller(r, rule);
+	struct str caller = caller_from_header(r, rule);
 
-	return caller.n > 0 ? caller : address_of(r, sa);
+	return caller.n > 0 ? caller : address_of(r, addr);
 }
 
-/* Is it the same request again?  By what it asks for, and from where. */
+/*
+ * Returns the fingerprint of a request: what it asks for, and who sends it.  A
+ * request that is sent again has the same one.
+ */
 static struct fprint
-print_of(const struct gate_req *r, const struct route_rule *rule)
+fingerprint_of(const struct gate_req *r, const struct route_rule *rule)
 {
 	const h2o_req_t *req = r->req;
-	struct str named = named_caller(r, rule);
-	struct sockaddr_storage sa;
+	struct str identity = caller_from_header(r, rule);
+	struct sockaddr_storage addr;
 	struct fprint_parts parts = {
-	    .address = address_of(r, &sa),
-	    .identity = named.n > 0 ? named : hsrv_header(req, "authorization"),
+	    .address = address_of(r, &addr),
+	    .identity =
+		identity.n > 0 ? identity : hsrv_header(req, "authorization"),
 	    .method = str_n(req->method.base, req->method.len),
 	    .host = str_n(req->authority.base, req->authority.len),
 	    .path = str_n(req->path.base, req->path.len),
@@ -188,16 +207,17 @@
 }
 
 static bool
-caller_limited(struct gate_req *r, const struct route_rule *rule, double share)
+is_over_caller_rate(
+    struct gate_req *r, const struct route_rule *rule, double share)
 {
-	struct sockaddr_storage sa;
+	struct sockaddr_storage addr;
 	struct str caller;
 	char key[256];
 	size_t n;
 
 	if (rule->obj->caller_rate == 0)
 		return false;
-	caller = caller_of(r, rule, &sa);
+	caller = caller_identity(r, rule, &addr);
 	n = (size_t)snprintf(key, sizeof(key), "%.*s ", STR_ARG(rule->name));
 	caller.n = MIN(caller.n, sizeof(key) - n);
 	memcpy(key + n, caller.p, caller.n);
@@ -206,13 +226,17 @@
 	    r->began);
 }
 
-/* Each gate that serves enforces its share of the fleet's limits. */
+/*
+ * Each gate that serves enforces its share of the limits, which are for the
+ * whole fleet.
+ */
 static bool
 over_limit(struct gate_req *r, const struct route_rule *rule)
 {
 	double share = 1.0 / MAX(r->gate->boxes, 1u);
 
-	return rule_limited(r, rule, share) || caller_limited(r, rule, share);
+	return is_over_rule_rate(r, rule, share) ||
+	    is_over_caller_rate(r, rule, share);
 }
 
 static void
@@ -229,24 +253,26 @@
 		    r, kind, kind == ERR_DUPLICATE ? RAN_UNKNOWN : RAN_NO, 0);
 }
 
-/* Customers' ranks go before those of rules. */
-enum { RULE_RANKS = 1000 };
+/* Weight of a customer's rank: it takes precedence over the ranks of rules. */
+enum { CUSTOMER_RANK_WEIGHT = 1000 };
 
 /*
- * For whom is it?  Where there are customers, a rule that is not open asks for
- * the key of one.  False if there is none, or nobody has it.
+ * Finds the customer of a request by its key.  If any customers are configured,
+ * a rule that is not public requires the key of one.  Returns false if the key
+ * is required and is missing or unknown.  *found is NULL if there is no
+ * customer.
  */
 static bool
-take_customer(struct gate_req *r, const struct route_rule *rule,
+identify_customer(struct gate_req *r, const struct route_rule *rule,
     const struct customer **found)
 {
-	const struct customers *all = route_customers(r->gate->routes);
+	const struct customers *customers = route_customers(r->gate->routes);
 	const struct dial *dial = r->gate->dial;
 
 	*found = NULL;
-	if (dial->key.n == 0 || customers_count(all) == 0)
+	if (dial->key.n == 0 || customers_count(customers) == 0)
 		return true;
-	*found = customers_find(all, hsrv_header(r->req, dial->key.p));
+	*found = customers_find(customers, hsrv_header(r->req, dial->key.p));
 	if (*found == NULL)
 		return rule->obj->open;
 	r->customer = str_dup((*found)->name);
@@ -268,8 +294,9 @@
 }
 
 /*
- * Keys, limits and claims are for the gate where a request comes in; a home
- * takes all as done.
+ * Admits a request that came from a caller.  Customers' keys, rate limits and
+ * claims are handled by the gate that receives a request; the owner does not
+ * check them again.
  */
 static void
 admit(struct gate_req *r, const struct route_rule *rule)
@@ -278,22 +305,23 @@
 	const struct customer *customer;
 	struct str key = hsrv_header(r->req, "idempotency-key");
 	struct str method = str_n(r->req->method.base, r->req->method.len);
-	const struct route_service *svc = route_choose(rule, g->rnd);
-	unsigned long long left = 0;
+	const struct route_service *service = route_choose(rule, g->rnd);
+	unsigned long long caller_limit_ms = 0;
 
-	if (!take_customer(r, rule, &customer)) {
+	if (!identify_customer(r, rule, &customer)) {
 		cnt_add(g->cnt, GC_NO_KEY, 1);
 		gate_answer(r, ERR_NO_KEY, RAN_NO, 0);
 		return;
 	}
-	if (svc == NULL) {
+	if (service == NULL) {
 		gate_answer(r, ERR_NO_SERVICE, RAN_NO, 0);
 		return;
 	}
-	(void)str_u64(hsrv_header(r->req, g->dial->deadline.p), &left);
+	(void)str_u64(
+	    hsrv_header(r->req, g->dial->deadline.p), &caller_limit_ms);
 	r->rule = str_dup(rule->name);
-	r->d.print = print_of(r, rule);
-	r->service = str_dup(svc->name);
+	r->d.print = fingerprint_of(r, rule);
+	r->service = str_dup(service->name);
 	r->regions = r->d.regions = str_dup(rule->obj->regions);
 	r->keyed = key.n > 0;
 	r->allow_outage = rule->obj->on_outage == OUTAGE_ALLOW;
@@ -304,12 +332,12 @@
 	r->d.attempts = (int)rule->obj->attempts;
 	r->d.rank = (int)rule->obj->rank;
 	if (customer != NULL)
-		r->d.rank += (int)customer->obj->rank * RULE_RANKS;
+		r->d.rank += (int)customer->obj->rank * CUSTOMER_RANK_WEIGHT;
 	r->d.kind = (unsigned)rule->obj->target_ms;
-	r->left_ms = (int64_t)left;
+	r->left_ms = (int64_t)caller_limit_ms;
 	if (rule->obj->target_ms > 0)
 		r->d.target = r->began + rule->obj->target_ms * NS_MS;
-	r->d.deadline = deadline_of(r, rule, svc);
+	r->d.deadline = deadline_of(r, rule, service);
 	gate_req_set_deadline(r);
 	if (over_limit(r, rule)) {
 		gate_answer(r, ERR_OVER_LIMIT, RAN_NO, 0);
@@ -322,7 +350,7 @@
 }
 
 static struct callers *
-callers_of(struct gate_req *r)
+callers_of_kind(struct gate_req *r)
 {
 	char *key = g_strdup_printf("%.*s/%u", STR_ARG(r->service), r->d.kind);
 	struct callers *c = g_hash_table_lookup(r->gate->callers_of, key);
@@ -337,35 +365,38 @@
 }
 
 /*
- * How long has its caller waited?  We know it if we refused it.  If not, it may
- * show by its deadline, for which first attempts have a common value; that is
- * known where many requests of a kind meet, as in a large fleet a box may take
- * a dozen of them a minute.  Some callers give a second attempt less time than
- * they have, so it is thought to have waited no longer than others did.
+ * Returns how long the caller has waited before, in ms.  This is known if this
+ * gate refused the request before.  If not, the caller's time limit may tell
+ * it, as first attempts of a kind have a common limit.  That common value is
+ * only known where many requests of a kind meet, as a box of a large fleet may
+ * receive just a dozen of them a minute.  Some callers give a second attempt
+ * less time than they have left, so the estimate is bounded by the usual wait
+ * of callers that came back.
  */
 static int64_t
-waited_of(struct gate_req *r)
+time_waited(struct gate_req *r)
 {
-	struct returns *back = r->gate->returns;
-	int64_t first = returns_take(back, r->d.print, r->began);
-	int64_t usual = returns_usual(back, r->began) / NS_MS, waited = 0;
+	struct returns *returns = r->gate->returns;
+	int64_t first_sent = returns_take(returns, r->d.print, r->began);
+	int64_t mean_ms = returns_usual(returns, r->began) / NS_MS, waited = 0;
 
 	if (r->left_ms > 0)
-		waited = callers_waited(callers_of(r), r->left_ms);
-	if (first > 0)
-		return MAX((r->began - first) / NS_MS, 1);
-	return usual > 0 ? MIN(waited, usual) : waited;
+		waited = callers_waited(callers_of_kind(r), r->left_ms);
+	if (first_sent > 0)
+		return MAX((r->began - first_sent) / NS_MS, 1);
+	return mean_ms > 0 ? MIN(waited, mean_ms) : waited;
 }
 
 /*
- * What its caller has waited counts against the target, and one that was turned
- * away before has fewer chances left.  Another home may have found it already.
+ * The time that its caller has waited is subtracted from the target, and a
+ * request that was refused before has fewer attempts left.  Another owner may
+ * have determined the time already.
  */
 void
 gate_admit_waited(struct gate_req *r)
 {
 	if (r->waited_ms == 0) {
-		r->waited_ms = waited_of(r);
+		r->waited_ms = time_waited(r);
 		if (r->d.target > 0)
 			r->d.target -= r->waited_ms * NS_MS;
 	}
@@ -373,21 +404,22 @@
 }
 
 /*
- * A request may run beside others of its connection if it may be repeated:
- * its caller sends it again where an answer before it ends the connection.
+ * A request may run concurrently with others of its connection if it may be
+ * repeated, as its caller sends it again where an earlier response closes the
+ * connection.
  */
 bool
 gate_admit_beside(void *ctx, const h2o_req_t *req)
 {
 	struct str method =
 	    str_n(req->input.method.base, req->input.method.len);
-	const struct route_rule *rule = match(ctx, req);
+	const struct route_rule *rule = match_rule(ctx, req);
 
 	return rule != NULL && hsrv_header(req, "idempotency-key").n == 0 &&
 	    route_repeatable(rule->obj, method, false);
 }
 
-/* The gate has a configuration: what its rule says is found out now. */
+/* Admits a request by the routes that are in force now. */
 void
 gate_admit(struct gate_req *r)
 {
@@ -395,10 +427,10 @@
 
 	r->conf = route_version(r->gate->routes);
 	if (r->passed) {
-		admit_passed(r);
+		admit_forwarded(r);
 		return;
 	}
-	rule = match(r->gate, r->req);
+	rule = match_rule(r->gate, r->req);
 	if (rule == NULL)
 		gate_answer(r, ERR_NO_RULE, RAN_NO, 0);
 	else
--- a/gate_answer.c
+++ b/gate_answer.c
@@ -13,7 +13,10 @@
 #include "libreq.h"
 #include "slog.h"
 
-/* The gate's own answers: what a caller is told of a request not served. */
+/*
+ * Error responses that the gate itself sends for requests that it does not
+ * serve.
+ */
 
 static void
 add_header(h2o_req_t *req, const char *name, const char *value)
@@ -24,7 +27,10 @@
 	    1, NULL, copy.base, copy.len);
 }
 
-/* When to come back; whole seconds unless fractions are understood. */
+/*
+ * Adds Retry-After, in whole seconds, rounded up, unless the dialect allows
+ * fractions.
+ */
 static void
 add_retry_after(struct gate_req *r, int64_t after)
 {
@@ -40,15 +46,18 @@
 	add_header(r->req, "retry-after", num);
 }
 
-/* Our own answer: one kind, whether the request ran, when to come back. */
+/*
+ * Ends the request with an error response.  Its headers and body state the kind
+ * of error and whether the request ran.
+ */
 void
 gate_answer(struct gate_req *r, enum err_kind kind, enum err_ran ran,
     int64_t retry_after)
 {
-	const struct err_row *a = err_answer(kind);
+	const struct err_row *row = err_answer(kind);
 	const struct dial *dial = r->gate->dial;
 	h2o_req_t *req = r->req;
-	int status = a->status;
+	int status = row->status;
 	char body[160];
 	int n;
 
@@ -71,7 +80,7 @@
 	    "retry_after_ms=%lld rule=%.*s service=%.*s customer=%.*s "
 	    "conf=%llu "
 	    "conf_age_ms=%lld conf_held_ms=%lld conf_from=%.*s",
-	    STR_ARG(r->name), FPRINT_ARG(r->d.print), a->name,
+	    STR_ARG(r->name), FPRINT_ARG(r->d.print), row->name,
 	    err_ran_name(ran), status,
 	    (long long)((clk_ns(r->gate->clk) - r->began) / NS_MS), r->d.tries,
 	    (long long)(retry_after / NS_MS), STR_ARG(r->rule),
@@ -80,12 +89,12 @@
 	    gate_conf_held_ms(r->gate), STR_ARG(r->gate->rules_from));
 	if (req == NULL)
 		return;
-	add_header(req, "fern-error", a->name);
+	add_header(req, "fern-error", row->name);
 	add_header(req, "fern-ran", err_ran_name(ran));
 	add_retry_after(
-	    r, retry_after > 0 ? retry_after : a->retry_after_s * NS_S);
+	    r, retry_after > 0 ? retry_after : row->retry_after_s * NS_S);
 	n = snprintf(body, sizeof(body),
-	    "{\"error\":\"%s\",\"ran\":\"%s\",\"text\":\"%s\"}\n", a->name,
-	    err_ran_name(ran), a->sentence);
+	    "{\"error\":\"%s\",\"ran\":\"%s\",\"text\":\"%s\"}\n", row->name,
+	    err_ran_name(ran), row->sentence);
 	hsrv_answer(req, status, "application/json", str_n(body, (size_t)n));
 }
--- a/gate_box.c
+++ b/gate_box.c
@@ -14,27 +14,29 @@
 #include "slog.h"
 
 /*
- * The life of the box's gate, by charts/box.toml: empty until it has a
- * configuration, then ready, and at a planned stop leaving, closing, gone.
+ * The states of the gate, by charts/box.toml: empty until it has a
+ * configuration, then ready, and at a planned shutdown leaving, closing, gone.
  */
 
 enum {
-	PASS_QUIET_MS = 500, /* no other gate has passed us anything */
-	IDLE_LEAVING_MS = 100 /* then a caller's connection is closed */
+	/* No other gate has forwarded a request for so long. */
+	PASS_QUIET_MS = 500,
+	IDLE_LEAVING_MS = 100 /* an idle connection is closed after this */
 };
 
 /*
- * What is not answered so long before the grace is over gets an answer of
- * ours: a connection that just ends tells its caller nothing.
+ * Requests without a response so long before the end of the grace period get an
+ * error response, as a connection that just closes does not tell the caller
+ * whether its request ran.
  */
-#define LAST_WORD_NS (200 * NS_MS)
+#define FINAL_RESPONSE_NS (200 * NS_MS)
 
 /*
- * A tenth of the platform's grace is left for the last answers and the end of
- * the process, which take a weak box some hundreds of milliseconds; with 400 ms
- * of ten seconds some of them did not end by themselves.
+ * A tenth of the platform's grace period is left for the last responses and the
+ * exit of the process, which take a weak box some hundreds of milliseconds;
+ * with 400 ms of ten seconds some gates were killed before they exited.
  */
-enum { GRACE_RESERVE = 10 };
+enum { GRACE_RESERVE_DIVISOR = 10 };
 
 static const char *const state_names[] = {
     "empty", "ready", "leaving", "closing", "gone"};
@@ -45,7 +47,7 @@
     "box", state_names, BOX_STATE_MAX, event_names, BOX_EVENT_MAX};
 
 static void on_signal(uv_signal_t *, int);
-static void enter(struct gate *, enum box_event, const char *);
+static void step(struct gate *, enum box_event, const char *);
 
 void
 gate_box_open(struct gate *g)
@@ -58,13 +60,14 @@
 	uv_signal_start(&g->intr, on_signal, SIGINT);
 }
 
-/* Step the chart and do what entering the new state asks for. */
+/* Steps the chart and runs the actions of the state that is entered. */
 static void
-enter(struct gate *g, enum box_event ev, const char *why)
+step(struct gate *g, enum box_event event, const char *reason)
 {
 	enum box_state old = g->state;
 
-	g->state = (enum box_state)chart_step(g->chart_box, (int)old, (int)ev);
+	g->state =
+	    (enum box_state)chart_step(g->chart_box, (int)old, (int)event);
 	if (g->state == old)
 		return;
 	switch (g->state) {
@@ -86,7 +89,7 @@
 		break;
 	case BOX_GONE:
 		slog(SLOG_GATE, "ends", "why=%s requests_cut=%u",
-		    slog_quote(why), gate_req_count(g));
+		    slog_quote(reason), gate_req_count(g));
 		uv_stop(g->loop);
 		break;
 	default:
@@ -98,7 +101,7 @@
 void
 gate_box_configured(struct gate *g)
 {
-	enter(g, BOX_EV_CONFIGURED, "");
+	step(g, BOX_EV_CONFIGURED, "");
 }
 
 bool
@@ -111,51 +114,53 @@
 on_signal(uv_signal_t *sig, int signum)
 {
 	(void)signum;
-	enter(sig->data, BOX_EV_LEAVE, "asked a second time");
+	step(sig->data, BOX_EV_LEAVE, "second signal");
 }
 
 /*
- * The longest time between the signal to leave and the end.  What the platform
- * says goes before the setting: a stop that is shorter than need be cuts off
- * requests at which backend servers work.
+ * Returns the longest time from the signal to the exit, in ns.  The platform's
+ * grace period takes precedence over the setting: a shutdown that is shorter
+ * than it may be cuts off requests that backend servers still work on.
  */
 static int64_t
-longest_leave(const struct gate *g)
+shutdown_limit(const struct gate *g)
 {
 	int64_t ms = g->set.leave_wait_ms + g->set.grace_ms;
 
 	if (g->bounds.grace_ms > 0)
-		ms =
-		    MAX(g->bounds.grace_ms - g->bounds.grace_ms / GRACE_RESERVE,
-			g->set.leave_wait_ms);
+		ms = MAX(g->bounds.grace_ms -
+			g->bounds.grace_ms / GRACE_RESERVE_DIVISOR,
+		    g->set.leave_wait_ms);
 	return ms * NS_MS;
 }
 
 /*
- * Leaving: callers and other gates are told and have time to go elsewhere;
- * then the doors close, and the last answers go out.
+ * Drives a planned shutdown.  Callers and other gates learn that the gate is
+ * leaving and get time to go elsewhere; then the listeners close, and the last
+ * responses are sent.
  */
 void
 gate_box_tick(struct gate *g, int64_t now)
 {
-	int64_t away = now - g->leaving_since;
-	int64_t end = longest_leave(g);
+	int64_t elapsed = now - g->leaving_since;
+	int64_t limit = shutdown_limit(g);
 
-	if (!gate_box_leaving(g) || away < g->set.leave_wait_ms * NS_MS)
+	if (!gate_box_leaving(g) || elapsed < g->set.leave_wait_ms * NS_MS)
 		return;
-	/* Other gates may still pass us requests; callers have had their time.
+	/*
+	 * Other gates may still forward requests; callers have had their time.
 	 */
 	hsrv_stop(g->callers);
 	hsrv_close_idle(g->callers, IDLE_LEAVING_MS);
-	if (away > end - LAST_WORD_NS)
+	if (elapsed > limit - FINAL_RESPONSE_NS)
 		gate_req_end_all(g);
-	if (away > end) {
-		enter(g, BOX_EV_ENDED, "the grace is over");
+	if (elapsed > limit) {
+		step(g, BOX_EV_ENDED, "grace period expired");
 		return;
 	}
 	if (now - g->last_pass < PASS_QUIET_MS * NS_MS)
 		return;
-	enter(g, BOX_EV_WAITED, "");
+	step(g, BOX_EV_WAITED, "");
 	if (gate_req_count(g) == 0)
-		enter(g, BOX_EV_EMPTIED, "all is answered");
+		step(g, BOX_EV_EMPTIED, "all is answered");
 }
--- a/gate_claim.c
+++ b/gate_claim.c
@@ -16,19 +16,19 @@
 #include "slog.h"
 
 /*
- * A request with an Idempotency-Key is claimed by a conditional create in
- * the platform's store before it is sent anywhere, so that the same key runs
- * once whichever box it comes in by, and however often.  A create whose
- * answer is lost is settled by reading the claim back: it carries an id of
- * our own.
+ * A request with an Idempotency-Key is claimed by a conditional create in the
+ * platform's store before it is sent anywhere.  So requests with the same key
+ * run once, whichever boxes receive them and however often they come.  If the
+ * response to a create is lost, the claim is read back: it carries an id that
+ * is unique to the request.
  */
 
 enum {
-	ASKS_MAX = 4, /* creates and read-backs for one claim */
-	RELEASES_MAX = 6, /* tries to give a key back */
-	CALL_MS = 500
+	CALLS_MAX = 4, /* creates and reads for one claim */
+	RELEASES_MAX = 6, /* attempts to delete a claim */
+	CALL_TIMEOUT_MS = 500
 };
-#define RELEASE_WAIT_NS (500 * NS_MS)
+#define RELEASE_BACKOFF_NS (500 * NS_MS)
 
 enum phase { PHASE_CREATE, PHASE_READ, PHASE_HELD, PHASE_RELEASE };
 
@@ -37,22 +37,24 @@
 	enum phase phase;
 	char name[40];
 	char id[80];
-	uint64_t version; /* of the claim once it is ours; 0: not known */
-	int asks;
+	/* Of the claim that this request created; 0: not known. */
+	uint64_t version;
+	int calls;
 	bool allow_outage;
-	bool maybe_there; /* a create may have taken effect */
+	/* A create of unknown outcome may have taken effect. */
+	bool maybe_there;
 	gate_claim_fn *done;
 	void *ctx;
 	struct plat_call *call;
 	struct tmr_item timer;
 };
 
-static void ask(struct gate_claim *);
+static void create_or_read(struct gate_claim *);
 static void on_create(void *, enum plat_result, json_t *);
 static void on_read(void *, enum plat_result, json_t *);
 static void on_release(void *, enum plat_result, json_t *);
-static void tell(struct gate_claim *, enum err_kind);
-static void release_later(struct gate_claim *);
+static void finish(struct gate_claim *, enum err_kind);
+static void retry_release(struct gate_claim *);
 
 static const struct str claim_kind = STR_LIT("claim");
 
@@ -74,12 +76,13 @@
 	c->done = done;
 	c->ctx = ctx;
 	cnt_add(g->cnt, GC_CLAIMS, 1);
-	ask(c);
+	create_or_read(c);
 	return c;
 }
 
 static void
-call(struct gate_claim *c, enum plat_op op, json_t *value, plat_done_fn *done)
+start_call(
+    struct gate_claim *c, enum plat_op op, json_t *value, plat_done_fn *done)
 {
 	struct plat_request rq = {
 	    .op = op,
@@ -87,7 +90,7 @@
 	    .name = str_c(c->name),
 	    .version = c->version,
 	    .value = value,
-	    .timeout_ms = CALL_MS,
+	    .timeout_ms = CALL_TIMEOUT_MS,
 	};
 
 	cnt_add(c->gate->cnt, GC_CLAIM_CALLS, 1);
@@ -95,22 +98,22 @@
 }
 
 static void
-ask(struct gate_claim *c)
+create_or_read(struct gate_claim *c)
 {
 	json_t *value;
 
 	if (c->phase == PHASE_READ) {
-		call(c, PLAT_GET, NULL, on_read);
+		start_call(c, PLAT_GET, NULL, on_read);
 		return;
 	}
 	value = json_pack("{s:{s:s, s:I}, s:s}", "spec", "box", c->id, "at",
 	    (json_int_t)clk_wall_ms(c->gate->clk), "change", c->id);
-	call(c, PLAT_CREATE, value, on_create);
+	start_call(c, PLAT_CREATE, value, on_create);
 	json_decref(value);
 }
 
 static void
-tell(struct gate_claim *c, enum err_kind kind)
+finish(struct gate_claim *c, enum err_kind kind)
 {
 	gate_claim_fn *done = c->done;
 	void *ctx = c->ctx;
@@ -129,15 +132,22 @@
 	done(ctx, kind, ours);
 }
 
-/* The platform cannot say: go on only where the rule allows that. */
+/*
+ * The platform did not give a usable answer: the request only runs if its rule
+ * allows that.
+ */
 static void
-unavailable(struct gate_claim *c)
+store_unavailable(struct gate_claim *c)
 {
-	tell(c, c->allow_outage ? ERR_NONE : ERR_CLAIM);
+	finish(c, c->allow_outage ? ERR_NONE : ERR_CLAIM);
 }
 
+/*
+ * Returns whether a claim in the store is the one of this request; if so, its
+ * version is noted.
+ */
 static bool
-is_ours(struct gate_claim *c, json_t *object)
+is_own_claim(struct gate_claim *c, json_t *object)
 {
 	const char *id = json_string_value(json_object_get(object, "change"));
 
@@ -154,25 +164,25 @@
 	struct gate_claim *c = ctx;
 
 	c->call = NULL;
-	c->asks++;
+	c->calls++;
 	switch (result) {
 	case PLAT_OK:
-		is_ours(c, body);
-		tell(c, ERR_NONE);
+		is_own_claim(c, body);
+		finish(c, ERR_NONE);
 		break;
 	case PLAT_CONFLICT:
-		tell(c,
-		    is_ours(c, json_object_get(body, "current"))
+		finish(c,
+		    is_own_claim(c, json_object_get(body, "current"))
 			? ERR_NONE
 			: ERR_DUPLICATE);
 		break;
 	case PLAT_UNSURE:
 		c->maybe_there = true;
 		c->phase = PHASE_READ;
-		ask(c);
+		create_or_read(c);
 		break;
 	default:
-		unavailable(c);
+		store_unavailable(c);
 		break;
 	}
 }
@@ -183,14 +193,14 @@
 	struct gate_claim *c = ctx;
 
 	c->call = NULL;
-	c->asks++;
+	c->calls++;
 	if (result == PLAT_OK) {
-		tell(c, is_ours(c, body) ? ERR_NONE : ERR_DUPLICATE);
-	} else if (result == PLAT_NONE && c->asks < ASKS_MAX) {
+		finish(c, is_own_claim(c, body) ? ERR_NONE : ERR_DUPLICATE);
+	} else if (result == PLAT_NONE && c->calls < CALLS_MAX) {
 		c->phase = PHASE_CREATE;
-		ask(c);
+		create_or_read(c);
 	} else {
-		unavailable(c);
+		store_unavailable(c);
 	}
 }
 
@@ -206,19 +216,22 @@
 void
 gate_claim_keep(struct gate_claim *c)
 {
-	/* A create that is under way may still take effect, and stays then. */
+	/*
+	 * A create in flight may still take effect; its claim then stays in the
+	 * store.
+	 */
 	claim_free(c);
 }
 
 static void
-try_release(void *ctx)
+delete_claim(void *ctx)
 {
 	struct gate_claim *c = ctx;
 
 	if (c->version > 0)
-		call(c, PLAT_DELETE, NULL, on_release);
+		start_call(c, PLAT_DELETE, NULL, on_release);
 	else
-		call(c, PLAT_GET, NULL, on_release);
+		start_call(c, PLAT_GET, NULL, on_release);
 }
 
 void
@@ -228,39 +241,43 @@
 		plat_cancel(c->gate->plat, c->call);
 	c->call = NULL;
 	c->phase = PHASE_RELEASE;
-	c->asks = 0;
-	try_release(c);
+	c->calls = 0;
+	delete_claim(c);
 }
 
 static void
-release_later(struct gate_claim *c)
+retry_release(struct gate_claim *c)
 {
 	struct gate *g = c->gate;
 
-	if (++c->asks >= RELEASES_MAX) {
-		slog(SLOG_CLAIM, "claim stays, it cannot be given back",
+	if (++c->calls >= RELEASES_MAX) {
+		slog(SLOG_CLAIM,
+		    "claim cannot be deleted and stays in the store",
 		    "claim=%s", c->name);
 		claim_free(c);
 		return;
 	}
 	tmr_set(&g->tmr, &c->timer,
-	    clk_ns(g->clk) + rnd_jitter(g->rnd, RELEASE_WAIT_NS << c->asks),
-	    try_release, c);
+	    clk_ns(g->clk) + rnd_jitter(g->rnd, RELEASE_BACKOFF_NS << c->calls),
+	    delete_claim, c);
 }
 
-/* Only a claim with our own id is deleted, and only in that version. */
+/*
+ * A claim is only deleted if it has this request's id, and only in that
+ * version.
+ */
 static void
 on_release(void *ctx, enum plat_result result, json_t *body)
 {
 	struct gate_claim *c = ctx;
 
 	c->call = NULL;
-	if (c->version == 0 && result == PLAT_OK && is_ours(c, body)) {
-		try_release(c);
+	if (c->version == 0 && result == PLAT_OK && is_own_claim(c, body)) {
+		delete_claim(c);
 		return;
 	}
 	if (result == PLAT_DOWN || result == PLAT_UNSURE)
-		release_later(c);
+		retry_release(c);
 	else
 		claim_free(c);
 }
