--- a/fernbox.c
+++ b/fernbox.c
@@ -13,9 +13,10 @@
 #include "libgate.h"
 
 /*
- * Gate and agent of a box in one process, for boxes with a small share of a
- * processor: each process that wakes up costs, also where it does nothing.
- * Both run on one loop and talk as they do from process to process.
+ * Runs the gate and the agent of a box in one process, for boxes with a small
+ * share of a CPU, as each process that wakes up costs CPU time even if it does
+ * nothing.  Both run on one event loop and exchange the same messages as
+ * separate processes do.
  */
 struct box {
 	struct gate gate;
@@ -36,7 +37,7 @@
 {
 	struct box *b = ctx;
 
-	/* One configuration for both, which halves what a change costs. */
+	/* One configuration for both, which halves the cost of a change. */
 	b->gate.conf = b->agent.conf = conf_new(NULL, NULL);
 	return gate_open(&b->gate, err) && agent_open(&b->agent, err);
 }
--- a/ferngate.c
+++ b/ferngate.c
@@ -11,7 +11,7 @@
 #include "daemon.h"
 #include "libgate.h"
 
-/* The data path of a box as a process of its own. */
+/* The gate, the data path of a box, as a process of its own. */
 
 static bool
 load(void *ctx, const char *file, GError **err)
@@ -20,7 +20,7 @@
 }
 
 static bool
-open_all(void *ctx, GError **err)
+open_gate(void *ctx, GError **err)
 {
 	return gate_open(ctx, err);
 }
@@ -46,7 +46,8 @@
 {
 	static struct gate gate;
 	const struct daemon_ops ops = {"ferngate",
-	    "The data path of a fernjunction box.", load, open_all, run, &gate};
+	    "The data path of a fernjunction box.", load, open_gate, run,
+	    &gate};
 
 	gate.clk = clk_system();
 	gate.rnd = rnd_system();
--- a/gate_conf.c
+++ b/gate_conf.c
@@ -13,25 +13,31 @@
 #include "libgate.h"
 #include "slog.h"
 
-/* Configuration in force, and what is built of it: routes, shards, limits. */
+/*
+ * The configuration in force, and the routes, shards and limits that are built
+ * from it.
+ */
 
-/* Changes that come together lead to one new table. */
-#define REBUILD_NS (2 * NS_MS)
+/* Changes that arrive within this time lead to one new routing table. */
+#define REBUILD_DELAY_NS (2 * NS_MS)
 
-enum { SHARD_KEY = 300 };
-/* Of what the platform allows for retries, this share is used. */
-static const double RETRY_USED = 0.75;
-/* Of what it allows a cold backend server at once, so that two homes fit. */
-static const double COLD_SLACK_USED = 0.5;
+enum { SHARD_KEY_SIZE = 300 };
+/* Share of the platform's retry allowance that is used. */
+static const double RETRY_SHARE = 0.75;
+/*
+ * Share of the platform's burst for a cold backend server that is used, so that
+ * the bursts of two owners fit into it.
+ */
+static const double COLD_SLACK_SHARE = 0.5;
 
 static void on_changed(void *, const struct conf_entry *);
 static void on_rebuild(void *);
 static void send_to(void *, struct str, const struct msg *);
-static void news_free(void *);
+static void change_free(void *);
 static void shard_free(void *);
 static void
 shard_update(struct gate *, struct gate_shard *, const struct route_service *);
-static void take_health(struct gate *, const struct msg_health *);
+static void apply_health(struct gate *, const struct msg_health *);
 static gboolean refresh_shard(gpointer, gpointer, gpointer);
 
 bool
@@ -46,7 +52,7 @@
 	g->sync.clk = g->clk;
 	g->sync.ctx = g;
 	g->routes = route_build(g->conf);
-	g->unrouted = g_ptr_array_new_with_free_func(news_free);
+	g->unrouted = g_ptr_array_new_with_free_func(change_free);
 	g->versions =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g->shards =
@@ -63,41 +69,45 @@
 	wire_send(g->wire, to, &copy);
 }
 
-/* What is to be said of a change once routes have been built of it. */
-struct news {
+/* A change that is logged once routes have been built from it. */
+struct change {
 	bool deleted;
-	struct str from; /* who gave it, if it is a rule; else empty */
+	struct str from; /* source of the object; empty for a backend server */
 	char fields[];
 };
 
-static struct news *
-news_of(const struct conf_entry *e)
+static struct change *
+change_new(const struct conf_entry *e)
 {
 	char *text =
 	    g_strdup_printf("key=%.*s version=%llu from=%.*s", STR_ARG(e->key),
 		(unsigned long long)e->version, STR_ARG(e->source));
 	size_t n = strlen(text) + 1;
-	struct news *news = g_malloc(sizeof(*news) + n);
+	struct change *change = g_malloc(sizeof(*change) + n);
 
-	news->deleted = e->deleted;
-	news->from = e->kind == OBJ_BACKEND ? str_c(NULL) : str_dup(e->source);
-	memcpy(news->fields, text, n);
+	change->deleted = e->deleted;
+	change->from =
+	    e->kind == OBJ_BACKEND ? str_c(NULL) : str_dup(e->source);
+	memcpy(change->fields, text, n);
 	g_free(text);
-	return news;
+	return change;
 }
 
 static void
-news_free(void *p)
+change_free(void *p)
 {
-	struct news *news = p;
+	struct change *change = p;
 
-	str_free(&news->from);
-	g_free(news);
+	str_free(&change->from);
+	g_free(change);
 }
 
-/* A version that goes back breaks a promise: it is told, and counted. */
+/*
+ * Checks that a rule does not come into force in an older version than before.
+ * That must not happen, so it is logged and counted.
+ */
 static void
-look_for_revert(struct gate *g, const struct conf_entry *e)
+check_for_revert(struct gate *g, const struct conf_entry *e)
 {
 	uint64_t *last = g_hash_table_lookup(g->versions, e->key.p);
 
@@ -121,16 +131,16 @@
 	struct gate *g = ctx;
 
 	if (e->kind != OBJ_BACKEND)
-		look_for_revert(g, e);
-	g_ptr_array_add(g->unrouted, news_of(e));
+		check_for_revert(g, e);
+	g_ptr_array_add(g->unrouted, change_new(e));
 	if (!g->rebuild.set)
-		tmr_set(&g->tmr, &g->rebuild, clk_ns(g->clk) + REBUILD_NS,
+		tmr_set(&g->tmr, &g->rebuild, clk_ns(g->clk) + REBUILD_DELAY_NS,
 		    on_rebuild, g);
 }
 
-/* The settings bound what the configuration may allow. */
+/* Applies the configured limits of the listener, bounded by the settings. */
 static void
-take_listener(struct gate *g)
+apply_listener(struct gate *g)
 {
 	const struct obj_listener *l = route_listener(g->routes);
 
@@ -140,16 +150,21 @@
 		    (uint64_t)l->idle_ms);
 }
 
-/* The routes have the rules of a box, or of the platform, from now on. */
+/*
+ * Records the box or platform that the rules in the routes came from, and when.
+ */
 static void
-note_rules(struct gate *g, struct str from)
+set_rules_source(struct gate *g, struct str from)
 {
 	str_free(&g->rules_from);
 	g->rules_from = str_dup(from);
 	g->rules_since = clk_ns(g->clk);
 }
 
-/* Since when the routes have had their rules, in ms; -1: they have none. */
+/*
+ * Returns how long the routes have had their rules, in ms; -1 if there are
+ * none.
+ */
 long long
 gate_conf_held_ms(const struct gate *g)
 {
@@ -158,20 +173,23 @@
 	return (long long)((clk_ns(g->clk) - g->rules_since) / NS_MS);
 }
 
-/* Requests go by it from now on, and not before. */
+/*
+ * Logs the changes that the routes contain now: requests follow them from now
+ * on, and not before.
+ */
 static void
-tell_in_force(struct gate *g)
+log_in_force(struct gate *g)
 {
-	const struct news *news;
+	const struct change *change;
 	guint i;
 
 	for (i = 0; i < g->unrouted->len; i++) {
-		news = g_ptr_array_index(g->unrouted, i);
+		change = g_ptr_array_index(g->unrouted, i);
 		slog(SLOG_CONF,
-		    news->deleted ? "deletion is in force" : "in force", "%s",
-		    news->fields);
-		if (news->from.n > 0)
-			note_rules(g, news->from);
+		    change->deleted ? "deletion is in force" : "in force", "%s",
+		    change->fields);
+		if (change->from.n > 0)
+			set_rules_source(g, change->from);
 	}
 	g_ptr_array_set_size(g->unrouted, 0);
 }
@@ -184,15 +202,15 @@
 	route_free(g->routes);
 	g->routes = route_build(g->conf);
 	g_hash_table_foreach_remove(g->shards, refresh_shard, g);
-	take_listener(g);
+	apply_listener(g);
 	gate_conf_homes(g);
-	tell_in_force(g);
+	log_in_force(g);
 	cnt_set(g->cnt, GC_OBJECTS, conf_count(g->conf));
 	cnt_set(g->cnt, GC_EVACUATED, route_evacuations(g->routes));
 	gate_conf_report(g);
 }
 
-/* Do now what a changed object has put off. */
+/* Rebuilds the routes now if a rebuild is pending. */
 static void
 rebuild_now(struct gate *g)
 {
@@ -202,7 +220,10 @@
 	on_rebuild(g);
 }
 
-/* Bring a shard up to date; one without service or use is removed. */
+/*
+ * Updates a shard.  Returns TRUE, which removes it, if its service is gone and
+ * it has no requests left.
+ */
 static gboolean
 refresh_shard(gpointer key, gpointer value, gpointer ctx)
 {
@@ -220,7 +241,10 @@
 	    disp_room_of(s->disp).waiting == 0;
 }
 
-/* Where each box decides alone, its shard has the backends of all halls. */
+/*
+ * Where each box schedules its own requests, its shard has the backend servers
+ * of all halls.
+ */
 static void
 use_all_halls(struct gate_shard *s, const struct route_service *svc)
 {
@@ -236,12 +260,13 @@
 }
 
 /*
- * What a cold backend server gets: the rate that the platform allows, and half
- * of what it allows beyond (cold.h).  Without the platform's word it is what
- * the service says, with a second's worth of it at once.
+ * Returns the rate limit of a cold backend server: the rate that the platform
+ * allows, and half of what it allows beyond that (cold.h).  If the platform
+ * gives no limits, the limit is what the service sets, with a burst of one
+ * second's worth.
  */
 static struct cold_bound
-cold_bound_of(const struct gate *g, const struct obj_service *svc)
+cold_limit_of(const struct gate *g, const struct obj_service *svc)
 {
 	struct cold_bound bound = {.rate = svc->cold_rate,
 	    .burst = svc->cold_rate,
@@ -250,7 +275,7 @@
 	if (g->bounds.cold_over > 0)
 		bound.rate *= g->bounds.cold_over;
 	if (g->bounds.cold_slack > 0)
-		bound.burst = g->bounds.cold_slack * COLD_SLACK_USED;
+		bound.burst = g->bounds.cold_slack * COLD_SLACK_SHARE;
 	bound.burst = MAX(bound.burst, 1);
 	return bound;
 }
@@ -266,7 +291,7 @@
 	    .queue_max = svc->obj->queue,
 	    .bulk_percent = (int)svc->obj->bulk_percent,
 	    .retry_percent = svc->obj->retry_percent,
-	    .cold = cold_bound_of(g, svc->obj),
+	    .cold = cold_limit_of(g, svc->obj),
 	    .poison = g->poison,
 	    .words = g->words,
 	    .hall = s->hall,
@@ -278,8 +303,8 @@
 	p.roll = s->roll;
 	if (g->bounds.retry_slack > 0) {
 		p.retry_percent =
-		    (int64_t)(g->bounds.retry_ratio * RETRY_USED * 100);
-		p.retry_max = (double)g->bounds.retry_slack * RETRY_USED /
+		    (int64_t)(g->bounds.retry_ratio * RETRY_SHARE * 100);
+		p.retry_max = (double)g->bounds.retry_slack * RETRY_SHARE /
 		    MAX(svc->nhalls, 1u);
 	}
 	if (hall != NULL && svc->slots > 0)
@@ -319,14 +344,14 @@
 static void
 shard_key(char *key, struct str service, struct str hall)
 {
-	snprintf(key, SHARD_KEY, "%.*s/%.*s", STR_ARG(service), STR_ARG(hall));
+	snprintf(
+	    key, SHARD_KEY_SIZE, "%.*s/%.*s", STR_ARG(service), STR_ARG(hall));
 }
 
-/* NULL if there is none. */
 struct gate_shard *
 gate_conf_find_shard(struct gate *g, struct str service, struct str hall)
 {
-	char key[SHARD_KEY];
+	char key[SHARD_KEY_SIZE];
 
 	shard_key(key, service, hall);
 	return g_hash_table_lookup(g->shards, key);
@@ -338,7 +363,7 @@
 {
 	struct disp_ops ops = gate_req_disp_ops;
 	struct gate_shard *s = gate_conf_find_shard(g, svc->name, hall);
-	char key[SHARD_KEY];
+	char key[SHARD_KEY_SIZE];
 
 	if (s == NULL) {
 		shard_key(key, svc->name, hall);
@@ -354,9 +379,9 @@
 	return s;
 }
 
-/* Have a shard for each hall of a service that we are home for. */
+/* Creates a shard for each hall of a service whose shard this gate owns. */
 static void
-open_homes(void *ctx, const struct route_service *svc)
+open_owned_shards(void *ctx, const struct route_service *svc)
 {
 	struct gate *g = ctx;
 	unsigned i;
@@ -370,7 +395,9 @@
 	}
 }
 
-/* Boxes or services have changed: find out anew what we are home for. */
+/*
+ * Boxes or services have changed: determines anew which shards this gate owns.
+ */
 void
 gate_conf_homes(struct gate *g)
 {
@@ -381,18 +408,24 @@
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		((struct gate_shard *)value)->home = false;
-	route_each(g->routes, open_homes, g);
+	route_each(g->routes, open_owned_shards, g);
 	gate_rate_homes(g);
 }
 
-/* Tell the agent what is in force here, and whether we serve. */
+/*
+ * Reports to the agent which configuration is in force here, and whether this
+ * gate serves.
+ */
 void
 gate_conf_report(struct gate *g)
 {
 	gate_conf_doubt(g, str_c(NULL));
 }
 
-/* The same, and that another box's gate does not answer. */
+/*
+ * Reports the same, and that the gate of another box does not answer; an empty
+ * name for none.
+ */
 void
 gate_conf_doubt(struct gate *g, struct str box)
 {
@@ -409,7 +442,7 @@
 }
 
 static void
-take_health(struct gate *g, const struct msg_health *health)
+apply_health(struct gate *g, const struct msg_health *health)
 {
 	const struct msg_state_of *st = health->states.items;
 	struct gate_shard *s;
@@ -428,7 +461,7 @@
 	}
 }
 
-/* Take a message from our agent or from another gate. */
+/* Handles a message from the agent or from another gate. */
 void
 gate_conf_take(void *ctx, const struct msg *m)
 {
@@ -454,7 +487,7 @@
 		gate_conf_homes(g);
 		break;
 	case MSG_HEALTH:
-		take_health(g, &m->u.health);
+		apply_health(g, &m->u.health);
 		break;
 	case MSG_SUMMARY:
 		gate_home_heard(g, m->from);
--- a/gate_early.c
+++ b/gate_early.c
@@ -10,18 +10,21 @@
  */
 #include "libreq.h"
 
-/* Requests that come before the first configuration, and wait for it. */
+/*
+ * Requests that arrive before the first configuration are queued until it
+ * arrives.
+ */
 
-/* When one that came too early is to come back. */
-#define EARLY_AGAIN_NS (200 * NS_MS)
+/* Retry-After of a request that was queued for too long. */
+#define EARLY_RETRY_AFTER_NS (200 * NS_MS)
 
 static void
-on_too_early(void *ctx)
+on_wait_timeout(void *ctx)
 {
 	struct gate_req *r = ctx;
 
 	r->early = false;
-	gate_answer(r, ERR_NOT_READY, RAN_NO, EARLY_AGAIN_NS);
+	gate_answer(r, ERR_NOT_READY, RAN_NO, EARLY_RETRY_AFTER_NS);
 }
 
 void
@@ -35,20 +38,20 @@
 	}
 	r->early = true;
 	tmr_set(&g->tmr, &r->timer, r->began + g->set.early_ms * NS_MS,
-	    on_too_early, r);
+	    on_wait_timeout, r);
 }
 
-/* The first configuration is here: serve what came before it. */
+/* Admits the queued requests once the first configuration is in force. */
 void
 gate_early_admit(struct gate *g)
 {
 	GPtrArray *early = g_ptr_array_new();
 	struct gate_req *r;
-	GList *at;
+	GList *link;
 	guint i;
 
-	for (at = g->reqs.head; at != NULL; at = at->next) {
-		r = at->data;
+	for (link = g->reqs.head; link != NULL; link = link->next) {
+		r = link->data;
 		if (r->early)
 			g_ptr_array_add(early, r);
 	}
--- a/gate_flow.c
+++ b/gate_flow.c
@@ -15,19 +15,19 @@
 #include "slog.h"
 
 /*
- * The way of a request to the other side, and of the answer back to its
+ * Sends a request to a backend server or another gate, and its response to the
  * caller.
  */
 
 enum {
-	BUFFER_MAX = 256 * 1024, /* of an answer, between both sides */
+	BODY_BUFFER_MAX = 256 * 1024, /* of a response body, in bytes */
 	HEADERS_MAX = 128,
-	OWN_HEADERS = 5,
-	PASS_MARGIN_MS = 5
+	ADDED_HEADERS_MAX = 5,
+	FORWARD_MARGIN_MS = 5
 };
 
-/* The other side may be silent for so long in the middle of an answer. */
-#define SILENCE_NS (30 * NS_S)
+/* Longest silence of the other side in the middle of a response. */
+#define SILENCE_TIMEOUT_NS (30 * NS_S)
 
 static void on_connected(void *, struct up_call *);
 static void
@@ -35,7 +35,7 @@
 static void on_body(void *, struct up_call *);
 static void on_end(void *, struct up_call *);
 static void on_fail(void *, struct up_call *, enum err_kind);
-static void on_silence(void *);
+static void on_silence_timeout(void *);
 static void on_stop(h2o_generator_t *, h2o_req_t *);
 static void send_more(struct gate_req *);
 
@@ -43,15 +43,18 @@
     on_connected, on_head, on_body, on_end, on_fail};
 
 static bool
-is_header(const h2o_iovec_t *name, struct str other)
+names_match(const h2o_iovec_t *name, struct str other)
 {
 	return name->len == other.n &&
 	    strncasecmp(name->base, other.p, other.n) == 0;
 }
 
-/* Headers that belong to one connection, or that we write ourselves. */
+/*
+ * Returns whether a header belongs to one connection only, or is written by the
+ * gate itself.
+ */
 static bool
-is_hop_header(const h2o_iovec_t *name, const struct dial *dial)
+is_hop_by_hop_header(const h2o_iovec_t *name, const struct dial *dial)
 {
 	static const char *const names[] = {"connection", "keep-alive", "te",
 	    "trailer", "transfer-encoding", "upgrade", "content-length", "host",
@@ -60,32 +63,32 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(names); i++)
-		if (is_header(name, str_c(names[i])))
+		if (names_match(name, str_c(names[i])))
 			return true;
-	return is_header(name, dial->deadline) ||
-	    (dial->instance.n > 0 && is_header(name, dial->instance)) ||
-	    (dial->key.n > 0 && is_header(name, dial->key)) ||
-	    (dial->customer.n > 0 && is_header(name, dial->customer));
+	return names_match(name, dial->deadline) ||
+	    (dial->instance.n > 0 && names_match(name, dial->instance)) ||
+	    (dial->key.n > 0 && names_match(name, dial->key)) ||
+	    (dial->customer.n > 0 && names_match(name, dial->customer));
 }
 
-/* The headers that we write ourselves, and room for what they point to. */
-struct own_headers {
-	h2o_iovec_t names[OWN_HEADERS];
+/* Headers that the gate adds, with the buffers that they point to. */
+struct added_headers {
+	h2o_iovec_t names[ADDED_HEADERS_MAX];
 	char deadline[24];
 	char pass[GATE_PASS_MAX];
 };
 
 static h2o_header_t
-own_header(
-    struct own_headers *own, size_t at, struct str name, struct str value)
+added_header(struct added_headers *added, size_t index, struct str name,
+    struct str value)
 {
-	own->names[at] = h2o_iovec_init(name.p, name.n);
-	return (h2o_header_t){
-	    .name = &own->names[at], .value = h2o_iovec_init(value.p, value.n)};
+	added->names[index] = h2o_iovec_init(name.p, name.n);
+	return (h2o_header_t){.name = &added->names[index],
+	    .value = h2o_iovec_init(value.p, value.n)};
 }
 
 static struct str
-pass_text(const struct gate_req *r, struct own_headers *own, int64_t now)
+forward_text(const struct gate_req *r, struct added_headers *added, int64_t now)
 {
 	struct gate_pass pass = {
 	    .hops = (unsigned)r->hops + 1,
@@ -110,16 +113,18 @@
 
 	if (r->d.target != 0)
 		pass.target_ms = MAX((r->d.target - now) / NS_MS, 1);
-	return str_n(
-	    own->pass, gate_pass_write(&pass, own->pass, sizeof(own->pass)));
+	return str_n(added->pass,
+	    gate_pass_write(&pass, added->pass, sizeof(added->pass)));
 }
 
 /*
- * A gate that it is passed to has a little less time, so that its answer is
- * here before ours would be due.
+ * Writes the headers of a request and returns their number.  A gate that the
+ * request is forwarded to gets a deadline that is a little earlier, so that its
+ * response arrives before this gate's deadline.
  */
 static size_t
-request_headers(struct gate_req *r, h2o_header_t *out, struct own_headers *own)
+request_headers(
+    struct gate_req *r, h2o_header_t *out, struct added_headers *added)
 {
 	const struct dial *dial = r->gate->dial;
 	const h2o_headers_t *in = &r->req->headers;
@@ -128,31 +133,32 @@
 	struct str pass;
 	size_t i, n = 0;
 
-	for (i = 0; i < in->size && n < HEADERS_MAX - OWN_HEADERS; i++)
-		if (!is_hop_header(in->entries[i].name, dial))
+	for (i = 0; i < in->size && n < HEADERS_MAX - ADDED_HEADERS_MAX; i++)
+		if (!is_hop_by_hop_header(in->entries[i].name, dial))
 			out[n++] = in->entries[i];
 	if (r->peer != NULL)
-		left -= PASS_MARGIN_MS;
-	snprintf(own->deadline, sizeof(own->deadline), "%lld",
+		left -= FORWARD_MARGIN_MS;
+	snprintf(added->deadline, sizeof(added->deadline), "%lld",
 	    (long long)MAX(left, 1));
-	out[n] = own_header(own, 0, dial->deadline, str_c(own->deadline));
+	out[n] = added_header(added, 0, dial->deadline, str_c(added->deadline));
 	n++;
 	if (r->peer != NULL) {
-		pass = pass_text(r, own, now);
-		out[n] = own_header(own, 1, STR_LIT(GATE_PASS_HEADER), pass);
+		pass = forward_text(r, added, now);
+		out[n] =
+		    added_header(added, 1, STR_LIT(GATE_PASS_HEADER), pass);
 		n++;
 		return n;
 	}
 	if (dial->retried.n > 0 && (r->maybe_ran || r->d.retried)) {
-		out[n] = own_header(own, 2, dial->retried, STR_LIT("yes"));
+		out[n] = added_header(added, 2, dial->retried, STR_LIT("yes"));
 		n++;
 	}
 	if (dial->instance.n > 0 && r->d.at != NULL) {
-		out[n] = own_header(own, 3, dial->instance, r->d.at->name);
+		out[n] = added_header(added, 3, dial->instance, r->d.at->name);
 		n++;
 	}
 	if (dial->customer.n > 0 && r->customer.n > 0) {
-		out[n] = own_header(own, 4, dial->customer, r->customer);
+		out[n] = added_header(added, 4, dial->customer, r->customer);
 		n++;
 	}
 	return n;
@@ -162,9 +168,9 @@
 gate_flow_send(struct gate_req *r, struct str address, bool fresh)
 {
 	h2o_header_t headers[HEADERS_MAX];
-	struct own_headers own;
+	struct added_headers added;
 	h2o_req_t *req = r->req;
-	struct up_request rq = {
+	struct up_request up_req = {
 	    .address = address,
 	    .method = str_n(req->method.base, req->method.len),
 	    .path = str_n(req->path.base, req->path.len),
@@ -174,9 +180,9 @@
 	    .fresh = fresh,
 	};
 
-	rq.nheaders = request_headers(r, headers, &own);
+	up_req.nheaders = request_headers(r, headers, &added);
 	gate_req_event(r, REQ_EV_TRY);
-	r->call = up_start(r->gate->up, &rq, &flow_ops, r);
+	r->call = up_start(r->gate->up, &up_req, &flow_ops, r);
 }
 
 void
@@ -205,7 +211,7 @@
 }
 
 static void
-on_silence(void *ctx)
+on_silence_timeout(void *ctx)
 {
 	struct gate_req *r = ctx;
 
@@ -216,15 +222,16 @@
 }
 
 static void
-watch_silence(struct gate_req *r)
+restart_silence_timer(struct gate_req *r)
 {
 	struct gate *g = r->gate;
 
-	tmr_set(&g->tmr, &r->timer, clk_ns(g->clk) + SILENCE_NS, on_silence, r);
+	tmr_set(&g->tmr, &r->timer, clk_ns(g->clk) + SILENCE_TIMEOUT_NS,
+	    on_silence_timeout, r);
 }
 
 static void
-answer_headers(struct gate_req *r, const h2o_header_t *headers, size_t n)
+copy_response_headers(struct gate_req *r, const h2o_header_t *headers, size_t n)
 {
 	h2o_req_t *req = r->req;
 	unsigned long long len;
@@ -239,7 +246,7 @@
 			name.base, name.len, H2O_STRLIT("content-length")) &&
 		    str_u64(str_n(value.base, value.len), &len))
 			req->res.content_length = (size_t)len;
-		if (is_hop_header(&name, r->gate->dial))
+		if (is_hop_by_hop_header(&name, r->gate->dial))
 			continue;
 		name = h2o_strdup(&req->pool, name.base, name.len);
 		value = h2o_strdup(&req->pool, value.base, value.len);
@@ -249,11 +256,12 @@
 }
 
 /*
- * An answer names its request.  One that names another is late, and came in
- * the place of ours.
+ * Returns whether a response belongs to this request.  In dialects with request
+ * ids a response repeats the id; one with another id is a late response to an
+ * earlier request.
  */
 static bool
-is_own_answer(
+is_own_response(
     const struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
 	const struct dial *dial = r->gate->dial;
@@ -275,13 +283,13 @@
 	h2o_req_t *req = r->req;
 	struct gate *g = r->gate;
 
-	if (r->peer == NULL && !is_own_answer(r, status, headers, n)) {
+	if (r->peer == NULL && !is_own_response(r, status, headers, n)) {
 		gate_flow_stop(r);
 		on_fail(r, NULL, ERR_CUT);
 		return;
 	}
 	/*
-	 * The state is left before the judge is asked, as that may send the
+	 * The call is cleared before gate_try_head(), as that may send the
 	 * request again at once.
 	 */
 	r->call = NULL;
@@ -291,11 +299,11 @@
 	}
 	r->call = call;
 	gate_req_event(r, REQ_EV_HEAD);
-	watch_silence(r);
+	restart_silence_timer(r);
 	cnt_sample(g->cnt, GC_LATENCY, clk_ns(g->clk) - r->began);
 	req->res.status = status;
 	req->res.reason = status < 400 ? "OK" : "Error";
-	answer_headers(r, headers, n);
+	copy_response_headers(r, headers, n);
 	if (gate_box_leaving(g))
 		req->http1_is_persistent = 0;
 	r->gen.proceed = gate_flow_proceed;
@@ -305,14 +313,17 @@
 	h2o_start_response(req, &r->gen);
 }
 
-/* Without a target each answer is. */
+/* Returns whether the target is met; without a target it always is. */
 static bool
-is_in_time(const struct gate_req *r)
+meets_target(const struct gate_req *r)
 {
 	return r->d.target == 0 || clk_ns(r->gate->clk) <= r->d.target;
 }
 
-/* Hand the caller what is there, and the end when it has been reached. */
+/*
+ * Sends the caller the body received so far, and the end of the response once
+ * that is reached.
+ */
 static void
 send_more(struct gate_req *r)
 {
@@ -335,7 +346,7 @@
 		    "id=%.*s service=%.*s status=%d whole=%d in_time=%d "
 		    "ms=%lld tries=%d",
 		    STR_ARG(r->name), STR_ARG(r->service), r->req->res.status,
-		    !r->cut, is_in_time(r),
+		    !r->cut, meets_target(r),
 		    (long long)((clk_ns(r->gate->clk) - r->began) / NS_MS),
 		    r->d.tries);
 		tmr_clear(&r->gate->tmr, &r->timer);
@@ -353,14 +364,15 @@
 	(void)req;
 	if (r->sending.bytes_inflight > 0)
 		h2o_doublebuffer_consume(&r->sending);
-	if (r->call != NULL && (*up_body(r->call))->size < BUFFER_MAX / 2) {
+	if (r->call != NULL &&
+	    (*up_body(r->call))->size < BODY_BUFFER_MAX / 2) {
 		up_resume(r->call);
-		watch_silence(r);
+		restart_silence_timer(r);
 	}
 	send_more(r);
 }
 
-/* h2o breaks the answer off; on_dispose follows. */
+/* h2o aborts the response; on_dispose() follows. */
 static void
 on_stop(h2o_generator_t *gen, h2o_req_t *req)
 {
@@ -376,21 +388,21 @@
 {
 	struct gate_req *r = ctx;
 
-	watch_silence(r);
+	restart_silence_timer(r);
 	send_more(r);
-	if (r->call == call && (*up_body(call))->size >= BUFFER_MAX) {
+	if (r->call == call && (*up_body(call))->size >= BODY_BUFFER_MAX) {
 		tmr_clear(&r->gate->tmr, &r->timer);
 		up_pause(call);
 	}
 }
 
 static void
-keep_rest(struct gate_req *r, struct up_call *call)
+detach_body(struct gate_req *r, struct up_call *call)
 {
-	h2o_buffer_t **body = up_body(call), *swap = r->rest;
+	h2o_buffer_t **body = up_body(call), *spare = r->rest;
 
 	r->rest = *body;
-	*body = swap;
+	*body = spare;
 	r->call = NULL;
 	r->ended = true;
 }
@@ -400,7 +412,7 @@
 {
 	struct gate_req *r = ctx;
 
-	keep_rest(r, call);
+	detach_body(r, call);
 	gate_try_end(r);
 	send_more(r);
 }
@@ -416,7 +428,7 @@
 		return;
 	}
 	if (call != NULL)
-		keep_rest(r, call);
+		detach_body(r, call);
 	r->ended = true;
 	r->cut = true;
 	slog_decision(SLOG_GATE, "answer was cut", "id=%.*s why=%s",
--- a/gate_home.c
+++ b/gate_home.c
@@ -14,24 +14,28 @@
 #include "libgate.h"
 #include "slog.h"
 
-/* Which gate is home for a shard, and what homes tell one another. */
+/*
+ * Which gate owns a shard, and the capacity that owners report to each other.
+ */
 
-/* A home that does not answer a ping is left for so long. */
+/* An owner that does not answer a ping is not used for so long. */
 #define SUSPECT_NS (2 * NS_S)
-/* What has not changed is told again after this time. */
-#define TELL_AGAIN_NS (500 * NS_MS)
+/* Capacity that has not changed is sent again after this time. */
+#define CAPACITY_RESEND_NS (500 * NS_MS)
 
 enum { KEY_MAX = 300 };
 
-static void tell_room(struct gate *, struct gate_shard *, int64_t);
+static void send_capacity(struct gate *, struct gate_shard *, int64_t);
 
-/* Where a service is at home in a hall; peer NULL: at our gate. */
-struct home {
+/*
+ * Owner of the shard of a service in a hall; peer is NULL if it is this gate.
+ */
+struct shard_owner {
 	struct gate_peer *peer;
 };
 
 static struct gate_peer *
-find(struct gate *g, struct str box)
+find_peer(struct gate *g, struct str box)
 {
 	struct gate_peer *p;
 	guint i;
@@ -44,24 +48,30 @@
 	return NULL;
 }
 
-/* Gates among which homes are chosen, from the best choice to the last. */
+/*
+ * Tiers of gates among which owners are chosen, the best first.  Hubs that do
+ * not serve yet queue requests until they do.
+ */
 enum tier {
 	TIER_READY, /* hubs of the hall that serve */
-	TIER_NEAR, /* hubs of the hall: they hold requests until they serve */
+	TIER_STARTING, /* hubs of the hall, serving or not */
 	TIER_REGION, /* hubs of the hall's region that serve */
-	TIER_FAR, /* hubs of all halls that serve */
+	TIER_ANY, /* hubs of all halls that serve */
 	TIER_MAX
 };
 
-/* Is a box of hall `at` close enough to a hall for a tier? */
+/*
+ * Returns whether a box in hall box_hall is close enough to a hall for a tier.
+ */
 static bool
-is_within(const struct gate *g, struct str at, struct str hall, enum tier tier)
+is_in_range(
+    const struct gate *g, struct str box_hall, struct str hall, enum tier tier)
 {
-	if (tier == TIER_FAR)
+	if (tier == TIER_ANY)
 		return true;
 	if (tier == TIER_REGION)
-		return region_is_near(g->set.regions, at, hall);
-	return str_eq(at, hall);
+		return region_is_near(g->set.regions, box_hall, hall);
+	return str_eq(box_hall, hall);
 }
 
 static bool
@@ -69,28 +79,31 @@
     enum tier tier)
 {
 	if (info->leaving || info->pass.n == 0 ||
-	    !is_within(g, info->hall, hall, tier))
+	    !is_in_range(g, info->hall, hall, tier))
 		return false;
-	return tier == TIER_NEAR ? g->set.early_ms > 0 : info->ready;
+	return tier == TIER_STARTING ? g->set.early_ms > 0 : info->ready;
 }
 
 static bool
-self_may(const struct gate *g, struct str hall, enum tier tier)
+self_is_in_tier(const struct gate *g, struct str hall, enum tier tier)
 {
 	return g->hub && !gate_box_leaving(g) &&
-	    is_within(g, g->set.hall, hall, tier);
+	    is_in_range(g, g->set.hall, hall, tier);
 }
 
-/* The gates of a tier as those that homes are dealt to; data NULL: ours. */
+/*
+ * Returns the gates of a tier as an array of struct home_gate that the caller
+ * frees.  data is NULL for this gate.
+ */
 static GArray *
-gates_of(struct gate *g, struct str hall, enum tier tier)
+gates_in_tier(struct gate *g, struct str hall, enum tier tier)
 {
 	GArray *gates = g_array_new(FALSE, TRUE, sizeof(struct home_gate));
 	struct home_gate gate = {.box = g->set.box};
 	struct gate_peer *p;
 	guint i;
 
-	if (self_may(g, hall, tier))
+	if (self_is_in_tier(g, hall, tier))
 		g_array_append_val(gates, gate);
 	for (i = 0; i < g->peers->len; i++) {
 		p = g_ptr_array_index(g->peers, i);
@@ -102,7 +115,10 @@
 	return gates;
 }
 
-/* The first tier that has gates for a hall. */
+/*
+ * Returns the gates of the first tier that has any for a hall, as
+ * gates_in_tier() does.
+ */
 static GArray *
 best_gates(struct gate *g, struct str hall)
 {
@@ -110,8 +126,8 @@
 	enum tier tier;
 
 	for (tier = TIER_READY; tier < TIER_MAX; tier++) {
-		gates = gates_of(g, hall, tier);
-		if (gates->len > 0 || tier == TIER_FAR)
+		gates = gates_in_tier(g, hall, tier);
+		if (gates->len > 0 || tier == TIER_ANY)
 			break;
 		g_array_free(gates, TRUE);
 	}
@@ -119,13 +135,13 @@
 }
 
 static char *
-home_key(struct str service, struct str hall)
+shard_key(struct str service, struct str hall)
 {
 	return g_strdup_printf("%.*s/%.*s", STR_ARG(service), STR_ARG(hall));
 }
 
 static void
-gather_service(void *ctx, const struct route_service *svc)
+add_service(void *ctx, const struct route_service *svc)
 {
 	struct home_service s = {.name = svc->name};
 	GArray *services = ctx;
@@ -134,48 +150,49 @@
 }
 
 /*
- * All services are dealt, whether they have backend servers in the hall or
- * not: leaves do not know, and must find the same homes as hubs.
+ * Assigns the services of a hall to owners.  All services are assigned, whether
+ * they have backend servers in the hall or not: leaves do not know that, and
+ * must find the same owners as hubs do.
  */
 static void
-deal_hall(struct gate *g, struct str hall)
+assign_hall(struct gate *g, struct str hall)
 {
 	GArray *services =
 	    g_array_new(FALSE, TRUE, sizeof(struct home_service));
 	GArray *gates = best_gates(g, hall);
 	const struct home_service *s;
-	struct home *home;
+	struct shard_owner *owner;
 	guint i;
 
-	route_each(g->routes, gather_service, services);
+	route_each(g->routes, add_service, services);
 	home_deal(hall, (struct home_service *)services->data, services->len,
 	    (struct home_gate *)gates->data, gates->len);
 	for (i = 0; i < services->len; i++) {
 		s = &g_array_index(services, struct home_service, i);
-		home = g_new0(struct home, 1);
-		home->peer = s->gate == NULL ? NULL : s->gate->data;
-		g_hash_table_insert(g->homes, home_key(s->name, hall), home);
+		owner = g_new0(struct shard_owner, 1);
+		owner->peer = s->gate == NULL ? NULL : s->gate->data;
+		g_hash_table_insert(g->homes, shard_key(s->name, hall), owner);
 	}
 	g_array_free(gates, TRUE);
 	g_array_free(services, TRUE);
 }
 
 static void
-note_hall(GHashTable *halls, struct str hall)
+add_hall(GHashTable *halls, struct str hall)
 {
 	g_hash_table_insert(halls, g_strndup(hall.p, hall.n), NULL);
 }
 
 static void
-note_halls(void *ctx, const struct route_service *svc)
+add_halls(void *ctx, const struct route_service *svc)
 {
 	unsigned i;
 
 	for (i = 0; i < svc->nhalls; i++)
-		note_hall(ctx, svc->halls[i].hall);
+		add_hall(ctx, svc->halls[i].hall);
 }
 
-/* Gates or services have changed: find out anew where services are at home. */
+/* Gates or services have changed: assigns the owners of all shards anew. */
 void
 gate_home_deal(struct gate *g)
 {
@@ -187,71 +204,73 @@
 	guint i;
 
 	g_hash_table_remove_all(g->homes);
-	note_hall(halls, g->set.hall);
+	add_hall(halls, g->set.hall);
 	for (i = 0; i < g->peers->len; i++) {
 		p = g_ptr_array_index(g->peers, i);
-		note_hall(halls, p->info.hall);
+		add_hall(halls, p->info.hall);
 	}
-	route_each(g->routes, note_halls, halls);
+	route_each(g->routes, add_halls, halls);
 	g_hash_table_iter_init(&it, halls);
 	while (g_hash_table_iter_next(&it, &key, NULL))
-		deal_hall(g, str_c(key));
+		assign_hall(g, str_c(key));
 	g_hash_table_destroy(halls);
 }
 
 /*
- * The gate that a service was dealt to cannot be used now: the one with the
- * highest weight among the others takes its place.
+ * Returns the owner of a shard whose assigned gate cannot be used now: the gate
+ * that has the highest weight among the others.  NULL: this gate.
  */
 static struct gate_peer *
-stand_in(struct gate *g, struct str service, struct str hall, int64_t now)
+fallback_owner(struct gate *g, struct str service, struct str hall, int64_t now)
 {
 	GArray *gates = best_gates(g, hall);
 	struct gate_peer *p, *best = NULL;
 	const struct home_gate *gate;
-	uint64_t w, best_w = 0;
+	uint64_t weight, best_weight = 0;
 	guint i;
 
 	for (i = 0; i < gates->len; i++) {
 		gate = &g_array_index(gates, struct home_gate, i);
 		p = gate->data;
-		w = home_weight(service, hall, gate->box);
-		if ((p != NULL && now < p->suspect_until) || w < best_w)
+		weight = home_weight(service, hall, gate->box);
+		if ((p != NULL && now < p->suspect_until) ||
+		    weight < best_weight)
 			continue;
 		best = p;
-		best_w = w;
+		best_weight = weight;
 	}
 	g_array_free(gates, TRUE);
 	return best;
 }
 
 /*
- * The home of a service in a hall is one of the hall's hubs, or of all hubs
- * where the hall has none: all requests for the service there go through it.
- * No gate has to agree: one that is taken for home acts as home.
+ * The owner of a shard is one of the hubs of its hall, or of all hubs where the
+ * hall has none.  All requests for the service in that hall go through it.
+ * Gates need not agree on the owner: a gate that another one takes for the
+ * owner acts as the owner.
  */
 struct gate_peer *
 gate_home(struct gate *g, struct str service, struct str hall, bool *self)
 {
 	int64_t now = clk_ns(g->clk);
-	char *key = home_key(service, hall);
-	const struct home *home = g_hash_table_lookup(g->homes, key);
-	struct gate_peer *p = home == NULL ? NULL : home->peer;
-	bool usable = p == NULL ? home != NULL && !gate_box_leaving(g)
+	char *key = shard_key(service, hall);
+	const struct shard_owner *owner = g_hash_table_lookup(g->homes, key);
+	struct gate_peer *p = owner == NULL ? NULL : owner->peer;
+	bool usable = p == NULL ? owner != NULL && !gate_box_leaving(g)
 				: now >= p->suspect_until;
 
 	g_free(key);
 	if (!usable)
-		p = stand_in(g, service, hall, now);
+		p = fallback_owner(g, service, hall, now);
 	*self = p == NULL;
 	return p;
 }
 
 /*
- * The same for a request that only some regions may serve.  Where the hall's
- * home stands in a region that may not, as it may while the hall has no hubs,
- * our own box acts as home: its caller chose it, and what it sends goes to the
- * hall itself.
+ * Returns the owner for a request that only some regions may serve.  The owner
+ * may be in a region that is not allowed while the hall has no hubs.  In that
+ * case this gate acts as the owner: the caller chose its box, and the request
+ * goes from here to the hall itself.
  */
 struct gate_peer *
 gate_home_for(struct gate *g, struct str service, struct str hall,
@@ -267,7 +286,7 @@
 }
 
 struct ranked {
-	struct gate_peer *peer; /* NULL: ours */
+	struct gate_peer *peer; /* NULL: this gate */
 	uint64_t weight;
 };
 
@@ -282,7 +301,7 @@
 struct gate_peer *
 gate_home_by_name(struct gate *g, struct str name, unsigned nth, bool *self)
 {
-	GArray *gates = gates_of(g, g->set.hall, TIER_FAR);
+	GArray *gates = gates_in_tier(g, g->set.hall, TIER_ANY);
 	GArray *order = g_array_new(FALSE, FALSE, sizeof(struct ranked));
 	int64_t now = clk_ns(g->clk);
 	const struct home_gate *gate;
@@ -307,11 +326,13 @@
 	return r.peer;
 }
 
-/* A hash of the gates that may be homes, in any order. */
+/*
+ * Returns a hash of the gates that may be owners, independent of their order.
+ */
 uint64_t
 gate_home_hubs(struct gate *g)
 {
-	GArray *gates = gates_of(g, g->set.hall, TIER_FAR);
+	GArray *gates = gates_in_tier(g, g->set.hall, TIER_ANY);
 	const struct home_gate *gate;
 	const struct gate_peer *p;
 	uint64_t sum = 0;
@@ -327,11 +348,14 @@
 	return sum;
 }
 
-/* Take a gate of the agent's list; true if it has started since, or is new. */
+/*
+ * Adds or updates a gate of the agent's member list.  Returns whether it is new
+ * or has restarted.
+ */
 static bool
-take_member(struct gate *g, const struct memb_info *info)
+update_member(struct gate *g, const struct memb_info *info)
 {
-	struct gate_peer *p = find(g, info->box);
+	struct gate_peer *p = find_peer(g, info->box);
 	bool started = p == NULL || p->info.boot != info->boot;
 
 	if (p == NULL) {
@@ -340,7 +364,7 @@
 	} else {
 		memb_info_clear(&p->info);
 	}
-	/* A new start clears what we held against a box. */
+	/* A gate that has restarted is not suspected any more. */
 	if (started)
 		p->suspect_until = 0;
 	memb_info_copy(&p->info, info);
@@ -349,7 +373,7 @@
 }
 
 static void
-drop_unlisted(struct gate *g)
+remove_unlisted(struct gate *g)
 {
 	struct gate_peer *p;
 	guint i;
@@ -364,18 +388,21 @@
 	}
 }
 
-/* One that starts, or was not known, is told what no configuration holds. */
+/*
+ * Sends a gate that is new or has restarted what this gate knows beyond the
+ * configuration.
+ */
 static void
-greet(struct gate *g, const struct gate_peer *p)
+send_state_to(struct gate *g, const struct gate_peer *p)
 {
 	gate_poison_greet(g, p);
 	gate_words_greet(g, p);
 }
 
 void
-gate_home_members(struct gate *g, const struct msg_members *members)
+gate_home_members(struct gate *g, const struct msg_members *msg)
 {
-	const struct memb_info *v = members->members.items;
+	const struct memb_info *v = msg->members.items;
 	struct gate_peer *p;
 	guint i;
 	size_t j;
@@ -384,12 +411,12 @@
 		p = g_ptr_array_index(g->peers, i);
 		p->listed = false;
 	}
-	g->hub = members->hub;
-	g->boxes = (unsigned)MAX(members->fleet, 1);
-	for (j = 0; j < members->members.n; j++)
-		if (!str_eq(v[j].box, g->set.box) && take_member(g, &v[j]))
-			greet(g, find(g, v[j].box));
-	drop_unlisted(g);
+	g->hub = msg->hub;
+	g->boxes = (unsigned)MAX(msg->fleet, 1);
+	for (j = 0; j < msg->members.n; j++)
+		if (!str_eq(v[j].box, g->set.box) && update_member(g, &v[j]))
+			send_state_to(g, find_peer(g, v[j].box));
+	remove_unlisted(g);
 }
 
 void
@@ -434,7 +461,10 @@
 	wire_send(g->wire, m->from, &pong);
 }
 
-/* Send a message to the homes of the service's other halls, ours among them. */
+/*
+ * Sends a message to the owners of the service's shards in other halls, which
+ * may include this gate.
+ */
 void
 gate_home_tell(struct gate *g, const struct gate_shard *s,
     const struct route_service *svc, struct msg *m)
@@ -454,9 +484,12 @@
 	}
 }
 
-/* Tell the homes of the service's other halls what room there is. */
+/*
+ * Sends the capacity of a shard to the owners of the service's shards in other
+ * halls.
+ */
 static void
-tell_room(struct gate *g, struct gate_shard *s, int64_t now)
+send_capacity(struct gate *g, struct gate_shard *s, int64_t now)
 {
 	const struct route_service *svc = route_service(g->routes, s->service);
 	struct msg m = {.kind = MSG_SUMMARY};
@@ -467,7 +500,7 @@
 		return;
 	room = disp_room_of(s->disp);
 	if (memcmp(&room, &s->told, sizeof(room)) == 0 &&
-	    now - s->told_at < TELL_AGAIN_NS)
+	    now - s->told_at < CAPACITY_RESEND_NS)
 		return;
 	s->told = room;
 	s->told_at = now;
@@ -480,10 +513,10 @@
 }
 
 void
-gate_home_summary(struct gate *g, const struct msg_summary *sum)
+gate_home_summary(struct gate *g, const struct msg_summary *summary)
 {
-	struct disp_room room = {(double)sum->slot_tenths / SLOT_TENTHS,
-	    (int)sum->free, (int)sum->waiting};
+	struct disp_room room = {(double)summary->slot_tenths / SLOT_TENTHS,
+	    (int)summary->free, (int)summary->waiting};
 	struct gate_shard *s;
 	GHashTableIter it;
 	gpointer value;
@@ -491,14 +524,14 @@
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		s = value;
-		if (str_eq(s->service, sum->service) &&
-		    !str_eq(s->hall, sum->hall))
-			disp_remote(s->disp, sum->hall, &room);
+		if (str_eq(s->service, summary->service) &&
+		    !str_eq(s->hall, summary->hall))
+			disp_remote(s->disp, summary->hall, &room);
 	}
 }
 
 static void
-watch_peer(struct gate *g, struct gate_peer *p, int64_t now)
+check_peer(struct gate *g, struct gate_peer *p, int64_t now)
 {
 	struct msg m = {.kind = MSG_PING};
 
@@ -525,8 +558,8 @@
 	guint i;
 
 	for (i = 0; i < g->peers->len; i++)
-		watch_peer(g, g_ptr_array_index(g->peers, i), now);
+		check_peer(g, g_ptr_array_index(g->peers, i), now);
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		tell_room(g, value, now);
+		send_capacity(g, value, now);
 }
--- a/gate_open.c
+++ b/gate_open.c
@@ -14,16 +14,19 @@
 #include "set.h"
 #include "slog.h"
 
-/* The gate's settings and its start, and the tick that all its parts share. */
+/* The gate's settings and start-up, and the tick that all its parts share. */
 
 enum { ADMIN_BODY_MAX = 4096 };
 
-/* Between two looks at the dispatchers: with requests held, out, or none. */
-#define TICK_HELD_NS (10 * NS_MS)
+/*
+ * Intervals of the tick: with requests queued, with requests in flight, and
+ * with none.
+ */
+#define TICK_QUEUED_NS (10 * NS_MS)
 #define TICK_BUSY_NS (25 * NS_MS)
 #define TICK_IDLE_NS (250 * NS_MS)
 #define REPORT_NS (1 * NS_S)
-/* A tick that comes so late tells that the process was paused. */
+/* A tick that is so late means that the process was paused. */
 #define PAUSE_NS (1 * NS_S)
 
 static void on_tick(void *);
@@ -31,7 +34,7 @@
 
 #define F(member) offsetof(struct gate_set, member)
 
-static const char *const words_route[] = {"home", "alone", NULL};
+static const char *const route_names[] = {"home", "alone", NULL};
 
 static const struct field fields[] = {
     {.name = "box", .type = FIELD_NAME, .offset = F(box), .required = true},
@@ -71,7 +74,7 @@
     {.name = "route",
 	.type = FIELD_WORD,
 	.offset = F(route),
-	.words = words_route},
+	.words = route_names},
     {.name = "body_max",
 	.type = FIELD_INT,
 	.offset = F(body_max),
@@ -156,8 +159,8 @@
 }
 
 /*
- * Read the settings anew and take over what may change while the gate runs.
- * A file that is not valid changes nothing.
+ * Reads the settings file again and applies the settings that may change at run
+ * time.  A file that is not valid changes nothing.
  */
 void
 gate_reload(struct gate *g)
@@ -209,7 +212,7 @@
 	return open_charts(g, err);
 }
 
-/* Open all that the settings say to listen on. */
+/* Opens the sockets that the gate listens on. */
 static bool
 open_listeners(struct gate *g, GError **err)
 {
@@ -246,7 +249,7 @@
 	g->peers = g_ptr_array_new();
 	g->homes =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	/* Until its agent tells of other boxes a gate is on its own. */
+	/* Until the agent sends a member list, this gate owns all shards. */
 	g->hub = true;
 	gate_poison_open(g);
 	g->words = words_new();
@@ -255,9 +258,9 @@
 	    open_listeners(g, err);
 }
 
-/* A pause tells nothing of the others. */
+/* After a pause of this process the silence of other gates means nothing. */
 static void
-was_paused(struct gate *g, int64_t now, int64_t gap)
+on_pause(struct gate *g, int64_t now, int64_t gap)
 {
 	struct gate_peer *p;
 	guint i;
@@ -271,8 +274,9 @@
 }
 
 /*
- * Looks that need no exact time go by one tick, which is rare while there is
- * nothing to look at: waking up is most of what an idle process costs.
+ * Returns the time until the next tick.  Work that needs no exact time is done
+ * by one tick, which is rare while there is little to do, as wake-ups are most
+ * of the cost of an idle process.
  */
 static int64_t
 next_tick(const struct gate *g)
@@ -287,7 +291,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		s = value;
 		if (disp_room_of(s->disp).waiting > 0)
-			return TICK_HELD_NS;
+			return TICK_QUEUED_NS;
 	}
 	return TICK_BUSY_NS;
 }
@@ -302,7 +306,7 @@
 	gpointer value;
 
 	if (g->last_tick != 0 && gap > PAUSE_NS)
-		was_paused(g, now, gap);
+		on_pause(g, now, gap);
 	g->last_tick = now;
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
@@ -322,11 +326,11 @@
 	tmr_set(&g->tmr, &g->tick, now + next_tick(g), on_tick, g);
 }
 
-/* A request has come: the next look must not be far. */
+/* A request has arrived: makes sure that the next tick is soon. */
 void
 gate_tick_soon(struct gate *g)
 {
-	int64_t at = clk_ns(g->clk) + TICK_HELD_NS;
+	int64_t at = clk_ns(g->clk) + TICK_QUEUED_NS;
 
 	if (g->tick.set && g->tick.item.deadline > at)
 		tmr_set(&g->tmr, &g->tick, at, on_tick, g);
--- a/gate_pass.c
+++ b/gate_pass.c
@@ -12,32 +12,35 @@
 
 #include "libreq.h"
 
-/* The header that a gate sends with a request that it passes on. */
+/* Format of the header that a gate sends with a request that it forwards. */
 
-enum { FIELDS = 16 };
+enum { NUMBERS = 16 };
 
-/* No region is named: a word in the place of their names. */
+/* Placeholder where no regions are named. */
 static const char ANY_REGION[] = "-";
 
-/* A customer's name stands behind this sign, as any word may be a name. */
-enum { CUSTOMER_SIGN = '=' };
+/* Prefix of the customer's name, which may be empty or any text. */
+enum { CUSTOMER_PREFIX = '=' };
 
-/* Cut the text up to the next blank off the rest; false if there is none. */
+/*
+ * Cuts the text up to the next blank off `text`.  Returns false if there is no
+ * blank.
+ */
 static bool
-next_word(struct str *rest, struct str *word)
+next_field(struct str *text, struct str *field)
 {
-	const char *blank = memchr(rest->p, ' ', rest->n);
+	const char *blank = memchr(text->p, ' ', text->n);
 
 	if (blank == NULL)
 		return false;
-	*word = str_n(rest->p, (size_t)(blank - rest->p));
-	*rest = str_n(blank + 1, rest->n - word->n - 1);
+	*field = str_n(text->p, (size_t)(blank - text->p));
+	*text = str_n(blank + 1, text->n - field->n - 1);
 	return true;
 }
 
 /*
- * Numbers divided by blanks, then the names of the hall, of regions, of the
- * customer, and of the service.
+ * Numbers separated by blanks, then the names of the hall, the regions, the
+ * customer and the service.
  */
 bool
 gate_pass_read(struct str text, struct gate_pass *out)
@@ -57,7 +60,7 @@
 	    &out->hops, &bulk, &repeatable, &retried, &paid, &out->tries,
 	    &out->attempts, &out->rank, &out->kind, &target, &left, &waited,
 	    &hi, &lo, &caller, &suspect, &at);
-	if (n != FIELDS || at == 0)
+	if (n != NUMBERS || at == 0)
 		return false;
 	out->bulk = bulk != 0;
 	out->repeatable = repeatable != 0;
@@ -69,10 +72,10 @@
 	out->waited_ms = waited;
 	out->print = (struct fprint){hi, lo, caller};
 	out->service = str_n(text.p + at, text.n - (size_t)at);
-	if (!next_word(&out->service, &out->hall) ||
-	    !next_word(&out->service, &out->regions) ||
-	    !next_word(&out->service, &out->customer) || out->customer.n == 0 ||
-	    out->customer.p[0] != CUSTOMER_SIGN)
+	if (!next_field(&out->service, &out->hall) ||
+	    !next_field(&out->service, &out->regions) ||
+	    !next_field(&out->service, &out->customer) ||
+	    out->customer.n == 0 || out->customer.p[0] != CUSTOMER_PREFIX)
 		return false;
 	out->customer = str_n(out->customer.p + 1, out->customer.n - 1);
 	if (str_eq(out->regions, str_c(ANY_REGION)))
@@ -92,7 +95,7 @@
 	    (long long)p->left_ms, (long long)p->waited_ms,
 	    (unsigned long long)p->print.hi, (unsigned long long)p->print.lo,
 	    (unsigned long long)p->print.caller, p->suspect, STR_ARG(p->hall),
-	    STR_ARG(regions), CUSTOMER_SIGN, STR_ARG(p->customer),
+	    STR_ARG(regions), CUSTOMER_PREFIX, STR_ARG(p->customer),
 	    STR_ARG(p->service));
 
 	return MIN((size_t)n, size - 1);
--- a/gate_peek.c
+++ b/gate_peek.c
@@ -12,20 +12,23 @@
 #include "slog.h"
 
 /*
- * Questions for the load of a backend server, on its service's probe path.
- * They are asked by the gate that is home for it and uses the answer.
+ * Load queries to backend servers, on the probe path of their service.  The
+ * gate that owns a shard sends them and uses the results.
  */
 
-/* Health answers come at once; one that takes longer counts as none. */
+/*
+ * Backend servers answer health requests at once; a response that takes longer
+ * than this is dropped.
+ */
 #define TIMEOUT_NS (60 * NS_MS)
 
-struct peek {
+struct load_query {
 	struct gate *gate;
 	struct str service, hall, backend, address;
-	int64_t born_ms; /* which life was asked */
+	int64_t born_ms; /* start time of the process that is queried */
 	struct up_call *call;
 	struct tmr_item timer;
-	struct dial_word word; /* pace 0: it tells no load */
+	struct dial_word word; /* load.pace 0: no load is reported */
 };
 
 static void on_connected(void *, struct up_call *);
@@ -35,101 +38,105 @@
 static void on_fail(void *, struct up_call *, enum err_kind);
 static void on_timeout(void *);
 
-static const struct up_ops peek_ops = {
+static const struct up_ops load_query_ops = {
     on_connected, on_head, up_skip_body, on_end, on_fail};
 
 /*
- * Whether a backend server has ended is told by a new connection: a kept one
- * may have broken with it, and not be known for it yet.
+ * Sends a load query.  While a backend server may have crashed, a new
+ * connection is used to find out: a kept-alive connection may be broken without
+ * having been noticed.
  */
 void
 gate_peek_start(struct gate_shard *s, const struct pick_backend *b)
 {
 	struct gate *g = s->gate;
 	const struct route_service *svc = route_service(g->routes, s->service);
-	struct peek *p = g_new0(struct peek, 1);
-	struct up_request rq = {.address = b->address,
+	struct load_query *q = g_new0(struct load_query, 1);
+	struct up_request request = {.address = b->address,
 	    .method = STR_LIT("GET"),
 	    .path = svc == NULL ? STR_LIT("/health") : svc->obj->probe_path,
 	    .host = b->address,
 	    .fresh = b->doubts != NULL,
 	    .connect_ns = TIMEOUT_NS};
 
-	p->gate = g;
-	p->service = str_dup(s->service);
-	p->hall = str_dup(s->hall);
-	p->backend = str_dup(b->name);
-	p->address = str_dup(b->address);
-	p->born_ms = b->born_ms;
+	q->gate = g;
+	q->service = str_dup(s->service);
+	q->hall = str_dup(s->hall);
+	q->backend = str_dup(b->name);
+	q->address = str_dup(b->address);
+	q->born_ms = b->born_ms;
 	cnt_add(g->cnt, GC_PEEKS, 1);
-	tmr_set(&g->tmr, &p->timer, clk_ns(g->clk) + TIMEOUT_NS, on_timeout, p);
-	p->call = up_start(g->up, &rq, &peek_ops, p);
+	tmr_set(&g->tmr, &q->timer, clk_ns(g->clk) + TIMEOUT_NS, on_timeout, q);
+	q->call = up_start(g->up, &request, &load_query_ops, q);
 }
 
-/* What an earlier life says holds for no later one. */
+/*
+ * Applies the report, unless the backend server has restarted since: a report
+ * of an earlier process does not hold for a later one.
+ */
 static void
-take_word(const struct peek *p, struct gate_shard *s)
+apply_report(const struct load_query *q, struct gate_shard *s)
 {
-	struct pick_backend *b = disp_find(s->disp, p->backend);
+	struct pick_backend *b = disp_find(s->disp, q->backend);
 
-	if (b != NULL && b->born_ms == p->born_ms &&
-	    str_eq(b->address, p->address))
-		gate_word_peeked(s, b, &p->word);
+	if (b != NULL && b->born_ms == q->born_ms &&
+	    str_eq(b->address, q->address))
+		gate_word_peeked(s, b, &q->word);
 }
 
-/* The shard and the backend server may be gone by now. */
+/* Ends the query.  The shard and the backend server may be gone by now. */
 static void
-finish(struct peek *p, bool answered)
+finish(struct load_query *q, bool answered)
 {
-	struct gate *g = p->gate;
-	struct gate_shard *s = gate_conf_find_shard(g, p->service, p->hall);
+	struct gate *g = q->gate;
+	struct gate_shard *s = gate_conf_find_shard(g, q->service, q->hall);
 
-	tmr_clear(&g->tmr, &p->timer);
+	tmr_clear(&g->tmr, &q->timer);
 	if (!answered)
 		cnt_add(g->cnt, GC_PEEKS_LOST, 1);
 	if (s != NULL && answered)
-		take_word(p, s);
+		apply_report(q, s);
 	if (s != NULL)
-		disp_peeked(s->disp, p->backend, answered, p->word.load.running,
-		    p->word.load.waiting, p->word.load.pace);
-	str_free(&p->service);
-	str_free(&p->hall);
-	str_free(&p->backend);
-	str_free(&p->address);
-	g_free(p);
+		disp_peeked(s->disp, q->backend, answered, q->word.load.running,
+		    q->word.load.waiting, q->word.load.pace);
+	str_free(&q->service);
+	str_free(&q->hall);
+	str_free(&q->backend);
+	str_free(&q->address);
+	g_free(q);
 }
 
 static void
 on_connected(void *ctx, struct up_call *call)
 {
-	struct peek *p = ctx;
+	struct load_query *q = ctx;
 	struct gate_shard *s =
-	    gate_conf_find_shard(p->gate, p->service, p->hall);
+	    gate_conf_find_shard(q->gate, q->service, q->hall);
 
 	(void)call;
 	if (s != NULL)
-		disp_reached(s->disp, p->backend);
+		disp_reached(s->disp, q->backend);
 }
 
 static void
 on_head(void *ctx, struct up_call *call, int status,
     const h2o_header_t *headers, size_t n)
 {
-	struct peek *p = ctx;
+	struct load_query *q = ctx;
 
 	(void)call;
-	p->gate->dial->word(status, headers, n, &p->word);
-	if (!p->word.tells_load)
-		p->word.load.pace = 0;
+	q->gate->dial->word(status, headers, n, &q->word);
+	if (!q->word.tells_load)
+		q->word.load.pace = 0;
 }
 
 static void
 on_end(void *ctx, struct up_call *call)
 {
-	struct peek *p = ctx;
+	struct load_query *q = ctx;
 
 	(void)call;
-	finish(p, true);
+	finish(q, true);
 }
 
 static void
@@ -143,8 +150,8 @@
 static void
 on_timeout(void *ctx)
 {
-	struct peek *p = ctx;
+	struct load_query *q = ctx;
 
-	up_cancel(p->call);
-	finish(p, false);
+	up_cancel(q->call);
+	finish(q, false);
 }
--- a/gate_poison.c
+++ b/gate_poison.c
@@ -13,20 +13,24 @@
 #include "slog.h"
 
 /*
- * Gates tell one another of requests that end backend servers.  A trial that
- * ended so is told to all hubs at once, as any of them may be home and have
- * the next copy, and to our agent, which keeps what is proved.  All else goes
- * by turns, a list to one hub of all at random: from n hubs each hears of it
- * within a second or two, whoever restarts.
+ * Gates exchange which requests crash backend servers.  When a request that ran
+ * alone in a trial crashes a backend server, this is sent to all hubs at once,
+ * as any of them may own the shard that the next copy comes to, and to the
+ * agent of this box, which keeps the proved ones.  All else is sent
+ * periodically, as a list to one hub at random: with n hubs each of them
+ * receives it within a second or two, so restarted hubs do too.
  *
- * A list has POISON_WORDS at most, 2 KB, so that a hub sends 4 KB a second at
- * worst, and nothing where nobody is suspected.
+ * A list has at most POISON_WORDS records, 2 KB, so a hub sends 4 KB a second
+ * at worst, and nothing while no request is suspected.
  */
-#define TURN_NS (500 * NS_MS)
+#define LIST_INTERVAL_NS (500 * NS_MS)
 
-/* Send what we know to one gate, or to all that are listed and our agent. */
+/*
+ * Sends what this gate knows to one gate, or, if `to` is NULL, to all that are
+ * listed and to the agent.
+ */
 static void
-tell(struct gate *g, const struct gate_peer *to)
+send_list(struct gate *g, const struct gate_peer *to)
 {
 	struct msg_suspect items[POISON_WORDS];
 	struct msg m = {.kind = MSG_SUSPECTS};
@@ -48,15 +52,15 @@
 static void
 on_changed(void *ctx, struct fprint print, enum poison_verdict verdict)
 {
-	static const char *const msgs[] = {
+	static const char *const messages[] = {
 	    [POISON_NONE] = "a request is cleared, it was answered",
 	    [POISON_SUSPECT] = "a request is suspected, it runs by itself now",
 	    [POISON_PROVED] = "a request is refused now, it ends servers",
 	};
 
 	(void)ctx;
-	slog_decision(
-	    SLOG_PICK, msgs[verdict], "print=" FPRINT_FMT, FPRINT_ARG(print));
+	slog_decision(SLOG_PICK, messages[verdict], "print=" FPRINT_FMT,
+	    FPRINT_ARG(print));
 }
 
 void
@@ -69,18 +73,18 @@
 void
 gate_poison_tick(struct gate *g, int64_t now)
 {
-	unsigned at;
+	unsigned index;
 
 	if (poison_has_news(g->poison))
-		tell(g, NULL);
-	if (now - g->poison_told < TURN_NS)
+		send_list(g, NULL);
+	if (now - g->poison_told < LIST_INTERVAL_NS)
 		return;
 	g->poison_told = now;
 	poison_tick(g->poison);
 	if (g->peers->len == 0)
 		return;
-	at = (unsigned)rnd_below(g->rnd, g->peers->len);
-	tell(g, g_ptr_array_index(g->peers, at));
+	index = (unsigned)rnd_below(g->rnd, g->peers->len);
+	send_list(g, g_ptr_array_index(g->peers, index));
 }
 
 void
@@ -92,5 +96,5 @@
 void
 gate_poison_greet(struct gate *g, const struct gate_peer *p)
 {
-	tell(g, p);
+	send_list(g, p);
 }
--- a/gate_rate.c
+++ b/gate_rate.c
@@ -12,31 +12,36 @@
 #include "slog.h"
 
 /*
- * Customers' rates over the whole fleet.  Each customer with a rate has its
- * bucket at one gate, chosen among all hubs by hashing; the gate at which a
- * request comes in asks there before it waits for anything else.
+ * Rate limits of customers over the whole fleet.  The bucket of each customer
+ * with a limit is at one gate, its owner, which is chosen among all hubs by
+ * hashing.  The gate that receives a request queries the owner before the
+ * request waits for anything else.
  *
- * A gate that becomes a customer's home does not know what the one before let
- * in, nor does one that is asked before it has heard that it is home.  So each
- * bucket begins with one token, when its gate finds itself home, or is asked:
- * all gates together keep to the rate, and the burst, however often homes move.
+ * A gate that becomes the owner of a customer does not know how many requests
+ * the previous owner allowed, nor does a gate that is queried before it has
+ * learnt that it is the owner.  So each bucket starts with one token, when its
+ * gate finds that it is the owner or is queried.  Thus all gates together keep
+ * to the rate and the burst, however often owners change.
  */
 
-/* An answer is here within some milliseconds, unless the home is lost. */
-#define ANSWER_NS (120 * NS_MS)
 /*
- * A request waits for room no longer than this; else it is refused.  All of a
- * customer that asks for more than its rate wait so long.
+ * Timeout of a query.  Answers arrive within some milliseconds unless the owner
+ * is lost.
  */
-#define DELAY_NS (10 * NS_MS)
-/* When to come back where no home answered. */
-#define AGAIN_NS (300 * NS_MS)
+#define QUERY_TIMEOUT_NS (120 * NS_MS)
+/*
+ * Longest time that a request waits for a token; it is refused if it would be
+ * longer.  Requests of a customer that exceeds its rate all wait so long.
+ */
+#define TOKEN_WAIT_MAX_NS (10 * NS_MS)
+/* Retry-After where no owner answered, or the customer is not known. */
+#define RETRY_AFTER_NS (300 * NS_MS)
 
-enum { HOMES_MAX = 2 }; /* that are asked for one request */
+enum { OWNERS_MAX = 2 }; /* that are queried for one request */
 
-static void on_silent(void *);
-static void on_room(void *);
-static void ask_home(struct gate_req *);
+static void on_query_timeout(void *);
+static void on_token(void *);
+static void query_owner(struct gate_req *);
 
 void
 gate_rate_open(struct gate *g)
@@ -47,7 +52,7 @@
 }
 
 static gboolean
-is_not_ours(gpointer key, gpointer value, gpointer ctx)
+is_not_owned(gpointer key, gpointer value, gpointer ctx)
 {
 	struct gate *g = ctx;
 	bool self;
@@ -75,7 +80,7 @@
 }
 
 static void
-begin(void *ctx, const struct customer *c)
+start_bucket(void *ctx, const struct customer *c)
 {
 	bool self;
 
@@ -87,45 +92,50 @@
 }
 
 /*
- * Hubs or customers may have changed: buckets of which we are home no more end,
- * and those of which we are home now begin to fill.
+ * Hubs or customers may have changed: drops the buckets that this gate does not
+ * own any more, and starts those that it owns now.
  */
 void
 gate_rate_homes(struct gate *g)
 {
-	uint64_t seen = gate_home_hubs(g) ^ route_version(g->routes);
+	uint64_t hash = gate_home_hubs(g) ^ route_version(g->routes);
 
-	if (seen == g->rates_seen)
+	if (hash == g->rates_seen)
 		return;
-	g->rates_seen = seen;
-	g_hash_table_foreach_remove(g->rates, is_not_ours, g);
-	customers_each(route_customers(g->routes), begin, g);
+	g->rates_seen = hash;
+	g_hash_table_foreach_remove(g->rates, is_not_owned, g);
+	customers_each(route_customers(g->routes), start_bucket, g);
 }
 
-/* May the customer make one more request?  *wait as bucket_lend() has it. */
+/*
+ * Takes a token of the customer's bucket and returns whether that was possible.
+ * *wait is as bucket_lend() sets it.
+ */
 static bool
-take(struct gate *g, struct str name, int64_t *wait)
+take_token(struct gate *g, struct str name, int64_t *wait)
 {
 	const struct customer *c =
 	    customers_named(route_customers(g->routes), name);
 
-	*wait = AGAIN_NS;
+	*wait = RETRY_AFTER_NS;
 	if (c == NULL)
 		return false;
 	*wait = 0;
 	if (c->obj->rate <= 0)
 		return true;
 	return bucket_lend(bucket_of(g, name), c->obj->rate,
-	    MAX(c->obj->burst, 1), DELAY_NS, clk_ns(g->clk), wait);
+	    MAX(c->obj->burst, 1), TOKEN_WAIT_MAX_NS, clk_ns(g->clk), wait);
 }
 
 /*
- * A hub that comes back is home again for hubs at once, and for the last leaf a
- * second later.  Until then the hub that was home meanwhile hands on what it is
- * asked: two that answer would let in twice the rate.
+ * Forwards a query to the owner if this gate is not the owner.  Returns whether
+ * it did.  When a hub comes back, other hubs take it for the owner at once, but
+ * the last leaves only a second later.  Until then the hub that was the owner
+ * meanwhile forwards the queries that it receives: if two gates answered, they
+ * would allow twice the rate.
  */
 static bool
-hand_on(struct gate *g, struct str from, const struct msg_ask *ask)
+forward_query(struct gate *g, struct str from, const struct msg_ask *ask)
 {
 	struct msg m = {.kind = MSG_ASK, .u.ask = *ask};
 	struct gate_peer *p;
@@ -147,12 +157,12 @@
 	struct msg m = {.kind = MSG_GRANT};
 	int64_t wait;
 
-	if (hand_on(g, from, ask))
+	if (forward_query(g, from, ask))
 		return;
 	if (ask->asker.n > 0)
 		from = ask->asker;
 	m.u.grant.seq = ask->seq;
-	m.u.grant.granted = take(g, ask->customer, &wait);
+	m.u.grant.granted = take_token(g, ask->customer, &wait);
 	m.u.grant.wait_us = (uint64_t)(wait / NS_US);
 	wire_send(g->wire, from, &m);
 }
@@ -167,13 +177,13 @@
 }
 
 static void
-on_room(void *ctx)
+on_token(void *ctx)
 {
 	gate_admit_go(ctx);
 }
 
 static void
-settle(struct gate_req *r, bool granted, int64_t wait)
+finish_query(struct gate_req *r, bool granted, int64_t wait)
 {
 	struct gate *g = r->gate;
 
@@ -183,7 +193,7 @@
 		gate_answer(r, ERR_OVER_LIMIT, RAN_NO, wait);
 	} else if (wait > 0) {
 		tmr_set(
-		    &g->tmr, &r->ask_timer, clk_ns(g->clk) + wait, on_room, r);
+		    &g->tmr, &r->ask_timer, clk_ns(g->clk) + wait, on_token, r);
 	} else {
 		gate_admit_go(r);
 	}
@@ -193,38 +203,39 @@
 gate_rate_granted(struct gate *g, const struct msg_grant *m)
 {
 	struct gate_req *r = g_hash_table_lookup(g->asks, &m->seq);
-	uint64_t most = (uint64_t)(G_MAXINT64 / NS_US);
+	uint64_t max_us = (uint64_t)(G_MAXINT64 / NS_US);
 
 	if (r != NULL)
-		settle(r, m->granted, (int64_t)MIN(m->wait_us, most) * NS_US);
+		finish_query(
+		    r, m->granted, (int64_t)MIN(m->wait_us, max_us) * NS_US);
 }
 
 static void
-on_silent(void *ctx)
+on_query_timeout(void *ctx)
 {
 	struct gate_req *r = ctx;
 
 	cnt_add(r->gate->cnt, GC_ASKS_LOST, 1);
 	gate_rate_forget(r);
-	if (r->asks < HOMES_MAX)
-		ask_home(r);
+	if (r->asks < OWNERS_MAX)
+		query_owner(r);
 	else
-		gate_answer(r, ERR_BUSY, RAN_NO, AGAIN_NS);
+		gate_answer(r, ERR_BUSY, RAN_NO, RETRY_AFTER_NS);
 }
 
 static void
-ask_home(struct gate_req *r)
+query_owner(struct gate_req *r)
 {
 	struct gate *g = r->gate;
 	struct msg m = {.kind = MSG_ASK};
-	bool self, again = r->asks > 0, granted;
+	bool self, is_retry = r->asks > 0, granted;
 	struct gate_peer *p =
 	    gate_home_by_name(g, r->customer, r->asks++, &self);
 	int64_t wait;
 
 	if (self) {
-		granted = take(g, r->customer, &wait);
-		settle(r, granted, wait);
+		granted = take_token(g, r->customer, &wait);
+		finish_query(r, granted, wait);
 		return;
 	}
 	cnt_add(g->cnt, GC_ASKS, 1);
@@ -232,15 +243,15 @@
 	g_hash_table_insert(g->asks, &r->ask, r);
 	m.u.ask.seq = r->ask;
 	m.u.ask.customer = r->customer;
-	m.u.ask.again = again;
+	m.u.ask.again = is_retry;
 	wire_send(g->wire, p->info.gate_inbox, &m);
-	tmr_set(
-	    &g->tmr, &r->ask_timer, clk_ns(g->clk) + ANSWER_NS, on_silent, r);
+	tmr_set(&g->tmr, &r->ask_timer, clk_ns(g->clk) + QUERY_TIMEOUT_NS,
+	    on_query_timeout, r);
 }
 
 void
 gate_rate_ask(struct gate_req *r)
 {
 	gate_req_event(r, REQ_EV_CLAIM);
-	ask_home(r);
+	query_owner(r);
 }
--- a/gate_req.c
+++ b/gate_req.c
@@ -14,11 +14,15 @@
 #include "slog.h"
 
 /*
- * The life of a request in the gate: it arrives, is brought to its home, and
- * ends with its answer, its deadline or its caller.
+ * The life cycle of a request in the gate: it arrives, is routed to the owner
+ * of its shard, and ends with its response, its deadline or the loss of its
+ * caller.
  */
 
-/* Refused requests that are known again when they come back. */
+/*
+ * Refused requests that are remembered, so that they are recognized when they
+ * come back.
+ */
 enum { RETURNS_MAX = 4096 };
 
 static void on_dispose(void *);
@@ -31,22 +35,25 @@
 const struct chart_names req_chart_names = {
     "request", state_names, REQ_STATE_MAX, event_names, REQ_EVENT_MAX};
 
-/* Held by h2o's memory pool, so that its end tells us of the request's. */
-struct guard {
+/*
+ * Part of h2o's memory pool of a request; its disposal tells that h2o is done
+ * with the request.
+ */
+struct pool_guard {
 	struct gate_req *r;
 };
 
 void
-gate_req_event(struct gate_req *r, enum req_event ev)
+gate_req_event(struct gate_req *r, enum req_event event)
 {
 	enum req_state old = r->state;
 
 	r->state = (enum req_state)chart_step(
-	    r->gate->chart_request, (int)r->state, (int)ev);
+	    r->gate->chart_request, (int)r->state, (int)event);
 	if (r->state == REQ_BROKEN && old != REQ_BROKEN)
 		slog(SLOG_GATE, "a state met an event that it must not meet",
 		    "id=%.*s event=%s state=%s", STR_ARG(r->name),
-		    event_names[ev], state_names[old]);
+		    event_names[event], state_names[old]);
 }
 
 enum err_ran
@@ -58,9 +65,12 @@
 	return RAN_NO;
 }
 
-/* As its caller names it, or else by our own count; a copy. */
+/*
+ * Returns the request's id, as its caller gave it or else its number; the
+ * caller of this function frees it.
+ */
 static struct str
-request_name(const struct gate *g, const h2o_req_t *req, uint64_t seq)
+request_id_of(const struct gate *g, const h2o_req_t *req, uint64_t seq)
 {
 	struct str name = str_c(NULL);
 	char number[24];
@@ -77,14 +87,15 @@
 req_new(struct gate *g, h2o_req_t *req)
 {
 	struct gate_req *r = g_new0(struct gate_req, 1);
-	struct guard *guard;
+	struct pool_guard *pool_guard;
 
-	guard = h2o_mem_alloc_shared(&req->pool, sizeof(*guard), on_dispose);
-	guard->r = r;
+	pool_guard =
+	    h2o_mem_alloc_shared(&req->pool, sizeof(*pool_guard), on_dispose);
+	pool_guard->r = r;
 	r->gate = g;
 	r->req = req;
 	r->id = ++g->seq;
-	r->name = request_name(g, req, r->id);
+	r->name = request_id_of(g, req, r->id);
 	r->began = clk_ns(g->clk);
 	r->state = (enum req_state)chart_start(g->chart_request);
 	r->link.data = r;
@@ -125,7 +136,7 @@
 	arrive(ctx, req, true);
 }
 
-/* Remember the hall whose slots the request is to use. */
+/* Sets the hall whose slots the request is to use. */
 void
 gate_req_set_hall(struct gate_req *r, struct str hall)
 {
@@ -136,8 +147,9 @@
 }
 
 /*
- * Whose slots does it use?  What another gate passed to us says so, as we may
- * be home for a hall that has no hubs.
+ * Returns the hall whose slots the request uses; empty if none may serve it, or
+ * if each box schedules its own requests.  The hall that a forwarding gate
+ * chose is kept, as this gate may own a shard of a hall that has no hubs.
  */
 static struct str
 hall_for(struct gate_req *r, const struct route_service *svc)
@@ -152,7 +164,7 @@
 	return r->hall;
 }
 
-/* Bring the request to its service's home, which may be this gate. */
+/* Sends the request to the owner of its shard, which may be this gate. */
 void
 gate_req_route(struct gate_req *r)
 {
@@ -186,7 +198,10 @@
 	disp_arrive(r->shard->disp, &r->d);
 }
 
-/* What the claim comes to, once it is known how the request ended. */
+/*
+ * Releases or keeps the claim of a request, if it has one, once it is known
+ * whether the request ran.
+ */
 void
 gate_req_settle(struct gate_req *r, bool not_run)
 {
@@ -211,19 +226,22 @@
 	gate_answer(r, ERR_DEADLINE, ran, 0);
 }
 
-/* At the deadline the request is answered, wherever it is then. */
+/*
+ * Sets the timer that answers the request at its deadline, whatever its state
+ * is then.
+ */
 void
 gate_req_set_deadline(struct gate_req *r)
 {
 	tmr_set(&r->gate->tmr, &r->timer, r->d.deadline, on_deadline, r);
 }
 
-/* h2o lets go of the request: it is answered, or its caller went away. */
+/* h2o disposes of the request: its response was sent, or its caller is gone. */
 static void
 on_dispose(void *p)
 {
-	struct guard *guard = p;
-	struct gate_req *r = guard->r;
+	struct pool_guard *pool_guard = p;
+	struct gate_req *r = pool_guard->r;
 	struct gate *g = r->gate;
 	bool not_run = gate_req_ran(r) == RAN_NO;
 
@@ -252,27 +270,28 @@
 }
 
 /*
- * A gate that passed us a request which may have run is not told that it did
- * not: it sees its connection end, and knows what that means.
+ * Returns whether a request gets an error response when the gate exits.  If
+ * another gate forwarded it and it may have run, it gets none: that gate sees
+ * its connection close, from which it concludes that the request may have run.
  */
 static bool
-may_be_ended(const struct gate_req *r)
+should_end(const struct gate_req *r)
 {
 	return r->state != REQ_DONE && !r->started && r->req != NULL &&
 	    (!r->passed || gate_req_ran(r) == RAN_NO);
 }
 
 static void
-end_each(struct gate *g, bool held)
+end_each(struct gate *g, bool queued)
 {
 	struct gate_req *r;
-	GList *at, *next;
+	GList *link, *next;
 	enum err_ran ran;
 
-	for (at = g->reqs.head; at != NULL; at = next) {
-		next = at->next;
-		r = at->data;
-		if (!may_be_ended(r) || r->d.held != held)
+	for (link = g->reqs.head; link != NULL; link = next) {
+		next = link->next;
+		r = link->data;
+		if (!should_end(r) || r->d.held != queued)
 			continue;
 		ran = gate_req_ran(r);
 		gate_try_abandon(r, DISP_GONE);
@@ -280,7 +299,10 @@
 	}
 }
 
-/* Those held first, or they would begin where others make room. */
+/*
+ * Queued requests are ended first, as otherwise they would be sent when the end
+ * of others frees slots.
+ */
 void
 gate_req_end_all(struct gate *g)
 {
--- a/gate_roll.c
+++ b/gate_roll.c
@@ -12,22 +12,24 @@
 #include "slog.h"
 
 /*
- * Roll-outs: what the homes of a service tell one another of them, and what
- * the platform is told.  That is written by the home of the first hall, on
- * condition that the order is as it was; where two boxes take themselves for
- * that home, the platform takes one write.
+ * Rollouts: the owners of a service's shards report their state to each other,
+ * and to the platform.  The owner of the first hall writes to the platform, on
+ * condition that the rollout object has not changed; if two gates take
+ * themselves for that owner, the platform accepts only one write.
  */
-#define TELL_NS (250 * NS_MS)
-/* Nothing is written again before the platform's word of it is back. */
-#define WRITE_NS (1500 * NS_MS)
+#define REPORT_INTERVAL_NS (250 * NS_MS)
+/*
+ * The same state is not written again within this time, in which the platform's
+ * watch should deliver the last write.
+ */
+#define WRITE_INTERVAL_NS (1500 * NS_MS)
 
-enum { CALL_MS = 1000 };
+enum { CALL_TIMEOUT_MS = 1000 };
 
-/* Of the share that the platform allows an unproven version, so much is used.
- */
-static const double EXPOSE_USED = 0.5;
-/* Where it does not say. */
-static const double SHARE = 0.05;
+/* Part of the platform's allowed share for an unproven version that is used. */
+static const double EXPOSED_PART = 0.5;
+/* Share of the requests if the platform sets none. */
+static const double DEFAULT_SHARE = 0.05;
 
 static const struct str rollout_kind = STR_LIT("rollout");
 
@@ -35,8 +37,8 @@
 first_share(const struct gate *g)
 {
 	if (g->bounds.expose_share > 0)
-		return g->bounds.expose_share * EXPOSE_USED;
-	return SHARE;
+		return g->bounds.expose_share * EXPOSED_PART;
+	return DEFAULT_SHARE;
 }
 
 void
@@ -49,52 +51,55 @@
 	s->roll = NULL;
 }
 
-/* Bring a shard's roll-out up to date with the service's order. */
+/* Updates the rollout of a shard from the service's rollout object. */
 void
 gate_roll_update(
     struct gate *g, struct gate_shard *s, const struct route_service *svc)
 {
-	const struct obj_rollout *order = svc->rollout;
+	const struct obj_rollout *spec = svc->rollout;
 
-	if (s->roll != NULL && (order == NULL || !roll_is(s->roll, order)))
+	if (s->roll != NULL && (spec == NULL || !roll_is(s->roll, spec)))
 		gate_roll_close(s);
-	if (order == NULL)
+	if (spec == NULL)
 		return;
 	if (s->roll == NULL) {
 		s->roll = roll_new(
-		    order, g->chart_roll, first_share(g), clk_ns(g->clk));
+		    spec, g->chart_roll, first_share(g), clk_ns(g->clk));
 		s->roll_seen = ROLL_WAITING;
 	}
-	roll_settle(s->roll, (enum obj_rolled)order->state);
+	roll_settle(s->roll, (enum obj_rolled)spec->state);
 }
 
 static void
-note_step(struct gate_shard *s, int64_t now)
+log_state_change(struct gate_shard *s, int64_t now)
 {
 	enum roll_state state = roll_state(s->roll);
-	struct roll_word word;
+	struct roll_word report;
 	const char *why;
 
 	if (state == s->roll_seen)
 		return;
 	s->roll_seen = state;
-	word = roll_word_of(s->roll, disp_old_inflight(s->disp), now);
+	report = roll_word_of(s->roll, disp_old_inflight(s->disp), now);
 	why = roll_why(s->roll);
 	slog(SLOG_PICK, "a roll-out goes on",
 	    "service=%.*s hall=%.*s state=%s age_ms=%lld answers=%llu "
 	    "bad=%llu old_out=%u why=%s",
 	    STR_ARG(s->service), STR_ARG(s->hall),
-	    roll_chart_names.states[state], (long long)(word.age / NS_MS),
-	    (unsigned long long)word.answers, (unsigned long long)word.bad,
-	    word.old_out, slog_quote(why != NULL ? why : ""));
+	    roll_chart_names.states[state], (long long)(report.age / NS_MS),
+	    (unsigned long long)report.answers, (unsigned long long)report.bad,
+	    report.old_out, slog_quote(why != NULL ? why : ""));
 }
 
-/* Tell the service's homes in the other halls; ours among them. */
+/*
+ * Sends a report to the owners of the service's shards in other halls, which
+ * may include this gate.
+ */
 static void
-tell(struct gate *g, struct gate_shard *s, const struct route_service *svc,
-    int64_t now)
+send_report(struct gate *g, struct gate_shard *s,
+    const struct route_service *svc, int64_t now)
 {
-	struct roll_word w =
+	struct roll_word report =
 	    roll_word_of(s->roll, disp_old_inflight(s->disp), now);
 	struct msg m = {.kind = MSG_ROLL};
 
@@ -103,21 +108,24 @@
 	    .hall = s->hall,
 	    .box = g->set.box,
 	    .version = svc->rollout->version,
-	    .age_ms = (uint64_t)(w.age / NS_MS),
-	    .state = (uint64_t)w.state,
-	    .answers = w.answers,
-	    .bad = w.bad,
-	    .old_out = w.old_out};
+	    .age_ms = (uint64_t)(report.age / NS_MS),
+	    .state = (uint64_t)report.state,
+	    .answers = report.answers,
+	    .bad = report.bad,
+	    .old_out = report.old_out};
 	gate_home_tell(g, s, svc, &m);
 }
 
-/* What a home told reaches our shards of the service's other halls. */
+/*
+ * Applies the report of another owner to this gate's shards of the service in
+ * other halls.
+ */
 void
 gate_roll_take(struct gate *g, const struct msg_roll *m)
 {
 	const struct route_service *svc = route_service(g->routes, m->service);
 	int64_t now = clk_ns(g->clk);
-	struct roll_word w = {
+	struct roll_word report = {
 	    .age = (int64_t)MIN(m->age_ms, (uint64_t)(now / NS_MS)) * NS_MS,
 	    .state = (enum roll_state)MIN(m->state, ROLL_BACK),
 	    .answers = m->answers,
@@ -136,27 +144,26 @@
 		if (s->roll == NULL || !str_eq(s->service, m->service) ||
 		    str_eq(s->hall, m->hall))
 			continue;
-		roll_told(s->roll, m->box, m->hall, &w, now);
+		roll_told(s->roll, m->box, m->hall, &report, now);
 	}
 }
 
 /*
- * The watch brings what is there now; until it does, what the answer tells of
- * it is the condition for the next write.
+ * The watch delivers the object as it is now; until it does, the version in
+ * this response is the condition for the next write.
  */
 static void
 on_written(void *ctx, enum plat_result result, json_t *body)
 {
 	struct gate_shard *s = ctx;
-	const json_t *there =
+	const json_t *object =
 	    result == PLAT_CONFLICT ? json_object_get(body, "current") : body;
 
 	s->roll_call = NULL;
 	s->roll_version =
-	    (uint64_t)json_integer_value(json_object_get(there, "version"));
-	slog(SLOG_PICK, "a roll-out's state is written",
-	    "service=%.*s result=%s", STR_ARG(s->service),
-	    plat_result_name(result));
+	    (uint64_t)json_integer_value(json_object_get(object, "version"));
+	slog(SLOG_PICK, "rollout state was written", "service=%.*s result=%s",
+	    STR_ARG(s->service), plat_result_name(result));
 }
 
 static void
@@ -169,7 +176,7 @@
 	    .kind = rollout_kind,
 	    .name = s->service,
 	    .version = MAX(e == NULL ? 0 : e->version, s->roll_version),
-	    .timeout_ms = CALL_MS};
+	    .timeout_ms = CALL_TIMEOUT_MS};
 	json_t *value;
 
 	g_free(key);
@@ -181,7 +188,9 @@
 	json_decref(value);
 }
 
-/* The hall whose home writes: the first one by name. */
+/*
+ * Returns the hall whose owner writes to the platform: the first one by name.
+ */
 static struct str
 first_hall(const struct route_service *svc)
 {
@@ -195,37 +204,38 @@
 }
 
 static void
-write_if_due(struct gate *g, struct gate_shard *s,
+write_if_changed(struct gate *g, struct gate_shard *s,
     const struct route_service *svc, int64_t now)
 {
 	struct str *halls = g_new0(struct str, svc->nhalls);
-	enum obj_rolled wants;
+	enum obj_rolled state;
 	unsigned i, n = 0;
 
 	for (i = 0; i < svc->nhalls; i++)
 		if (!str_eq(svc->halls[i].hall, s->hall))
 			halls[n++] = svc->halls[i].hall;
-	wants = roll_wants(s->roll, halls, n, disp_old_inflight(s->disp), now);
+	state = roll_wants(s->roll, halls, n, disp_old_inflight(s->disp), now);
 	g_free(halls);
-	if ((int)wants == svc->rollout->state || s->roll_call != NULL ||
-	    (wants == s->roll_state && now - s->roll_written < WRITE_NS))
+	if ((int)state == svc->rollout->state || s->roll_call != NULL ||
+	    (state == s->roll_state &&
+		now - s->roll_written < WRITE_INTERVAL_NS))
 		return;
-	s->roll_state = wants;
-	write_state(g, s, svc, wants, now);
+	s->roll_state = state;
+	write_state(g, s, svc, state, now);
 }
 
 /*
- * Is there anything to tell the other homes?  One that is home no more tells of
- * the requests that it still has at the old version.
+ * Returns whether a report to the other owners is due.  A gate that owns the
+ * shard no more still reports the requests that it has at the old version.
  */
 static bool
-is_news(const struct gate_shard *s, int64_t now)
+is_report_due(const struct gate_shard *s, int64_t now)
 {
 	if (!s->home && disp_old_inflight(s->disp) == 0)
 		return false;
 	if (roll_state(s->roll) == ROLL_COMPLETED)
 		return false;
-	return now - s->roll_told >= TELL_NS ||
+	return now - s->roll_told >= REPORT_INTERVAL_NS ||
 	    roll_state(s->roll) != s->roll_seen;
 }
 
@@ -238,11 +248,11 @@
 		return;
 	if (s->home)
 		roll_tick(s->roll, svc->has_new, now);
-	if (is_news(s, now))
-		tell(g, s, svc, now);
-	note_step(s, now);
+	if (is_report_due(s, now))
+		send_report(g, s, svc, now);
+	log_state_change(s, now);
 	if (s->home && str_eq(s->hall, first_hall(svc)))
-		write_if_due(g, s, svc, now);
+		write_if_changed(g, s, svc, now);
 }
 
 void
--- a/gate_stat.c
+++ b/gate_stat.c
@@ -13,7 +13,7 @@
 #include "libgate.h"
 #include "slog.h"
 
-/* The gate's counters and its admin pages. */
+/* The gate's metrics and its admin pages. */
 
 static void page_metrics(struct gate *, h2o_req_t *);
 static void page_ready(struct gate *, h2o_req_t *);
@@ -140,14 +140,17 @@
 	    req, g->state == BOX_READY ? 200 : 503, "text/plain", str_c(name));
 }
 
-/* What is being printed, and the shard it is of. */
-struct print {
+/*
+ * State of print_backend(): the list that is written, and the shard of the
+ * backend servers.
+ */
+struct backend_list {
 	json_t *list;
 	const struct gate_shard *shard;
 };
 
 static int64_t
-rest_left(const struct gate_shard *s, const struct pick_backend *b)
+pause_left(const struct gate_shard *s, const struct pick_backend *b)
 {
 	return MAX(b->rest_until - clk_ns(s->gate->clk), 0);
 }
@@ -155,7 +158,7 @@
 static void
 print_backend(void *ctx, const struct pick_backend *b)
 {
-	struct print *p = ctx;
+	struct backend_list *p = ctx;
 
 	json_array_append_new(p->list,
 	    json_pack(
@@ -167,7 +170,7 @@
 		"inflight", b->inflight, "slots", b->slots, "usual_ms",
 		(double)b->usual / NS_MS, "probe_down", (int)b->probe_down,
 		"takes_a_second", b->quota.rate, "leaves", (int)b->leaves,
-		"rest_ms", (json_int_t)(rest_left(p->shard, b) / NS_MS)));
+		"rest_ms", (json_int_t)(pause_left(p->shard, b) / NS_MS)));
 }
 
 static void
@@ -183,7 +186,7 @@
 static void
 page_backends(struct gate *g, h2o_req_t *req)
 {
-	struct print p = {json_array(), NULL};
+	struct backend_list p = {json_array(), NULL};
 	GHashTableIter it;
 	gpointer value;
 
@@ -195,7 +198,7 @@
 	answer_json(req, p.list);
 }
 
-struct homes {
+struct owner_list {
 	struct gate *gate;
 	json_t *list;
 };
@@ -203,7 +206,7 @@
 static void
 print_service(void *ctx, const struct route_service *svc)
 {
-	struct homes *h = ctx;
+	struct owner_list *h = ctx;
 	struct gate_peer *p;
 	struct str box;
 	unsigned i;
@@ -223,7 +226,7 @@
 static void
 page_homes(struct gate *g, h2o_req_t *req)
 {
-	struct homes h = {g, json_array()};
+	struct owner_list h = {g, json_array()};
 
 	route_each(g->routes, print_service, &h);
 	answer_json(req, h.list);
--- a/gate_try.c
+++ b/gate_try.c
@@ -14,27 +14,28 @@
 #include "slog.h"
 
 /*
- * One try of a request: at a backend server, when this gate is its home, or
- * at another gate.  What the flow reports is judged here: answer, or again.
+ * An attempt of a request: at a backend server, if this gate owns the shard, or
+ * at another gate.  When the flow reports how the attempt goes, this file
+ * decides whether the request is answered or retried.
  */
 
-enum { LOST_TRIES = 2 };
+enum { LOST_ATTEMPTS = 2 };
 
 static void op_send(void *, struct disp_req *, struct pick_backend *);
-static void op_pass(void *, struct disp_req *, struct str);
-static void op_give_up(void *, struct disp_req *, enum err_kind, int64_t);
+static void op_forward(void *, struct disp_req *, struct str);
+static void op_fail(void *, struct disp_req *, enum err_kind, int64_t);
 static void op_stop(void *, struct disp_req *);
-static void op_peek(void *, struct pick_backend *);
-static void op_ended(void *, const struct pick_backend *, unsigned);
+static void op_query_load(void *, struct pick_backend *);
+static void op_crashed(void *, const struct pick_backend *, unsigned);
 static void op_release(void *, struct pick_backend *);
 static enum disp_outcome
 outcome_of(const struct gate_req *, int, const h2o_header_t *, size_t);
-static void leave_home(struct gate_req *);
+static void leave_owner(struct gate_req *);
 
-const struct disp_ops gate_req_disp_ops = {
-    op_send, op_pass, op_give_up, op_stop, op_peek, op_ended, op_release, NULL};
+const struct disp_ops gate_req_disp_ops = {op_send, op_forward, op_fail,
+    op_stop, op_query_load, op_crashed, op_release, NULL};
 
-static const char *const against_names[AGAINST_MAX] = {
+static const char *const violation_names[AGAINST_MAX] = {
     "none", "quota", "rest", "leaving"};
 
 static struct gate_req *
@@ -43,7 +44,7 @@
 	return (struct gate_req *)((char *)d - offsetof(struct gate_req, d));
 }
 
-/* What must not repeat goes out on a connection of its own. */
+/* A request that must not be repeated is sent on a new connection. */
 static void
 op_send(void *ctx, struct disp_req *d, struct pick_backend *b)
 {
@@ -66,14 +67,14 @@
 	    (long long)((d->deadline - d->sent) / NS_MS),
 	    (long long)r->waited_ms, d->tries, (unsigned long long)r->conf,
 	    (long long)sync_age_ms(&r->gate->sync), b->quota.rate,
-	    against_names[d->against]);
+	    violation_names[d->against]);
 	cnt_add(r->gate->cnt, GC_AGAINST, d->against != AGAINST_NOTHING);
 	cnt_sample(r->gate->cnt, GC_HELD, d->sent - r->began);
 	gate_flow_send(r, b->address, !d->repeatable);
 }
 
 static void
-op_pass(void *ctx, struct disp_req *d, struct str hall)
+op_forward(void *ctx, struct disp_req *d, struct str hall)
 {
 	struct gate_req *r = req_of(d);
 	bool self;
@@ -92,7 +93,7 @@
 }
 
 static void
-op_give_up(void *ctx, struct disp_req *d, enum err_kind kind, int64_t after)
+op_fail(void *ctx, struct disp_req *d, enum err_kind kind, int64_t after)
 {
 	struct gate_req *r = req_of(d);
 
@@ -100,7 +101,10 @@
 	gate_answer(r, kind, gate_req_ran(r), after);
 }
 
-/* Only what may be repeated is stopped, before any of its answer came. */
+/*
+ * Only requests that may be repeated are stopped, and only before any part of
+ * their response has come.
+ */
 static void
 op_stop(void *ctx, struct disp_req *d)
 {
@@ -121,13 +125,13 @@
 }
 
 static void
-op_peek(void *ctx, struct pick_backend *b)
+op_query_load(void *ctx, struct pick_backend *b)
 {
 	gate_peek_start(ctx, b);
 }
 
 static void
-op_ended(void *ctx, const struct pick_backend *b, unsigned there)
+op_crashed(void *ctx, const struct pick_backend *b, unsigned there)
 {
 	struct gate_shard *s = ctx;
 
@@ -145,7 +149,7 @@
 	(void)b;
 }
 
-/* Pass the request to r->peer. */
+/* Forwards the request to r->peer. */
 void
 gate_try_home(struct gate_req *r)
 {
@@ -166,7 +170,7 @@
 }
 
 static void
-leave_home(struct gate_req *r)
+leave_owner(struct gate_req *r)
 {
 	if (r->peer == NULL)
 		return;
@@ -176,8 +180,9 @@
 }
 
 /*
- * Without a word of the backend server that it refused before running, a 5xx
- * may have run.  Another gate says so in our own dialect.
+ * A request with a 5xx response may have run, unless the backend server states
+ * that it refused the request before running it.  Another gate states that in
+ * the dialect dial_fern.
  */
 static enum disp_outcome
 outcome_of(
@@ -192,18 +197,24 @@
 	return status >= 500 ? DISP_FAILED : DISP_OK;
 }
 
-/* Why a home answers by itself; ERR_NONE if a backend server has answered. */
+/*
+ * Returns the error for which the owner itself answered; ERR_NONE if the
+ * response is that of a backend server.
+ */
 static enum err_kind
-home_error(const h2o_header_t *headers, size_t n)
+owner_error(const h2o_header_t *headers, size_t n)
 {
 	struct str name = dial_header(headers, n, STR_LIT("fern-error"));
 
 	return name.n > 0 ? err_by_name(name) : ERR_NONE;
 }
 
-/* A home that could not even decide leaves the request to us. */
+/*
+ * Returns whether the owner could not schedule the request, so that this gate
+ * is to route it again.
+ */
 static bool
-home_declined(enum err_kind kind)
+owner_declined(enum err_kind kind)
 {
 	static const enum err_kind kinds[] = {
 	    ERR_LEAVING, ERR_NOT_READY, ERR_NO_RULE, ERR_NO_SERVICE};
@@ -215,16 +226,19 @@
 	return false;
 }
 
-/* Another hall has nothing that can be used, but this one has by now. */
+/*
+ * Returns whether the other hall has no usable backend servers, but this one
+ * has some by now.
+ */
 static bool
-serves_better_here(const struct gate_req *r, enum err_kind kind)
+is_usable_here_only(const struct gate_req *r, enum err_kind kind)
 {
 	return kind == ERR_NO_BACKEND && r->shard != NULL &&
 	    disp_usable(r->shard->disp) > 0;
 }
 
 static bool
-retry_home(struct gate_req *r)
+route_again(struct gate_req *r)
 {
 	gate_req_event(r, REQ_EV_RETRY);
 	cnt_add(r->gate->cnt, GC_RETRIES, 1);
@@ -233,25 +247,25 @@
 }
 
 static bool
-head_from_home(
+head_from_owner(
     struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
 	enum disp_outcome outcome = outcome_of(r, status, headers, n);
-	enum err_kind kind = home_error(headers, n);
+	enum err_kind kind = owner_error(headers, n);
 
-	if ((!home_declined(kind) && !serves_better_here(r, kind)) ||
+	if ((!owner_declined(kind) && !is_usable_here_only(r, kind)) ||
 	    r->passes > HOPS_MAX) {
 		r->maybe_ran = r->maybe_ran || outcome != DISP_REFUSED;
 		r->refused = !r->maybe_ran;
 		return false;
 	}
-	leave_home(r);
-	return retry_home(r);
+	leave_owner(r);
+	return route_again(r);
 }
 
 /*
- * A refusal is not handed on as it is: whether the request has run depends
- * on its earlier tries too.
+ * A refusal is not sent to the caller as it is, since whether the request ran
+ * depends on its earlier attempts too.
  */
 static bool
 end_refused(struct gate_req *r, enum disp_outcome outcome)
@@ -270,7 +284,7 @@
 	enum disp_outcome outcome;
 
 	if (r->peer != NULL)
-		return head_from_home(r, status, headers, n);
+		return head_from_owner(r, status, headers, n);
 	gate_word_answer(r, status, headers, n);
 	outcome = outcome_of(r, status, headers, n);
 	if (outcome == DISP_OK)
@@ -292,61 +306,63 @@
 	return true;
 }
 
-/* The whole answer is here; the slot is free again. */
+/* The response is complete; frees the slot. */
 void
 gate_try_end(struct gate_req *r)
 {
-	leave_home(r);
+	leave_owner(r);
 	if (r->d.at != NULL)
 		disp_done(r->shard->disp, &r->d, DISP_OK);
 }
 
 /*
- * A home that is lost with a request may have sent it to a backend server,
- * and moved it to another one; nothing was charged for it that we know of.
+ * Counts the attempts of a request at an owner that was lost.  The owner may
+ * have sent it to a backend server and moved it to a second one.  Whether it
+ * charged the retry budget is not known.
  */
 static void
-count_lost_try(struct gate_req *r)
+count_lost_attempts(struct gate_req *r)
 {
 	r->maybe_ran = true;
-	r->d.tries += LOST_TRIES;
+	r->d.tries += LOST_ATTEMPTS;
 	r->d.paid = false;
 }
 
-/* May it be sent to one more backend server? */
+/* Returns whether the request may be sent to one more backend server. */
 static bool
-may_try_more(const struct gate_req *r)
+has_attempts_left(const struct gate_req *r)
 {
 	return r->d.attempts == 0 || r->d.tries < r->d.attempts;
 }
 
 static void
-home_failed(struct gate_req *r, enum err_kind kind)
+owner_failed(struct gate_req *r, enum err_kind kind)
 {
 	struct gate_peer *p = r->peer;
 
-	leave_home(r);
+	leave_owner(r);
 	gate_home_suspect(r->gate, p,
 	    kind == ERR_CONNECT ? "no connection" : "the connection broke");
 	if (r->started)
 		return;
 	if (kind != ERR_CONNECT)
-		count_lost_try(r);
-	if (kind != ERR_CONNECT && !may_try_more(r))
+		count_lost_attempts(r);
+	if (kind != ERR_CONNECT && !has_attempts_left(r))
 		gate_answer(r, kind, RAN_UNKNOWN, 0);
 	else if ((kind == ERR_CONNECT || r->d.repeatable) &&
 	    r->passes <= HOPS_MAX)
-		retry_home(r);
+		route_again(r);
 	else
 		gate_answer(r, kind, gate_req_ran(r), 0);
 }
 
 /*
- * A connection to a backend server broke.  Whether the server has ended, or
- * only this connection, is told by the lines of the others that were there.
+ * Logs that a connection to a backend server broke.  The lines of the other
+ * requests that were there tell whether the server has crashed or only this
+ * connection broke.
  */
 static void
-note_broken(struct gate_req *r, enum err_kind kind)
+log_broken_attempt(struct gate_req *r, enum err_kind kind)
 {
 	const struct pick_backend *b = r->d.at;
 
@@ -365,22 +381,22 @@
 {
 	enum disp_outcome outcome =
 	    kind == ERR_CONNECT ? DISP_CONNECT : DISP_CUT;
-	bool again;
+	bool retried;
 
 	if (r->peer != NULL) {
-		home_failed(r, kind);
+		owner_failed(r, kind);
 		return;
 	}
 	if (r->d.at == NULL)
 		return;
 	if (kind != ERR_CONNECT)
 		r->maybe_ran = true;
-	note_broken(r, kind);
+	log_broken_attempt(r, kind);
 	r->d.may_retry = !r->started;
 	if (!r->started)
 		gate_req_event(r, REQ_EV_RETRY);
-	again = disp_done(r->shard->disp, &r->d, outcome);
-	if (again)
+	retried = disp_done(r->shard->disp, &r->d, outcome);
+	if (retried)
 		cnt_add(r->gate->cnt, GC_RETRIES, 1);
 	else if (!r->started)
 		gate_answer(r, kind, gate_req_ran(r), 0);
@@ -390,7 +406,7 @@
 gate_try_abandon(struct gate_req *r, enum disp_outcome outcome)
 {
 	gate_flow_stop(r);
-	leave_home(r);
+	leave_owner(r);
 	r->d.may_retry = false;
 	if (r->d.held)
 		disp_forget(r->shard->disp, &r->d);
@@ -399,40 +415,42 @@
 }
 
 /*
- * Is the request better brought elsewhere, now that its home does not answer?
- * A home may be slow only: what cannot be tried once more is left there, as
- * its answer may still come.
+ * Returns whether a request is to be routed again as its owner does not answer.
+ * The owner may only be slow: a request that has no attempts left stays there,
+ * as its response may still come.
  */
 static bool
-may_leave(const struct gate_req *r)
+may_reroute(const struct gate_req *r)
 {
 	if (!r->d.repeatable || r->started || r->passes > HOPS_MAX)
 		return false;
 	return r->state != REQ_SENT || r->d.attempts == 0 ||
-	    r->d.tries + LOST_TRIES < r->d.attempts;
+	    r->d.tries + LOST_ATTEMPTS < r->d.attempts;
 }
 
-/* A home is given up: what may be repeated is brought elsewhere now. */
+/*
+ * An owner is suspected: requests there that may be repeated are routed again.
+ */
 void
 gate_req_home_lost(struct gate *g, struct gate_peer *p)
 {
 	GPtrArray *lost = g_ptr_array_new();
 	struct gate_req *r;
-	GList *at;
+	GList *link;
 	guint i;
 
-	for (at = g->reqs.head; at != NULL; at = at->next) {
-		r = at->data;
-		if (r->peer == p && may_leave(r))
+	for (link = g->reqs.head; link != NULL; link = link->next) {
+		r = link->data;
+		if (r->peer == p && may_reroute(r))
 			g_ptr_array_add(lost, r);
 	}
 	for (i = 0; i < lost->len; i++) {
 		r = g_ptr_array_index(lost, i);
 		if (r->state == REQ_SENT)
-			count_lost_try(r);
+			count_lost_attempts(r);
 		gate_flow_stop(r);
-		leave_home(r);
-		retry_home(r);
+		leave_owner(r);
+		route_again(r);
 	}
 	g_ptr_array_free(lost, TRUE);
 }
--- a/gate_word.c
+++ b/gate_word.c
@@ -12,13 +12,16 @@
 #include "slog.h"
 
 /*
- * What backend servers say of themselves with their answers, to requests and
- * to questions: brought to the shard, and told in the log.
+ * Reports that backend servers make about themselves in responses to requests
+ * and to load queries: they are applied to the shard, and changes are logged.
  */
 
-/* One that is told wrong each time gets one line. */
+/*
+ * Logs a malformed report.  A backend server whose reports are always malformed
+ * gets one line.
+ */
 static void
-note_malformed(struct gate *g, struct pick_backend *b, struct str id)
+log_malformed(struct gate *g, struct pick_backend *b, struct str id)
 {
 	cnt_add(g->cnt, GC_MALFORMED, 1);
 	if (!b->malformed)
@@ -29,18 +32,18 @@
 }
 
 static void
-note_quota(
+log_quota(
     const struct gate_shard *s, struct str backend, struct str id, double rate)
 {
 	slog_decision(SLOG_PICK,
 	    rate > 0 ? "a backend server says how many requests it takes"
-		     : "a backend server takes any number again",
+		     : "a backend server has no rate limit any more",
 	    "id=%.*s service=%.*s backend=%.*s a_second=%.2f", STR_ARG(id),
 	    STR_ARG(s->service), STR_ARG(backend), rate);
 }
 
 static void
-note_leaving(const struct gate_shard *s, struct str backend, struct str id)
+log_leaving(const struct gate_shard *s, struct str backend, struct str id)
 {
 	slog_decision(SLOG_PICK, "a backend server says that it leaves",
 	    "id=%.*s service=%.*s backend=%.*s", STR_ARG(id),
@@ -48,21 +51,22 @@
 }
 
 static void
-note_rest(const struct gate_shard *s, struct str backend, struct str id,
-    int64_t rest_ms)
+log_pause(const struct gate_shard *s, struct str backend, struct str id,
+    int64_t pause_ms)
 {
 	cnt_add(s->gate->cnt, GC_RESTS, 1);
 	slog_decision(SLOG_PICK, "a backend server asks for a rest",
 	    "id=%.*s service=%.*s backend=%.*s rest_ms=%lld", STR_ARG(id),
-	    STR_ARG(s->service), STR_ARG(backend), (long long)rest_ms);
+	    STR_ARG(s->service), STR_ARG(backend), (long long)pause_ms);
 }
 
 /*
- * An answer that says nothing of a limit ends it; but a refusal may be written
- * where the limit is not known.
+ * Returns whether a response tells the rate limit.  A response without a limit
+ * ends the limit, except for refusals, as the part of a backend server that
+ * refuses may not know the limit.
  */
 static bool
-tells_quota(const struct gate_req *r, int status, const h2o_header_t *headers,
+states_quota(const struct gate_req *r, int status, const h2o_header_t *headers,
     size_t n, const struct dial_word *word)
 {
 	return word->limit > 0 ||
@@ -70,11 +74,13 @@
 }
 
 /*
- * What it has said by now is kept beside its entry, and told to others.  One
- * that may take back that it leaves tells that to probes, and they tell it.
+ * Stores the current report of a backend server, which outlives its
+ * configuration, and sends it to other gates.  In dialects where a backend
+ * server may cancel that it is leaving, this is not stored: the probes of each
+ * box find it.
  */
 static void
-keep(struct gate *g, const struct pick_backend *b)
+store_report(struct gate *g, const struct pick_backend *b)
 {
 	struct word w = {.backend = b->name,
 	    .born_ms = b->born_ms,
@@ -86,25 +92,28 @@
 	gate_words_hear(g, &w);
 }
 
-/* The answer is to what was sent at a time, a request's or a question's. */
+/*
+ * Applies a report.  `sent` is when the request or load query that it answers
+ * was sent.
+ */
 static void
-take(struct gate_shard *s, struct pick_backend *b, struct str id,
-    const struct dial_word *word, int64_t sent, bool quota)
+apply(struct gate_shard *s, struct pick_backend *b, struct str id,
+    const struct dial_word *word, int64_t sent, bool has_quota)
 {
-	bool news = false;
+	bool changed = false;
 
 	if (word->malformed)
-		note_malformed(s->gate, b, id);
+		log_malformed(s->gate, b, id);
 	if (word->leaves && disp_leaves_told(b))
-		note_leaving(s, b->name, id);
+		log_leaving(s, b->name, id);
 	if (disp_rest_told(s->disp, b, word->rest_ms * NS_MS))
-		note_rest(s, b->name, id, word->rest_ms);
-	if (quota && disp_quota_told(s->disp, b, word->limit, sent)) {
-		note_quota(s, b->name, id, word->limit);
-		news = true;
+		log_pause(s, b->name, id, word->rest_ms);
+	if (has_quota && disp_quota_told(s->disp, b, word->limit, sent)) {
+		log_quota(s, b->name, id, word->limit);
+		changed = true;
 	}
-	if (news || word->limit > 0 || word->leaves || word->rest_ms > 0)
-		keep(s->gate, b);
+	if (changed || word->limit > 0 || word->leaves || word->rest_ms > 0)
+		store_report(s->gate, b);
 }
 
 void
@@ -115,18 +124,24 @@
 	struct gate_shard *s = r->shard;
 	struct dial_word word;
 
-	/* Another backend server has the address, and speaks of itself. */
+	/*
+	 * Another backend server has the address now; the report is about that
+	 * one.
+	 */
 	if (dial->moved(status, headers, n))
 		return;
 	dial->word(status, headers, n, &word);
 	if (word.tells_load)
 		disp_load_told(s->disp, r->d.at, word.load.running,
 		    word.load.waiting, word.load.pace);
-	take(s, r->d.at, r->name, &word, r->d.sent,
-	    tells_quota(r, status, headers, n, &word));
+	apply(s, r->d.at, r->name, &word, r->d.sent,
+	    states_quota(r, status, headers, n, &word));
 }
 
-/* Where answers to requests name a limit, those to questions may not. */
+/*
+ * Responses to requests may state a limit where responses to load queries do
+ * not, so a query's response without a limit does not end the limit.
+ */
 void
 gate_word_peeked(
     struct gate_shard *s, struct pick_backend *b, const struct dial_word *word)
@@ -137,5 +152,5 @@
 				      : "a backend server is warm",
 		    "backend=%.*s service=%.*s cold_ms=%lld", STR_ARG(b->name),
 		    STR_ARG(s->service), (long long)word->cold_ms);
-	take(s, b, str_c(NULL), word, b->peeked_at, word->limit > 0);
+	apply(s, b, str_c(NULL), word, b->peeked_at, word->limit > 0);
 }
--- a/gate_words.c
+++ b/gate_words.c
@@ -13,23 +13,24 @@
 #include "libgate.h"
 
 /*
- * Gates tell one another what backend servers said of themselves, so that the
- * next home of a shard goes on with it.  That one leaves is told to all hubs at
- * once: a single request too many is lost with it.  A limit may change many
- * times a second, so it is told by turns to the hubs of our hall, one of which
- * is the next home.  All else goes to one hub of all at random: from n hubs
- * each hears of it within some seconds, whoever restarts.
+ * Gates exchange what backend servers reported about themselves, so that the
+ * next owner of a shard knows it.  That a backend server is leaving is sent to
+ * all hubs at once, as a request that it still gets may be lost.  A rate limit
+ * may change many times a second, so changes are sent periodically to the hubs
+ * of this hall, one of which will be the next owner.  All reports are also sent
+ * periodically, as a list to one hub at random: with n hubs each of them
+ * receives them within some seconds, so restarted hubs do too.
  *
- * A list has LIST_MAX words at most, 2 KB, and nothing is sent where backend
- * servers say nothing of the kind.
+ * A list has at most LIST_MAX reports, 2 KB.  Nothing is sent while there are
+ * no reports.
  */
-#define NEWS_NS (250 * NS_MS)
-#define TURN_NS (1 * NS_S)
+#define CHANGES_INTERVAL_NS (250 * NS_MS)
+#define LIST_INTERVAL_NS (1 * NS_S)
 
 enum { LIST_MAX = 32, MILLI = 1000 };
 
 static void
-write_word(struct msg_word *out, const struct word *w, int64_t now)
+encode_report(struct msg_word *out, const struct word *w, int64_t now)
 {
 	*out = (struct msg_word){.backend = w->backend,
 	    .born_ms = (uint64_t)w->born_ms,
@@ -38,9 +39,9 @@
 	    .heard_ms = (uint64_t)(MAX(now - w->heard, 0) / NS_MS)};
 }
 
-/* An age beyond the start of our clock counts as of then. */
+/* An age that exceeds the uptime is read as the uptime. */
 static void
-read_word(struct word *out, const struct msg_word *in, int64_t now)
+decode_report(struct word *out, const struct msg_word *in, int64_t now)
 {
 	uint64_t age = MIN(in->heard_ms, (uint64_t)(now / NS_MS));
 
@@ -51,10 +52,13 @@
 	    .heard = now - (int64_t)age * NS_MS};
 }
 
-/* Send words to one gate, or to all that are listed, or to those near. */
+/*
+ * Sends reports to one gate, or, if `to` is NULL, to all that are listed, only
+ * to those of this hall if same_hall is set.
+ */
 static void
-tell(struct gate *g, const struct word *words, unsigned n,
-    const struct gate_peer *to, bool near)
+send_reports(struct gate *g, const struct word *reports, unsigned n,
+    const struct gate_peer *to, bool same_hall)
 {
 	struct msg_word items[LIST_MAX];
 	struct msg m = {.kind = MSG_WORDS};
@@ -62,48 +66,47 @@
 	unsigned i;
 
 	for (i = 0; i < n; i++)
-		write_word(&items[i], &words[i], clk_ns(g->clk));
+		encode_report(&items[i], &reports[i], clk_ns(g->clk));
 	m.u.words.words = (struct msg_list){items, n};
 	for (i = 0; i < g->peers->len; i++) {
 		p = g_ptr_array_index(g->peers, i);
 		if (!p->listed || (to != NULL && to != p) ||
-		    (near && !str_eq(p->info.hall, g->set.hall)))
+		    (same_hall && !str_eq(p->info.hall, g->set.hall)))
 			continue;
 		wire_send(g->wire, p->info.gate_inbox, &m);
 	}
 }
 
 static void
-tell_list(struct gate *g, const struct gate_peer *to)
+send_list(struct gate *g, const struct gate_peer *to)
 {
-	struct word words[LIST_MAX];
-	unsigned n = words_list(g->words, words, LIST_MAX);
+	struct word reports[LIST_MAX];
+	unsigned n = words_list(g->words, reports, LIST_MAX);
 
 	if (n > 0)
-		tell(g, words, n, to, false);
+		send_reports(g, reports, n, to, false);
 }
 
 static void
-tell_news(struct gate *g)
+send_changes(struct gate *g)
 {
-	struct word words[LIST_MAX];
-	unsigned n = words_untold(g->words, words, LIST_MAX);
+	struct word reports[LIST_MAX];
+	unsigned n = words_untold(g->words, reports, LIST_MAX);
 
 	if (n > 0)
-		tell(g, words, n, NULL, true);
+		send_reports(g, reports, n, NULL, true);
 }
 
 void
 gate_words_hear(struct gate *g, const struct word *w)
 {
-	const struct word *before =
-	    words_find(g->words, w->backend, w->born_ms);
-	bool left = before != NULL && before->leaves;
+	const struct word *known = words_find(g->words, w->backend, w->born_ms);
+	bool was_leaving = known != NULL && known->leaves;
 
 	if (!words_take(g->words, w))
 		return;
-	if (w->leaves && !left)
-		tell(g, w, 1, NULL, false);
+	if (w->leaves && !was_leaving)
+		send_reports(g, w, 1, NULL, false);
 	else
 		words_mark(g->words, w->backend);
 }
@@ -111,20 +114,20 @@
 void
 gate_words_tick(struct gate *g, int64_t now)
 {
-	unsigned at;
+	unsigned index;
 
-	if (now - g->words_told >= NEWS_NS) {
+	if (now - g->words_told >= CHANGES_INTERVAL_NS) {
 		g->words_told = now;
-		tell_news(g);
+		send_changes(g);
 	}
-	if (now - g->words_turn < TURN_NS)
+	if (now - g->words_turn < LIST_INTERVAL_NS)
 		return;
 	g->words_turn = now;
 	words_tick(g->words, now);
 	if (g->peers->len == 0)
 		return;
-	at = (unsigned)rnd_below(g->rnd, g->peers->len);
-	tell_list(g, g_ptr_array_index(g->peers, at));
+	index = (unsigned)rnd_below(g->rnd, g->peers->len);
+	send_list(g, g_ptr_array_index(g->peers, index));
 }
 
 void
@@ -133,16 +136,16 @@
 	const struct msg_word *v = m->words.items;
 	int64_t now = clk_ns(g->clk);
 	GHashTableIter it;
-	struct word word;
-	bool news = false;
+	struct word report;
+	bool changed = false;
 	gpointer value;
 	size_t i;
 
 	for (i = 0; i < MIN(m->words.n, (size_t)LIST_MAX); i++) {
-		read_word(&word, &v[i], now);
-		news = words_take(g->words, &word) || news;
+		decode_report(&report, &v[i], now);
+		changed = words_take(g->words, &report) || changed;
 	}
-	if (!news)
+	if (!changed)
 		return;
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value))
@@ -152,5 +155,5 @@
 void
 gate_words_greet(struct gate *g, const struct gate_peer *p)
 {
-	tell_list(g, p);
+	send_list(g, p);
 }
