--- a/customer.c
+++ b/customer.c
@@ -13,13 +13,16 @@
 #include "customer.h"
 
 struct customers {
-	GPtrArray *all; /* struct customer * */
+	GPtrArray *list; /* struct customer * */
 	GHashTable *by_digest; /* char * to struct customer *, or `shared` */
 	GHashTable *by_name; /* char * to struct customer * */
 };
 
-/* In the place of those who have a key in common: it is nobody's. */
-static struct customer shared;
+/*
+ * Stands in by_digest for a key that several customers have, which is then
+ * valid for none.
+ */
+static struct customer shared_key;
 
 bool
 customer_digest(struct str key, char digest[CUSTOMER_DIGEST_SIZE])
@@ -40,7 +43,7 @@
 {
 	struct customers *c = g_new0(struct customers, 1);
 
-	c->all = g_ptr_array_new_with_free_func(g_free);
+	c->list = g_ptr_array_new_with_free_func(g_free);
 	c->by_digest =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	c->by_name =
@@ -53,37 +56,37 @@
 {
 	g_hash_table_destroy(c->by_digest);
 	g_hash_table_destroy(c->by_name);
-	g_ptr_array_free(c->all, TRUE);
+	g_ptr_array_free(c->list, TRUE);
 	g_free(c);
 }
 
 static void
-add_key(struct customers *c, struct customer *owner, const char *digest)
+add_key(struct customers *c, struct customer *customer, const char *digest)
 {
 	struct customer *other = g_hash_table_lookup(c->by_digest, digest);
 
 	if (digest[0] == '\0')
 		return;
-	if (other != NULL && other != owner)
-		owner = &shared;
-	g_hash_table_insert(c->by_digest, g_strdup(digest), owner);
+	if (other != NULL && other != customer)
+		customer = &shared_key;
+	g_hash_table_insert(c->by_digest, g_strdup(digest), customer);
 }
 
 void
 customers_add(
     struct customers *c, struct str name, const struct obj_customer *obj)
 {
-	struct customer *owner = g_new0(struct customer, 1);
+	struct customer *customer = g_new0(struct customer, 1);
 	char *text = g_strndup(obj->keys.p, obj->keys.n);
 	char **digests = g_strsplit(text, ",", -1);
 	int i;
 
-	owner->name = name;
-	owner->obj = obj;
-	g_ptr_array_add(c->all, owner);
-	g_hash_table_insert(c->by_name, g_strndup(name.p, name.n), owner);
+	customer->name = name;
+	customer->obj = obj;
+	g_ptr_array_add(c->list, customer);
+	g_hash_table_insert(c->by_name, g_strndup(name.p, name.n), customer);
 	for (i = 0; digests[i] != NULL; i++)
-		add_key(c, owner, digests[i]);
+		add_key(c, customer, digests[i]);
 	g_strfreev(digests);
 	g_free(text);
 }
@@ -91,7 +94,7 @@
 size_t
 customers_count(const struct customers *c)
 {
-	return c->all->len;
+	return c->list->len;
 }
 
 const struct customer *
@@ -103,7 +106,7 @@
 	if (!customer_digest(key, digest))
 		return NULL;
 	found = g_hash_table_lookup(c->by_digest, digest);
-	return found == &shared ? NULL : found;
+	return found == &shared_key ? NULL : found;
 }
 
 void
@@ -111,8 +114,8 @@
 {
 	guint i;
 
-	for (i = 0; i < c->all->len; i++)
-		visit(ctx, g_ptr_array_index(c->all, i));
+	for (i = 0; i < c->list->len; i++)
+		visit(ctx, g_ptr_array_index(c->list, i));
 }
 
 const struct customer *
--- a/customer.h
+++ b/customer.h
@@ -18,38 +18,50 @@
 #include "str.h"
 
 /*
- * Customers by their keys.  Only digests of keys are kept, so that no log,
- * message or memory of ours has a key, and a look-up tells nothing of one by
- * the time it takes.  Pure.
+ * Customers and their keys.  Only digests of keys are kept, so that no log,
+ * message or memory has a key, and the time of a lookup reveals nothing about
+ * it.  No I/O.
  */
 struct customer {
 	struct str name;
 	const struct obj_customer *obj;
 };
 
-/* The first 128 bits of a SHA-256, in hexadecimal digits, and a NUL. */
+/*
+ * Size of a digest: the first 128 bits of a SHA-256 in hexadecimal digits, and
+ * a NUL.  Keys longer than CUSTOMER_KEY_MAX bytes are not valid.
+ */
 enum { CUSTOMER_DIGEST_SIZE = 33, CUSTOMER_KEY_MAX = 512 };
 
-/* False if it can be nobody's key: it is empty, or too long. */
+/*
+ * Computes the digest of a key.  Returns false if the key is empty or too long,
+ * so that no customer can have it.
+ */
 bool customer_digest(struct str key, char digest[CUSTOMER_DIGEST_SIZE]);
 
 struct customers;
 struct customers *customers_new(void);
 void customers_free(struct customers *);
 
-/* Name and object must outlive the customers. */
+/*
+ * Adds a customer.  The name and the object are not copied and must outlive the
+ * customers.
+ */
 void
 customers_add(struct customers *, struct str name, const struct obj_customer *);
 size_t customers_count(const struct customers *);
 
-/* Whose key is it?  NULL: nobody's, or that of more than one. */
+/*
+ * Returns the customer that has the key; NULL if there is none or more than
+ * one.
+ */
 const struct customer *customers_find(const struct customers *, struct str key);
 
-/* Visit all. */
+/* Calls the function for each customer. */
 typedef void customers_visit_fn(void *, const struct customer *);
 void customers_each(const struct customers *, customers_visit_fn *, void *);
 
-/* One by its name; NULL if there is none. */
+/* Returns the customer of a name; NULL if there is none. */
 const struct customer *
 customers_named(const struct customers *, struct str name);
 
--- a/quota.c
+++ b/quota.c
@@ -15,7 +15,10 @@
 #include "clk.h"
 #include "quota.h"
 
-/* Held requests are looked at each 10 ms, and a look may come late. */
+/*
+ * Time that the bucket accumulates for.  Queued requests are dispatched every
+ * 10 ms, and a tick may be late.
+ */
 static const double BURST_S = 0.02;
 
 static double
@@ -27,15 +30,15 @@
 bool
 quota_told(struct quota *q, double rate, int64_t sent, int64_t now)
 {
-	bool less;
+	bool is_lower;
 
 	rate = MIN(rate, QUOTA_RATE_MAX);
-	less = rate > 0 && (q->rate == 0 || rate < q->rate);
+	is_lower = rate > 0 && (q->rate == 0 || rate < q->rate);
 	if (rate == q->rate) {
 		q->told = now;
 		return false;
 	}
-	if (!less && sent < q->told)
+	if (!is_lower && sent < q->told)
 		return false;
 	if (q->rate == 0)
 		q->bucket = (struct bucket){0, now};
@@ -53,11 +56,11 @@
 }
 
 double
-quota_by(const struct quota *q, int64_t now, int64_t then)
+quota_by(const struct quota *q, int64_t now, int64_t until)
 {
-	double held = bucket_holds(&q->bucket, q->rate, burst(q), now);
+	double tokens = bucket_holds(&q->bucket, q->rate, burst(q), now);
 
-	return floor(held + q->rate * (double)(then - now) / NS_S);
+	return floor(tokens + q->rate * (double)(until - now) / NS_S);
 }
 
 void
--- a/quota.h
+++ b/quota.h
@@ -17,36 +17,42 @@
 #include "limit.h"
 
 /*
- * How many requests a second a backend server in need takes from all boxes
- * together, by its own word.  Pure: times are handed in.
+ * The rate limit that an overloaded backend server sets, in requests a second
+ * from all boxes together.  No I/O: times are passed in.
  *
- * What was sent before its word is not known to be little, so the bucket begins
- * empty, and it holds one request, or what comes free between two looks.
+ * How many requests were sent before the limit arrived is not known, so the
+ * bucket starts empty.  It holds one request, or what accumulates between two
+ * ticks of the dispatcher.
  */
 struct quota {
-	double rate; /* requests a second; 0: any number */
-	int64_t told; /* when this was said last; 0: never */
+	double rate; /* requests a second; 0: no limit */
+	/* When this rate was last reported, monotonic ns; 0: never. */
+	int64_t told;
 	struct bucket bucket;
 };
 
-/* More than this is as good as any number. */
+/* Higher limits are lowered to this, which no box exceeds. */
 #define QUOTA_RATE_MAX 1e6
 
 /*
- * An answer to a request of the time `sent` says so many a second; 0: it says
- * nothing of it.  Answers overtake each other: less holds at once, more only by
- * the answer to a request that was sent after what holds was said.  True if
- * that changes what holds.
+ * Applies the limit in a response to a request that was sent at `sent`; 0 if
+ * the response states none.  Responses overtake each other, so a lower limit
+ * applies at once, a higher one only if the response is to a request that was
+ * sent after the current limit was reported.  Returns whether the limit
+ * changed.
  */
 bool quota_told(struct quota *, double rate, int64_t sent, int64_t now);
 
-/* How many requests it may get now; INT_MAX where it takes any number. */
+/* Returns how many requests may be sent now; INT_MAX without a limit. */
 int quota_free(const struct quota *, int64_t now);
 
-/* How many it takes from now to a later time; it has a rate. */
+/*
+ * Returns how many requests may be sent from now to a later time.  There must
+ * be a limit.
+ */
 double quota_by(const struct quota *, int64_t now, int64_t then);
 
-/* It gets one. */
+/* Takes one request out of the bucket. */
 void quota_sent(struct quota *, int64_t now);
 
 #endif
--- a/verdict.c
+++ b/verdict.c
@@ -12,21 +12,34 @@
 
 #include "verdict.h"
 
-/* Of each share of the old version the last so many answers count. */
-enum { MEMORY = 200 };
-/* Until it has answered, it is thought to have this share, of so many. */
-static const double PRIOR = 0.02;
+/*
+ * Number of recent responses that the old version's shares are averaged over.
+ */
+enum { WINDOW = 200 };
+/*
+ * Share that is assumed of the old version at first, with the weight of
+ * PRIOR_WEIGHT responses.
+ */
+static const double PRIOR_SHARE = 0.02;
 enum { PRIOR_WEIGHT = 20 };
 
-/* A sum beyond this convicts: by chance, about one in a million answers. */
-static const double CONVICTS = 13.8;
+/*
+ * Sum at which the new version counts as worse.  A version as good as the old
+ * one reaches it by chance about once in a million responses.
+ */
+static const double SUM_THRESHOLD = 13.8;
 
-/* What is counted, and how much worse than the old version is bad. */
+/*
+ * The outcomes that are counted, and how much larger a share of them makes a
+ * version bad.
+ */
 static const struct measure {
 	const char *why;
 	enum verdict_answer answer;
-	double least; /* share that the old version is thought to have */
-	double worse; /* share beyond that */
+	/* The old version's share is taken for at least this. */
+	double share_min;
+	/* Excess of a bad version's share over the old one's. */
+	double share_excess;
 } measures[] = {
     {"it fails more often", VERDICT_FAILED, 0.01, 0.08},
     {"it is several times slower", VERDICT_SLOW, 0.02, 0.3},
@@ -36,9 +49,9 @@
 
 struct verdict_kind {
 	unsigned kind;
-	unsigned n; /* answers of the old version, up to MEMORY */
-	double share[MEASURES]; /* of the old version */
-	double sum[MEASURES]; /* of the new version */
+	unsigned n; /* responses of the old version, up to WINDOW */
+	double share[MEASURES]; /* of the old version's responses */
+	double sum[MEASURES]; /* cumulative sums of the new version */
 };
 
 void
@@ -55,9 +68,9 @@
 }
 
 static struct verdict_kind *
-kind_of(struct verdict *v, unsigned kind)
+find_or_add_kind(struct verdict *v, unsigned kind)
 {
-	struct verdict_kind add = {.kind = kind, .n = PRIOR_WEIGHT};
+	struct verdict_kind new_kind = {.kind = kind, .n = PRIOR_WEIGHT};
 	struct verdict_kind *k;
 	guint i;
 
@@ -67,39 +80,43 @@
 			return k;
 	}
 	for (i = 0; i < MEASURES; i++)
-		add.share[i] = PRIOR;
-	g_array_append_val(v->kinds, add);
+		new_kind.share[i] = PRIOR_SHARE;
+	g_array_append_val(v->kinds, new_kind);
 	return &g_array_index(v->kinds, struct verdict_kind, v->kinds->len - 1);
 }
 
 void
 verdict_old(struct verdict *v, unsigned kind, enum verdict_answer answer)
 {
-	struct verdict_kind *k = kind_of(v, kind);
+	struct verdict_kind *k = find_or_add_kind(v, kind);
 	int i;
 
 	if (answer == VERDICT_NOTHING)
 		return;
-	k->n = MIN(k->n + 1, MEMORY);
+	k->n = MIN(k->n + 1, WINDOW);
 	for (i = 0; i < MEASURES; i++)
 		k->share[i] +=
 		    ((answer == measures[i].answer) - k->share[i]) / k->n;
 }
 
-/* Log-likelihood ratio of one answer: bad against as good as the old one. */
+/*
+ * Returns the log-likelihood ratio of one response: of a bad version against
+ * one as good as the old one.
+ */
 static double
-weight(const struct measure *m, double share, bool counts)
+log_likelihood_ratio(const struct measure *m, double share, bool has_outcome)
 {
-	double good = CLAMP(share, m->least, SHARE_MAX);
-	double bad = good + m->worse;
+	double good_share = CLAMP(share, m->share_min, SHARE_MAX);
+	double bad_share = good_share + m->share_excess;
 
-	return counts ? log(bad / good) : log((1 - bad) / (1 - good));
+	return has_outcome ? log(bad_share / good_share)
+			   : log((1 - bad_share) / (1 - good_share));
 }
 
 const char *
 verdict_new(struct verdict *v, unsigned kind, enum verdict_answer answer)
 {
-	struct verdict_kind *k = kind_of(v, kind);
+	struct verdict_kind *k = find_or_add_kind(v, kind);
 	const struct measure *m;
 	int i;
 
@@ -109,9 +126,10 @@
 	v->bad += answer != VERDICT_GOOD;
 	for (i = 0; i < MEASURES; i++) {
 		m = &measures[i];
-		k->sum[i] += weight(m, k->share[i], answer == m->answer);
+		k->sum[i] +=
+		    log_likelihood_ratio(m, k->share[i], answer == m->answer);
 		k->sum[i] = MAX(k->sum[i], 0);
-		if (k->sum[i] >= CONVICTS)
+		if (k->sum[i] >= SUM_THRESHOLD)
 			return m->why;
 	}
 	return NULL;
--- a/verdict.h
+++ b/verdict.h
@@ -16,38 +16,39 @@
 #include <stdint.h>
 
 /*
- * Whether a new version of a service answers worse than the old one, kind of
- * request by kind of request.  Pure.
+ * Decides whether a new version of a service answers worse than the old one,
+ * separately for each kind of request.  No I/O.
  *
- * Each answer of the new version moves two cumulative sums (CUSUM, Page 1954),
- * of failures and of slow answers, against the share that the old version has
- * of them lately.  What hits both versions alike moves none, and a version that
- * turns bad late is found as fast as one that is bad at once.
+ * Each response of the new version updates two cumulative sums (CUSUM, Page
+ * 1954), of failures and of slow responses, against the recent share of these
+ * in the old version's responses.  Faults that affect both versions alike do
+ * not raise the sums, and a version that degrades late is found as fast as one
+ * that is bad from the start.
  */
 
-/* How one try ended, as far as it speaks for or against a version. */
+/* Outcome of one attempt, as far as it counts for or against a version. */
 enum verdict_answer {
 	VERDICT_GOOD,
-	VERDICT_SLOW, /* several times the expected time */
+	VERDICT_SLOW, /* took several times the expected time */
 	VERDICT_FAILED,
-	VERDICT_NOTHING /* it says nothing of the version */
+	VERDICT_NOTHING /* says nothing about the version */
 };
 
 struct verdict {
 	GArray *kinds; /* struct verdict_kind */
-	uint64_t answers; /* of the new version that count */
-	uint64_t bad; /* of these */
+	uint64_t answers; /* responses of the new version that count */
+	uint64_t bad; /* those of them that are failed or slow */
 };
 
 void verdict_open(struct verdict *);
 void verdict_close(struct verdict *);
 
-/* The old version answered. */
+/* Adds a response of the old version. */
 void verdict_old(struct verdict *, unsigned kind, enum verdict_answer);
 
 /*
- * The new one did.  Not NULL if it is bad by now: a few words on why, valid for
- * ever.
+ * Adds a response of the new version.  Returns NULL, or a static string with
+ * the reason if the new version is worse by now.
  */
 const char *verdict_new(struct verdict *, unsigned kind, enum verdict_answer);
 
--- a/word.c
+++ b/word.c
@@ -13,21 +13,25 @@
 #include "clk.h"
 #include "word.h"
 
-/* One that leaves has ended by then, and one with a limit speaks again. */
-#define KEEP_NS (600 * NS_S)
+/*
+ * Time that a report is kept after its rate was received.  By then a leaving
+ * backend server has exited, and one with a limit has reported it again.
+ */
+#define REPORT_TTL_NS (600 * NS_S)
 
-/* Of so many backend servers, each with some 100 bytes. */
-enum { WORDS_MAX = 1024 };
+/* Most reports that are kept, each of some 100 bytes. */
+enum { REPORTS_MAX = 1024 };
 
 struct words {
-	GPtrArray *v; /* struct word * */
-	GHashTable *by_name; /* struct str * of a word to the word */
-	GPtrArray *untold; /* struct word *, of these */
-	guint turn; /* whose turn it is to be told */
+	GPtrArray *v; /* struct backend_report * */
+	GHashTable *by_name; /* struct str * in a report to the report */
+	/* struct backend_report *, those in v not sent yet. */
+	GPtrArray *unsent;
+	guint next; /* index in v where reports_next() continues */
 };
 
 static guint
-hash_name(gconstpointer p)
+name_hash(gconstpointer p)
 {
 	const struct str *s = p;
 	guint h = 5381;
@@ -39,7 +43,7 @@
 }
 
 static gboolean
-same_name(gconstpointer a, gconstpointer b)
+name_equal(gconstpointer a, gconstpointer b)
 {
 	return str_eq(*(const struct str *)a, *(const struct str *)b);
 }
@@ -59,8 +63,8 @@
 	struct words *ws = g_new0(struct words, 1);
 
 	ws->v = g_ptr_array_new_with_free_func(word_free);
-	ws->by_name = g_hash_table_new(hash_name, same_name);
-	ws->untold = g_ptr_array_new();
+	ws->by_name = g_hash_table_new(name_hash, name_equal);
+	ws->unsent = g_ptr_array_new();
 	return ws;
 }
 
@@ -68,37 +72,39 @@
 words_free(struct words *ws)
 {
 	g_hash_table_destroy(ws->by_name);
-	g_ptr_array_free(ws->untold, TRUE);
+	g_ptr_array_free(ws->unsent, TRUE);
 	g_ptr_array_free(ws->v, TRUE);
 	g_free(ws);
 }
 
 static void
-drop(struct words *ws, guint at)
+remove_at(struct words *ws, guint index)
 {
-	struct word *w = g_ptr_array_index(ws->v, at);
+	struct word *w = g_ptr_array_index(ws->v, index);
 
 	g_hash_table_remove(ws->by_name, &w->backend);
-	g_ptr_array_remove_fast(ws->untold, w);
-	g_ptr_array_remove_index_fast(ws->v, at);
+	g_ptr_array_remove_fast(ws->unsent, w);
+	g_ptr_array_remove_index_fast(ws->v, index);
 }
 
-/* Make room for one more, at the cost of what was heard longest ago. */
+/*
+ * Drops the report whose rate was received longest ago if there are too many.
+ */
 static void
-make_room(struct words *ws)
+evict_oldest(struct words *ws)
 {
-	const struct word *w, *old;
+	const struct word *w, *oldest_report;
 	guint i, oldest = 0;
 
-	if (ws->v->len < WORDS_MAX)
+	if (ws->v->len < REPORTS_MAX)
 		return;
 	for (i = 1; i < ws->v->len; i++) {
 		w = g_ptr_array_index(ws->v, i);
-		old = g_ptr_array_index(ws->v, oldest);
-		if (w->heard < old->heard)
+		oldest_report = g_ptr_array_index(ws->v, oldest);
+		if (w->heard < oldest_report->heard)
 			oldest = i;
 	}
-	drop(ws, oldest);
+	remove_at(ws, oldest);
 }
 
 static struct word *
@@ -106,22 +112,25 @@
 {
 	struct word *w = g_new0(struct word, 1);
 
-	make_room(ws);
+	evict_oldest(ws);
 	w->backend = str_dup(backend);
 	g_ptr_array_add(ws->v, w);
 	g_hash_table_insert(ws->by_name, &w->backend, w);
 	return w;
 }
 
-/* Are these two lives?  One whose start is unsaid may be any. */
+/*
+ * Returns whether two start times are those of different runs of a backend
+ * server.  An unknown one matches any.
+ */
 static bool
-is_another(int64_t born_ms, int64_t other_ms)
+is_other_start(int64_t born_ms, int64_t other_ms)
 {
 	return born_ms != 0 && other_ms != 0 && born_ms != other_ms;
 }
 
 static void
-begin_life(struct word *w, int64_t born_ms)
+reset(struct word *w, int64_t born_ms)
 {
 	struct str backend = w->backend;
 
@@ -129,28 +138,28 @@
 }
 
 bool
-words_take(struct words *ws, const struct word *said)
+words_take(struct words *ws, const struct word *new_report)
 {
-	struct word *w = g_hash_table_lookup(ws->by_name, &said->backend);
-	bool news;
+	struct word *w = g_hash_table_lookup(ws->by_name, &new_report->backend);
+	bool changed;
 
 	if (w == NULL)
-		w = add(ws, said->backend);
-	if (is_another(w->born_ms, said->born_ms)) {
-		if (said->born_ms < w->born_ms)
+		w = add(ws, new_report->backend);
+	if (is_other_start(w->born_ms, new_report->born_ms)) {
+		if (new_report->born_ms < w->born_ms)
 			return false;
-		begin_life(w, said->born_ms);
+		reset(w, new_report->born_ms);
 	}
-	w->born_ms = MAX(w->born_ms, said->born_ms);
-	w->rest_until = MAX(w->rest_until, said->rest_until);
-	news = said->leaves && !w->leaves;
-	w->leaves = w->leaves || said->leaves;
-	if (said->heard <= w->heard)
-		return news;
-	news = news || said->rate != w->rate;
-	w->rate = said->rate;
-	w->heard = said->heard;
-	return news;
+	w->born_ms = MAX(w->born_ms, new_report->born_ms);
+	w->rest_until = MAX(w->rest_until, new_report->rest_until);
+	changed = new_report->leaves && !w->leaves;
+	w->leaves = w->leaves || new_report->leaves;
+	if (new_report->heard <= w->heard)
+		return changed;
+	changed = changed || new_report->rate != w->rate;
+	w->rate = new_report->rate;
+	w->heard = new_report->heard;
+	return changed;
 }
 
 const struct word *
@@ -158,7 +167,7 @@
 {
 	const struct word *w = g_hash_table_lookup(ws->by_name, &backend);
 
-	return w == NULL || is_another(w->born_ms, born_ms) ? NULL : w;
+	return w == NULL || is_other_start(w->born_ms, born_ms) ? NULL : w;
 }
 
 void
@@ -168,8 +177,8 @@
 
 	if (w == NULL)
 		return;
-	g_ptr_array_remove_fast(ws->untold, w);
-	g_ptr_array_add(ws->untold, w);
+	g_ptr_array_remove_fast(ws->unsent, w);
+	g_ptr_array_add(ws->unsent, w);
 }
 
 unsigned
@@ -178,10 +187,10 @@
 	unsigned n = 0;
 	guint last;
 
-	while (n < max && ws->untold->len > 0) {
-		last = ws->untold->len - 1;
-		out[n] = *(struct word *)g_ptr_array_index(ws->untold, last);
-		g_ptr_array_remove_index_fast(ws->untold, last);
+	while (n < max && ws->unsent->len > 0) {
+		last = ws->unsent->len - 1;
+		out[n] = *(struct word *)g_ptr_array_index(ws->unsent, last);
+		g_ptr_array_remove_index_fast(ws->unsent, last);
 		n++;
 	}
 	return n;
@@ -194,10 +203,10 @@
 	const struct word *w;
 
 	for (i = 0; i < n; i++) {
-		w = g_ptr_array_index(ws->v, (ws->turn + i) % ws->v->len);
+		w = g_ptr_array_index(ws->v, (ws->next + i) % ws->v->len);
 		out[i] = *w;
 	}
-	ws->turn = n == 0 ? 0 : (ws->turn + n) % ws->v->len;
+	ws->next = n == 0 ? 0 : (ws->next + n) % ws->v->len;
 	return n;
 }
 
@@ -209,7 +218,7 @@
 
 	for (i = ws->v->len; i-- > 0;) {
 		w = g_ptr_array_index(ws->v, i);
-		if (now - w->heard >= KEEP_NS && now >= w->rest_until)
-			drop(ws, i);
+		if (now - w->heard >= REPORT_TTL_NS && now >= w->rest_until)
+			remove_at(ws, i);
 	}
 }
--- a/word.h
+++ b/word.h
@@ -17,19 +17,27 @@
 #include "str.h"
 
 /*
- * What backend servers said of themselves, kept beside the configuration: it
- * outlives their entries there, and boxes tell it one another, so that the next
- * home of a shard goes on with it.  Pure: times are handed in.
+ * Reports that backend servers made about themselves.  They are kept apart from
+ * the configuration and outlive the servers' entries there.  Boxes send them to
+ * each other, so that the next owner of a shard knows them.  No I/O:
+ * times are passed in.
  */
 
-/* What one said in one of its lives. */
+/*
+ * What a backend server reported since it was started.  A restart, which has
+ * another start time, makes the earlier reports void.
+ */
 struct word {
-	struct str backend; /* its name */
-	int64_t born_ms; /* start of that life, ms since 1970; 0: unsaid */
-	bool leaves; /* it wants nothing new */
-	double rate; /* requests a second from all boxes; 0: any number */
-	int64_t heard; /* monotonic ns, when some box heard the rate */
-	int64_t rest_until; /* monotonic ns; what it asked of this box alone */
+	struct str backend; /* name of the backend server */
+	int64_t born_ms; /* its start, ms since 1970; 0: unknown */
+	bool leaves; /* it is shutting down and accepts no new requests */
+	double rate; /* limit in requests a second from all boxes; 0: none */
+	int64_t heard; /* when a box received the rate, monotonic ns */
+	/*
+	 * End of a pause that it requested by Retry-After, of this box only;
+	 * monotonic ns.
+	 */
+	int64_t rest_until;
 };
 
 struct words;
@@ -38,26 +46,36 @@
 void words_free(struct words *);
 
 /*
- * Take what one said, to this box or another.  Of the rates the one that was
- * heard last holds; leaving holds for a life, and a later life begins anew.
- * True if that changes what other boxes should know.
+ * Merges a report that this box or another one received.  The rate that was
+ * received last applies.  Leaving lasts until the backend server restarts; the
+ * reports of a later start replace those of an earlier one.  Returns whether
+ * anything changed that other boxes need.
  */
 bool words_take(struct words *, const struct word *);
 
-/* What one said in a life; NULL if nothing is known. */
+/*
+ * Returns the report of a backend server with this start time; NULL if there is
+ * none.
+ */
 const struct word *
 words_find(const struct words *, struct str backend, int64_t born_ms);
 
-/* One has changed, and is to be told. */
+/* Marks the report of a backend server as changed and not sent yet. */
 void words_mark(struct words *, struct str backend);
 
-/* Some of those that are to be told, which they are then; how many. */
+/*
+ * Copies up to max reports that are not sent yet to `out`, marks them as sent,
+ * and returns their number.  The names belong to the reports.
+ */
 unsigned words_untold(struct words *, struct word *out, unsigned max);
 
-/* Some of all words, others of them each time; how many. */
+/*
+ * Copies up to max reports to `out`, continuing where the last call ended, and
+ * returns their number.  The names belong to the reports.
+ */
 unsigned words_list(struct words *, struct word *out, unsigned max);
 
-/* Forget what was heard too long ago. */
+/* Drops the reports that are too old. */
 void words_tick(struct words *, int64_t now);
 
 #endif
