--- a/gate_admit.c
+++ b/gate_admit.c
@@ -89,40 +89,40 @@
 admit_forwarded(struct gate_req *r)
 {
 	struct gate *g = r->gate;
-	struct gate_pass pass;
+	struct gate_pass forward;
 	const struct route_service *service;
 
-	if (!gate_pass_read(hsrv_header(r->req, GATE_PASS_HEADER), &pass)) {
+	if (!gate_pass_read(hsrv_header(r->req, GATE_PASS_HEADER), &forward)) {
 		gate_answer(r, ERR_BAD_REQUEST, RAN_NO, 0);
 		return;
 	}
-	service = route_service(g->routes, pass.service);
+	service = route_service(g->routes, forward.service);
 	if (service == NULL) {
 		gate_answer(r, ERR_NO_SERVICE, RAN_NO, 0);
 		return;
 	}
-	r->hops = (int)MIN(pass.hops, HOPS_MAX);
+	r->hops = (int)MIN(forward.hops, HOPS_MAX);
 	r->service = str_dup(service->name);
-	r->hall = str_dup(pass.hall);
-	r->regions = r->d.regions = str_dup(pass.regions);
-	r->customer = str_dup(pass.customer);
-	r->d.cls = pass.bulk ? CLASS_BULK : CLASS_INTERACTIVE;
-	r->d.repeatable = pass.repeatable;
+	r->hall = str_dup(forward.hall);
+	r->regions = r->d.regions = str_dup(forward.regions);
+	r->customer = str_dup(forward.customer);
+	r->d.cls = forward.bulk ? CLASS_BULK : CLASS_INTERACTIVE;
+	r->d.repeatable = forward.repeatable;
 	r->d.may_retry = true;
-	r->d.retried = pass.retried;
-	r->d.tries = (int)pass.tries;
-	r->d.paid = pass.paid;
-	r->left_ms = pass.left_ms;
-	r->waited_ms = pass.waited_ms;
-	r->d.attempts = (int)pass.attempts;
-	r->d.rank = (int)pass.rank;
-	r->d.kind = pass.kind;
-	r->d.print = pass.print;
-	if (pass.suspect)
-		poison_accuse(g->poison, pass.print);
-	r->maybe_ran = pass.retried;
-	if (pass.target_ms > 0)
-		r->d.target = r->began + pass.target_ms * NS_MS;
+	r->d.retried = forward.retried;
+	r->d.tries = (int)forward.tries;
+	r->d.paid = forward.paid;
+	r->left_ms = forward.left_ms;
+	r->waited_ms = forward.waited_ms;
+	r->d.attempts = (int)forward.attempts;
+	r->d.rank = (int)forward.rank;
+	r->d.kind = forward.kind;
+	r->d.print = forward.print;
+	if (forward.suspect)
+		poison_accuse(g->poison, forward.print);
+	r->maybe_ran = forward.retried;
+	if (forward.target_ms > 0)
+		r->d.target = r->began + forward.target_ms * NS_MS;
 	r->d.deadline = deadline_from_limit(r, service->obj->deadline_ms);
 	gate_req_set_deadline(r);
 	gate_req_route(r);
--- a/gate_claim.c
+++ b/gate_claim.c
@@ -118,18 +118,18 @@
 	gate_claim_fn *done = c->done;
 	void *ctx = c->ctx;
 	struct gate *g = c->gate;
-	bool ours = kind == ERR_NONE;
+	bool claimed = kind == ERR_NONE;
 
 	slog_decision(SLOG_CLAIM, "claim", "claim=%s result=%s", c->name,
 	    kind == ERR_NONE ? "ours" : err_answer(kind)->name);
 	if (kind == ERR_DUPLICATE)
 		cnt_add(g->cnt, GC_DUPLICATES, 1);
 	c->phase = PHASE_HELD;
-	if (!ours && c->maybe_there && kind != ERR_DUPLICATE)
+	if (!claimed && c->maybe_there && kind != ERR_DUPLICATE)
 		gate_claim_release(c);
-	else if (!ours)
+	else if (!claimed)
 		gate_claim_keep(c);
-	done(ctx, kind, ours);
+	done(ctx, kind, claimed);
 }
 
 /*
--- a/gate_flow.c
+++ b/gate_flow.c
@@ -75,7 +75,7 @@
 struct added_headers {
 	h2o_iovec_t names[ADDED_HEADERS_MAX];
 	char deadline[24];
-	char pass[GATE_PASS_MAX];
+	char forward[GATE_PASS_MAX];
 };
 
 static h2o_header_t
@@ -90,7 +90,7 @@
 static struct str
 forward_text(const struct gate_req *r, struct added_headers *added, int64_t now)
 {
-	struct gate_pass pass = {
+	struct gate_pass forward = {
 	    .hops = (unsigned)r->hops + 1,
 	    .bulk = r->d.cls == CLASS_BULK,
 	    .repeatable = r->d.repeatable,
@@ -112,9 +112,9 @@
 	};
 
 	if (r->d.target != 0)
-		pass.target_ms = MAX((r->d.target - now) / NS_MS, 1);
-	return str_n(added->pass,
-	    gate_pass_write(&pass, added->pass, sizeof(added->pass)));
+		forward.target_ms = MAX((r->d.target - now) / NS_MS, 1);
+	return str_n(added->forward,
+	    gate_pass_write(&forward, added->forward, sizeof(added->forward)));
 }
 
 /*
@@ -129,23 +129,23 @@
 	const struct dial *dial = r->gate->dial;
 	const h2o_headers_t *in = &r->req->headers;
 	int64_t now = clk_ns(r->gate->clk);
-	int64_t left = (r->d.deadline - now) / NS_MS;
-	struct str pass;
+	int64_t left_ms = (r->d.deadline - now) / NS_MS;
+	struct str forward;
 	size_t i, n = 0;
 
 	for (i = 0; i < in->size && n < HEADERS_MAX - ADDED_HEADERS_MAX; i++)
 		if (!is_hop_by_hop_header(in->entries[i].name, dial))
 			out[n++] = in->entries[i];
 	if (r->peer != NULL)
-		left -= FORWARD_MARGIN_MS;
+		left_ms -= FORWARD_MARGIN_MS;
 	snprintf(added->deadline, sizeof(added->deadline), "%lld",
-	    (long long)MAX(left, 1));
+	    (long long)MAX(left_ms, 1));
 	out[n] = added_header(added, 0, dial->deadline, str_c(added->deadline));
 	n++;
 	if (r->peer != NULL) {
-		pass = forward_text(r, added, now);
+		forward = forward_text(r, added, now);
 		out[n] =
-		    added_header(added, 1, STR_LIT(GATE_PASS_HEADER), pass);
+		    added_header(added, 1, STR_LIT(GATE_PASS_HEADER), forward);
 		n++;
 		return n;
 	}
--- a/gate_home.c
+++ b/gate_home.c
@@ -493,29 +493,30 @@
 {
 	const struct route_service *svc = route_service(g->routes, s->service);
 	struct msg m = {.kind = MSG_SUMMARY};
-	struct disp_room room;
+	struct disp_room capacity;
 
 	if (svc == NULL || svc->nhalls < 2 || !s->home ||
 	    now - s->told_at < g->set.summary_ms * NS_MS)
 		return;
-	room = disp_room_of(s->disp);
-	if (memcmp(&room, &s->told, sizeof(room)) == 0 &&
+	capacity = disp_room_of(s->disp);
+	if (memcmp(&capacity, &s->told, sizeof(capacity)) == 0 &&
 	    now - s->told_at < CAPACITY_RESEND_NS)
 		return;
-	s->told = room;
+	s->told = capacity;
 	s->told_at = now;
 	m.u.summary.service = s->service;
 	m.u.summary.hall = s->hall;
-	m.u.summary.slot_tenths = (uint64_t)lround(room.slots * SLOT_TENTHS);
-	m.u.summary.free = (uint64_t)room.free;
-	m.u.summary.waiting = (uint64_t)room.waiting;
+	m.u.summary.slot_tenths =
+	    (uint64_t)lround(capacity.slots * SLOT_TENTHS);
+	m.u.summary.free = (uint64_t)capacity.free;
+	m.u.summary.waiting = (uint64_t)capacity.waiting;
 	gate_home_tell(g, s, svc, &m);
 }
 
 void
 gate_home_summary(struct gate *g, const struct msg_summary *summary)
 {
-	struct disp_room room = {(double)summary->slot_tenths / SLOT_TENTHS,
+	struct disp_room capacity = {(double)summary->slot_tenths / SLOT_TENTHS,
 	    (int)summary->free, (int)summary->waiting};
 	struct gate_shard *s;
 	GHashTableIter it;
@@ -526,7 +527,7 @@
 		s = value;
 		if (str_eq(s->service, summary->service) &&
 		    !str_eq(s->hall, summary->hall))
-			disp_remote(s->disp, summary->hall, &room);
+			disp_remote(s->disp, summary->hall, &capacity);
 	}
 }
 
--- a/gate_pass.c
+++ b/gate_pass.c
@@ -84,19 +84,22 @@
 }
 
 size_t
-gate_pass_write(const struct gate_pass *p, char *out, size_t size)
+gate_pass_write(const struct gate_pass *forward, char *out, size_t size)
 {
-	struct str regions = p->regions.n > 0 ? p->regions : str_c(ANY_REGION);
+	struct str regions =
+	    forward->regions.n > 0 ? forward->regions : str_c(ANY_REGION);
 	int n = snprintf(out, size,
 	    "%u %u %u %u %u %u %u %u %u %lld %lld %lld %llx %llx %llx %u "
 	    "%.*s %.*s %c%.*s %.*s",
-	    p->hops, p->bulk, p->repeatable, p->retried, p->paid, p->tries,
-	    p->attempts, p->rank, p->kind, (long long)p->target_ms,
-	    (long long)p->left_ms, (long long)p->waited_ms,
-	    (unsigned long long)p->print.hi, (unsigned long long)p->print.lo,
-	    (unsigned long long)p->print.caller, p->suspect, STR_ARG(p->hall),
-	    STR_ARG(regions), CUSTOMER_PREFIX, STR_ARG(p->customer),
-	    STR_ARG(p->service));
+	    forward->hops, forward->bulk, forward->repeatable, forward->retried,
+	    forward->paid, forward->tries, forward->attempts, forward->rank,
+	    forward->kind, (long long)forward->target_ms,
+	    (long long)forward->left_ms, (long long)forward->waited_ms,
+	    (unsigned long long)forward->print.hi,
+	    (unsigned long long)forward->print.lo,
+	    (unsigned long long)forward->print.caller, forward->suspect,
+	    STR_ARG(forward->hall), STR_ARG(regions), CUSTOMER_PREFIX,
+	    STR_ARG(forward->customer), STR_ARG(forward->service));
 
 	return MIN((size_t)n, size - 1);
 }
--- a/gate_poison.c
+++ b/gate_poison.c
@@ -50,7 +50,7 @@
 }
 
 static void
-on_changed(void *ctx, struct fprint print, enum poison_verdict verdict)
+on_changed(void *ctx, struct fprint fingerprint, enum poison_verdict verdict)
 {
 	static const char *const messages[] = {
 	    [POISON_NONE] = "a request is cleared, it was answered",
@@ -60,7 +60,7 @@
 
 	(void)ctx;
 	slog_decision(SLOG_PICK, messages[verdict], "print=" FPRINT_FMT,
-	    FPRINT_ARG(print));
+	    FPRINT_ARG(fingerprint));
 }
 
 void
--- a/gate_rate.c
+++ b/gate_rate.c
@@ -135,36 +135,36 @@
  * would allow twice the rate.
  */
 static bool
-forward_query(struct gate *g, struct str from, const struct msg_ask *ask)
+forward_query(struct gate *g, struct str sender, const struct msg_ask *query)
 {
-	struct msg m = {.kind = MSG_ASK, .u.ask = *ask};
+	struct msg m = {.kind = MSG_ASK, .u.ask = *query};
 	struct gate_peer *p;
 	bool self;
 
-	if (ask->again || ask->asker.n > 0)
+	if (query->again || query->asker.n > 0)
 		return false;
-	p = gate_home_by_name(g, ask->customer, 0, &self);
+	p = gate_home_by_name(g, query->customer, 0, &self);
 	if (self)
 		return false;
-	m.u.ask.asker = from;
+	m.u.ask.asker = sender;
 	wire_send(g->wire, p->info.gate_inbox, &m);
 	return true;
 }
 
 void
-gate_rate_answer(struct gate *g, struct str from, const struct msg_ask *ask)
+gate_rate_answer(struct gate *g, struct str sender, const struct msg_ask *query)
 {
 	struct msg m = {.kind = MSG_GRANT};
 	int64_t wait;
 
-	if (forward_query(g, from, ask))
+	if (forward_query(g, sender, query))
 		return;
-	if (ask->asker.n > 0)
-		from = ask->asker;
-	m.u.grant.seq = ask->seq;
-	m.u.grant.granted = take_token(g, ask->customer, &wait);
+	if (query->asker.n > 0)
+		sender = query->asker;
+	m.u.grant.seq = query->seq;
+	m.u.grant.granted = take_token(g, query->customer, &wait);
 	m.u.grant.wait_us = (uint64_t)(wait / NS_US);
-	wire_send(g->wire, from, &m);
+	wire_send(g->wire, sender, &m);
 }
 
 void
--- a/gate_stat.c
+++ b/gate_stat.c
@@ -206,16 +206,17 @@
 static void
 print_service(void *ctx, const struct route_service *svc)
 {
-	struct owner_list *h = ctx;
+	struct owner_list *owners = ctx;
 	struct gate_peer *p;
 	struct str box;
 	unsigned i;
 	bool self;
 
 	for (i = 0; i < svc->nhalls; i++) {
-		p = gate_home(h->gate, svc->name, svc->halls[i].hall, &self);
-		box = self ? h->gate->set.box : p->info.box;
-		json_array_append_new(h->list,
+		p = gate_home(
+		    owners->gate, svc->name, svc->halls[i].hall, &self);
+		box = self ? owners->gate->set.box : p->info.box;
+		json_array_append_new(owners->list,
 		    json_pack("{s:s%, s:s%, s:s%, s:i}", "service", svc->name.p,
 			svc->name.n, "hall", svc->halls[i].hall.p,
 			svc->halls[i].hall.n, "home", box.p, box.n, "slots",
@@ -226,10 +227,10 @@
 static void
 page_homes(struct gate *g, h2o_req_t *req)
 {
-	struct owner_list h = {g, json_array()};
+	struct owner_list owners = {g, json_array()};
 
-	route_each(g->routes, print_service, &h);
-	answer_json(req, h.list);
+	route_each(g->routes, print_service, &owners);
+	answer_json(req, owners.list);
 }
 
 void
--- a/gate_try.c
+++ b/gate_try.c
@@ -93,12 +93,12 @@
 }
 
 static void
-op_fail(void *ctx, struct disp_req *d, enum err_kind kind, int64_t after)
+op_fail(void *ctx, struct disp_req *d, enum err_kind kind, int64_t retry_after)
 {
 	struct gate_req *r = req_of(d);
 
 	(void)ctx;
-	gate_answer(r, kind, gate_req_ran(r), after);
+	gate_answer(r, kind, gate_req_ran(r), retry_after);
 }
 
 /*
@@ -131,14 +131,14 @@
 }
 
 static void
-op_crashed(void *ctx, const struct pick_backend *b, unsigned there)
+op_crashed(void *ctx, const struct pick_backend *b, unsigned inflight)
 {
 	struct gate_shard *s = ctx;
 
 	cnt_add(s->gate->cnt, GC_ENDED, 1);
 	slog(SLOG_PICK, "a backend server ended with requests there",
 	    "service=%.*s backend=%.*s requests=%u", STR_ARG(s->service),
-	    STR_ARG(b->name), there);
+	    STR_ARG(b->name), inflight);
 	gate_poison_tick(s->gate, clk_ns(s->gate->clk));
 }
 
--- a/gate_word.c
+++ b/gate_word.c
@@ -67,10 +67,10 @@
  */
 static bool
 states_quota(const struct gate_req *r, int status, const h2o_header_t *headers,
-    size_t n, const struct dial_word *word)
+    size_t n, const struct dial_word *report)
 {
-	return word->limit > 0 ||
-	    (!word->malformed && !r->gate->dial->refused(status, headers, n));
+	return report->limit > 0 ||
+	    (!report->malformed && !r->gate->dial->refused(status, headers, n));
 }
 
 /*
@@ -82,14 +82,14 @@
 static void
 store_report(struct gate *g, const struct pick_backend *b)
 {
-	struct word w = {.backend = b->name,
+	struct word stored = {.backend = b->name,
 	    .born_ms = b->born_ms,
 	    .leaves = b->leaves && g->dial->leaves_for_life,
 	    .rate = b->quota.rate,
 	    .heard = clk_ns(g->clk),
 	    .rest_until = b->rest_until};
 
-	gate_words_hear(g, &w);
+	gate_words_hear(g, &stored);
 }
 
 /*
@@ -98,21 +98,22 @@
  */
 static void
 apply(struct gate_shard *s, struct pick_backend *b, struct str id,
-    const struct dial_word *word, int64_t sent, bool has_quota)
+    const struct dial_word *report, int64_t sent, bool has_quota)
 {
 	bool changed = false;
 
-	if (word->malformed)
+	if (report->malformed)
 		log_malformed(s->gate, b, id);
-	if (word->leaves && disp_leaves_told(b))
+	if (report->leaves && disp_leaves_told(b))
 		log_leaving(s, b->name, id);
-	if (disp_rest_told(s->disp, b, word->rest_ms * NS_MS))
-		log_pause(s, b->name, id, word->rest_ms);
-	if (has_quota && disp_quota_told(s->disp, b, word->limit, sent)) {
-		log_quota(s, b->name, id, word->limit);
+	if (disp_rest_told(s->disp, b, report->rest_ms * NS_MS))
+		log_pause(s, b->name, id, report->rest_ms);
+	if (has_quota && disp_quota_told(s->disp, b, report->limit, sent)) {
+		log_quota(s, b->name, id, report->limit);
 		changed = true;
 	}
-	if (changed || word->limit > 0 || word->leaves || word->rest_ms > 0)
+	if (changed || report->limit > 0 || report->leaves ||
+	    report->rest_ms > 0)
 		store_report(s->gate, b);
 }
 
@@ -122,7 +123,7 @@
 {
 	const struct dial *dial = r->gate->dial;
 	struct gate_shard *s = r->shard;
-	struct dial_word word;
+	struct dial_word report;
 
 	/*
 	 * Another backend server has the address now; the report is about that
@@ -130,12 +131,12 @@
 	 */
 	if (dial->moved(status, headers, n))
 		return;
-	dial->word(status, headers, n, &word);
-	if (word.tells_load)
-		disp_load_told(s->disp, r->d.at, word.load.running,
-		    word.load.waiting, word.load.pace);
-	apply(s, r->d.at, r->name, &word, r->d.sent,
-	    states_quota(r, status, headers, n, &word));
+	dial->word(status, headers, n, &report);
+	if (report.tells_load)
+		disp_load_told(s->disp, r->d.at, report.load.running,
+		    report.load.waiting, report.load.pace);
+	apply(s, r->d.at, r->name, &report, r->d.sent,
+	    states_quota(r, status, headers, n, &report));
 }
 
 /*
@@ -143,14 +144,14 @@
  * not, so a query's response without a limit does not end the limit.
  */
 void
-gate_word_peeked(
-    struct gate_shard *s, struct pick_backend *b, const struct dial_word *word)
+gate_word_peeked(struct gate_shard *s, struct pick_backend *b,
+    const struct dial_word *report)
 {
-	if (disp_cold_told(s->disp, b->name, word->cold_ms * NS_MS))
+	if (disp_cold_told(s->disp, b->name, report->cold_ms * NS_MS))
 		slog_decision(SLOG_PICK,
-		    word->cold_ms > 0 ? "a backend server is cold"
-				      : "a backend server is warm",
+		    report->cold_ms > 0 ? "a backend server is cold"
+					: "a backend server is warm",
 		    "backend=%.*s service=%.*s cold_ms=%lld", STR_ARG(b->name),
-		    STR_ARG(s->service), (long long)word->cold_ms);
-	apply(s, b, str_c(NULL), word, b->peeked_at, word->limit > 0);
+		    STR_ARG(s->service), (long long)report->cold_ms);
+	apply(s, b, str_c(NULL), report, b->peeked_at, report->limit > 0);
 }
--- a/gate_words.c
+++ b/gate_words.c
@@ -30,13 +30,13 @@
 enum { LIST_MAX = 32, MILLI = 1000 };
 
 static void
-encode_report(struct msg_word *out, const struct word *w, int64_t now)
+encode_report(struct msg_word *out, const struct word *report, int64_t now)
 {
-	*out = (struct msg_word){.backend = w->backend,
-	    .born_ms = (uint64_t)w->born_ms,
-	    .leaves = w->leaves,
-	    .rate_milli = (uint64_t)llround(w->rate * MILLI),
-	    .heard_ms = (uint64_t)(MAX(now - w->heard, 0) / NS_MS)};
+	*out = (struct msg_word){.backend = report->backend,
+	    .born_ms = (uint64_t)report->born_ms,
+	    .leaves = report->leaves,
+	    .rate_milli = (uint64_t)llround(report->rate * MILLI),
+	    .heard_ms = (uint64_t)(MAX(now - report->heard, 0) / NS_MS)};
 }
 
 /* An age that exceeds the uptime is read as the uptime. */
@@ -98,17 +98,18 @@
 }
 
 void
-gate_words_hear(struct gate *g, const struct word *w)
+gate_words_hear(struct gate *g, const struct word *report)
 {
-	const struct word *known = words_find(g->words, w->backend, w->born_ms);
+	const struct word *known =
+	    words_find(g->words, report->backend, report->born_ms);
 	bool was_leaving = known != NULL && known->leaves;
 
-	if (!words_take(g->words, w))
+	if (!words_take(g->words, report))
 		return;
-	if (w->leaves && !was_leaving)
-		send_reports(g, w, 1, NULL, false);
+	if (report->leaves && !was_leaving)
+		send_reports(g, report, 1, NULL, false);
 	else
-		words_mark(g->words, w->backend);
+		words_mark(g->words, report->backend);
 }
 
 void
--- a/word.c
+++ b/word.c
@@ -51,72 +51,72 @@
 static void
 word_free(void *p)
 {
-	struct word *w = p;
+	struct word *report = p;
 
-	str_free(&w->backend);
-	g_free(w);
+	str_free(&report->backend);
+	g_free(report);
 }
 
 struct words *
 words_new(void)
 {
-	struct words *ws = g_new0(struct words, 1);
+	struct words *reports = g_new0(struct words, 1);
 
-	ws->v = g_ptr_array_new_with_free_func(word_free);
-	ws->by_name = g_hash_table_new(name_hash, name_equal);
-	ws->unsent = g_ptr_array_new();
-	return ws;
+	reports->v = g_ptr_array_new_with_free_func(word_free);
+	reports->by_name = g_hash_table_new(name_hash, name_equal);
+	reports->unsent = g_ptr_array_new();
+	return reports;
 }
 
 void
-words_free(struct words *ws)
+words_free(struct words *reports)
 {
-	g_hash_table_destroy(ws->by_name);
-	g_ptr_array_free(ws->unsent, TRUE);
-	g_ptr_array_free(ws->v, TRUE);
-	g_free(ws);
+	g_hash_table_destroy(reports->by_name);
+	g_ptr_array_free(reports->unsent, TRUE);
+	g_ptr_array_free(reports->v, TRUE);
+	g_free(reports);
 }
 
 static void
-remove_at(struct words *ws, guint index)
+remove_at(struct words *reports, guint index)
 {
-	struct word *w = g_ptr_array_index(ws->v, index);
+	struct word *report = g_ptr_array_index(reports->v, index);
 
-	g_hash_table_remove(ws->by_name, &w->backend);
-	g_ptr_array_remove_fast(ws->unsent, w);
-	g_ptr_array_remove_index_fast(ws->v, index);
+	g_hash_table_remove(reports->by_name, &report->backend);
+	g_ptr_array_remove_fast(reports->unsent, report);
+	g_ptr_array_remove_index_fast(reports->v, index);
 }
 
 /*
  * Drops the report whose rate was received longest ago if there are too many.
  */
 static void
-evict_oldest(struct words *ws)
+evict_oldest(struct words *reports)
 {
-	const struct word *w, *oldest_report;
+	const struct word *report, *oldest_report;
 	guint i, oldest = 0;
 
-	if (ws->v->len < REPORTS_MAX)
+	if (reports->v->len < REPORTS_MAX)
 		return;
-	for (i = 1; i < ws->v->len; i++) {
-		w = g_ptr_array_index(ws->v, i);
-		oldest_report = g_ptr_array_index(ws->v, oldest);
-		if (w->heard < oldest_report->heard)
+	for (i = 1; i < reports->v->len; i++) {
+		report = g_ptr_array_index(reports->v, i);
+		oldest_report = g_ptr_array_index(reports->v, oldest);
+		if (report->heard < oldest_report->heard)
 			oldest = i;
 	}
-	remove_at(ws, oldest);
+	remove_at(reports, oldest);
 }
 
 static struct word *
-add(struct words *ws, struct str backend)
+add(struct words *reports, struct str backend)
 {
-	struct word *w = g_new0(struct word, 1);
+	struct word *report = g_new0(struct word, 1);
 
-	evict_oldest(ws);
-	w->backend = str_dup(backend);
-	g_ptr_array_add(ws->v, w);
-	g_hash_table_insert(ws->by_name, &w->backend, w);
-	return w;
+	evict_oldest(reports);
+	report->backend = str_dup(backend);
+	g_ptr_array_add(reports->v, report);
+	g_hash_table_insert(reports->by_name, &report->backend, report);
+	return report;
 }
 
 /*
@@ -130,95 +130,102 @@
 }
 
 static void
-reset(struct word *w, int64_t born_ms)
+reset(struct word *report, int64_t born_ms)
 {
-	struct str backend = w->backend;
+	struct str backend = report->backend;
 
-	*w = (struct word){.backend = backend, .born_ms = born_ms};
+	*report = (struct word){.backend = backend, .born_ms = born_ms};
 }
 
 bool
-words_take(struct words *ws, const struct word *new_report)
+words_take(struct words *reports, const struct word *new_report)
 {
-	struct word *w = g_hash_table_lookup(ws->by_name, &new_report->backend);
+	struct word *report =
+	    g_hash_table_lookup(reports->by_name, &new_report->backend);
 	bool changed;
 
-	if (w == NULL)
-		w = add(ws, new_report->backend);
-	if (is_other_start(w->born_ms, new_report->born_ms)) {
-		if (new_report->born_ms < w->born_ms)
+	if (report == NULL)
+		report = add(reports, new_report->backend);
+	if (is_other_start(report->born_ms, new_report->born_ms)) {
+		if (new_report->born_ms < report->born_ms)
 			return false;
-		reset(w, new_report->born_ms);
+		reset(report, new_report->born_ms);
 	}
-	w->born_ms = MAX(w->born_ms, new_report->born_ms);
-	w->rest_until = MAX(w->rest_until, new_report->rest_until);
-	changed = new_report->leaves && !w->leaves;
-	w->leaves = w->leaves || new_report->leaves;
-	if (new_report->heard <= w->heard)
+	report->born_ms = MAX(report->born_ms, new_report->born_ms);
+	report->rest_until = MAX(report->rest_until, new_report->rest_until);
+	changed = new_report->leaves && !report->leaves;
+	report->leaves = report->leaves || new_report->leaves;
+	if (new_report->heard <= report->heard)
 		return changed;
-	changed = changed || new_report->rate != w->rate;
-	w->rate = new_report->rate;
-	w->heard = new_report->heard;
+	changed = changed || new_report->rate != report->rate;
+	report->rate = new_report->rate;
+	report->heard = new_report->heard;
 	return changed;
 }
 
 const struct word *
-words_find(const struct words *ws, struct str backend, int64_t born_ms)
+words_find(const struct words *reports, struct str backend, int64_t born_ms)
 {
-	const struct word *w = g_hash_table_lookup(ws->by_name, &backend);
+	const struct word *report =
+	    g_hash_table_lookup(reports->by_name, &backend);
 
-	return w == NULL || is_other_start(w->born_ms, born_ms) ? NULL : w;
+	return report == NULL || is_other_start(report->born_ms, born_ms)
+	    ? NULL
+	    : report;
 }
 
 void
-words_mark(struct words *ws, struct str backend)
+words_mark(struct words *reports, struct str backend)
 {
-	struct word *w = g_hash_table_lookup(ws->by_name, &backend);
+	struct word *report = g_hash_table_lookup(reports->by_name, &backend);
 
-	if (w == NULL)
+	if (report == NULL)
 		return;
-	g_ptr_array_remove_fast(ws->unsent, w);
-	g_ptr_array_add(ws->unsent, w);
+	g_ptr_array_remove_fast(reports->unsent, report);
+	g_ptr_array_add(reports->unsent, report);
 }
 
 unsigned
-words_untold(struct words *ws, struct word *out, unsigned max)
+words_untold(struct words *reports, struct word *out, unsigned max)
 {
 	unsigned n = 0;
 	guint last;
 
-	while (n < max && ws->unsent->len > 0) {
-		last = ws->unsent->len - 1;
-		out[n] = *(struct word *)g_ptr_array_index(ws->unsent, last);
-		g_ptr_array_remove_index_fast(ws->unsent, last);
+	while (n < max && reports->unsent->len > 0) {
+		last = reports->unsent->len - 1;
+		out[n] =
+		    *(struct word *)g_ptr_array_index(reports->unsent, last);
+		g_ptr_array_remove_index_fast(reports->unsent, last);
 		n++;
 	}
 	return n;
 }
 
 unsigned
-words_list(struct words *ws, struct word *out, unsigned max)
+words_list(struct words *reports, struct word *out, unsigned max)
 {
-	unsigned i, n = MIN(ws->v->len, max);
-	const struct word *w;
+	unsigned i, n = MIN(reports->v->len, max);
+	const struct word *report;
 
 	for (i = 0; i < n; i++) {
-		w = g_ptr_array_index(ws->v, (ws->next + i) % ws->v->len);
-		out[i] = *w;
+		report = g_ptr_array_index(
+		    reports->v, (reports->next + i) % reports->v->len);
+		out[i] = *report;
 	}
-	ws->next = n == 0 ? 0 : (ws->next + n) % ws->v->len;
+	reports->next = n == 0 ? 0 : (reports->next + n) % reports->v->len;
 	return n;
 }
 
 void
-words_tick(struct words *ws, int64_t now)
+words_tick(struct words *reports, int64_t now)
 {
-	const struct word *w;
+	const struct word *report;
 	guint i;
 
-	for (i = ws->v->len; i-- > 0;) {
-		w = g_ptr_array_index(ws->v, i);
-		if (now - w->heard >= REPORT_TTL_NS && now >= w->rest_until)
-			remove_at(ws, i);
+	for (i = reports->v->len; i-- > 0;) {
+		report = g_ptr_array_index(reports->v, i);
+		if (now - report->heard >= REPORT_TTL_NS &&
+		    now >= report->rest_until)
+			remove_at(reports, i);
 	}
 }
