--- a/agent_box.c
+++ b/agent_box.c
@@ -35,9 +35,9 @@
 
 /* Fetch the list of boxes, and again until it comes. */
 void
-agent_box_list(struct agent *a)
+agent_box_fetch_list(struct agent *a)
 {
-	a->boxes_wanted = true;
+	a->boxes_pending = true;
 	tmr_set(&a->tmr, &a->boxes_timer, clk_ns(a->clk), on_boxes_due, a);
 }
 
@@ -45,21 +45,21 @@
 void
 agent_box_resume_calls(struct agent *a)
 {
-	if (a->boxes_wanted && a->boxes_call == NULL && !a->boxes_timer.set)
-		agent_box_list(a);
-	if (a->status_call == NULL && !a->status_timer.set)
-		agent_box_status_soon(a);
+	if (a->boxes_pending && a->boxes_call == NULL && !a->boxes_timer.armed)
+		agent_box_fetch_list(a);
+	if (a->status_call == NULL && !a->status_timer.armed)
+		agent_box_schedule_status(a);
 }
 
 static void
 on_boxes_due(void *ctx)
 {
 	struct agent *a = ctx;
-	struct plat_request rq = {.op = PLAT_BOXES};
+	struct plat_request rq = {.op = PLAT_LIST_BOXES};
 
-	if (a->boxes_call != NULL || agent_first_feed_asks(a))
+	if (a->boxes_call != NULL || agent_first_feed_only(a))
 		return;
-	a->boxes_call = agent_call(a, &rq, on_boxes, a);
+	a->boxes_call = agent_platform_call(a, &rq, on_boxes, a);
 	if (a->boxes_call == NULL)
 		tmr_set(&a->tmr, &a->boxes_timer,
 		    clk_ns(a->clk) + rnd_jitter(a->rnd, AGENT_RECHECK_NS),
@@ -101,8 +101,8 @@
 
 		if (info.box.n == 0)
 			continue;
-		memb_listed(a->memb, &info);
-		agent_poison_listed(a, json_object_get(box, "poison"));
+		memb_list_add(a->memb, &info);
+		agent_poison_merge_listed(a, json_object_get(box, "poison"));
 		a->is_listed = a->is_listed || is_own_entry(a, &info);
 	}
 }
@@ -113,18 +113,18 @@
 	struct agent *a = ctx;
 
 	a->boxes_call = NULL;
-	agent_call_ended(a, result);
+	agent_platform_call_ended(a, result);
 	if (result != PLAT_OK) {
 		tmr_set(&a->tmr, &a->boxes_timer,
-		    clk_ns(a->clk) + agent_backoff(a, a->boxes_fails++),
+		    clk_ns(a->clk) + agent_backoff(a, a->boxes_failures++),
 		    on_boxes_due, a);
 		return;
 	}
-	a->boxes_fails = 0;
-	a->boxes_wanted = false;
+	a->boxes_failures = 0;
+	a->boxes_pending = false;
 	take_boxes(a, body);
-	agent_poison_tell(a);
-	agent_peer_listed(a);
+	agent_poison_send_to_gate(a);
+	agent_peer_on_boxes_listed(a);
 }
 
 /*
@@ -135,7 +135,7 @@
 static bool
 wants_status(struct agent *a)
 {
-	return a->set.status_by == STATUS_BY_ALL || a->poison_unsaved ||
+	return a->settings.status_by == STATUS_BY_ALL || a->poison_unsaved ||
 	    (!a->is_listed && gossip_is_hub(a->gossip));
 }
 
@@ -143,11 +143,12 @@
 void
 agent_box_tick(struct agent *a)
 {
-	bool first = a->status_at == 0 && wants_status(a);
+	bool first = a->status_written_at == 0 && wants_status(a);
 
-	if (a->poison_unsaved || conf_digest(a->conf) != a->status_told ||
-	    (first && a->status_call == NULL && !a->status_timer.set))
-		agent_box_status_soon(a);
+	if (a->poison_unsaved ||
+	    conf_digest(a->conf) != a->status_conf_digest ||
+	    (first && a->status_call == NULL && !a->status_timer.armed))
+		agent_box_schedule_status(a);
 }
 
 /*
@@ -155,7 +156,7 @@
  * together stay within the platform's rate.
  */
 void
-agent_box_status_soon(struct agent *a)
+agent_box_schedule_status(struct agent *a)
 {
 	int64_t now = clk_ns(a->clk);
 	int64_t spread =
@@ -165,11 +166,12 @@
 	/* What ends backend servers is rare, and must outlive us. */
 	if (a->poison_unsaved)
 		at = now;
-	else if (a->status_at != 0)
-		at = MAX(at, a->status_at + a->set.status_ms * NS_MS);
-	a->status_told = conf_digest(a->conf);
+	else if (a->status_written_at != 0)
+		at = MAX(
+		    at, a->status_written_at + a->settings.status_ms * NS_MS);
+	a->status_conf_digest = conf_digest(a->conf);
 	if (a->status_call != NULL ||
-	    (a->status_timer.set && a->status_timer.item.deadline <= at))
+	    (a->status_timer.armed && a->status_timer.item.deadline <= at))
 		return;
 	tmr_set(&a->tmr, &a->status_timer, at, on_status_due, a);
 }
@@ -177,11 +179,12 @@
 static void
 add_rejected(void *ctx, const struct conf_entry *e)
 {
-	if (e->bad_version > 0)
+	if (e->rejected_version > 0)
 		json_array_append_new(ctx,
 		    json_pack("{s:s%, s:I, s:I, s:s}", "key", e->key.p,
-			e->key.n, "rejected", (json_int_t)e->bad_version,
-			"in_force", (json_int_t)e->version, "why", e->bad_why));
+			e->key.n, "rejected", (json_int_t)e->rejected_version,
+			"in_force", (json_int_t)e->version, "why",
+			e->rejected_reason));
 }
 
 static void
@@ -208,8 +211,9 @@
 	return json_pack(
 	    "{s:s%, s:s%, s:s%, s:I, s:I, s:I, s:s, s:s, s:b, s:b, "
 	    "s:i, s:o, s:o*}",
-	    "box", a->set.box.p, a->set.box.n, "hall", a->set.hall.p,
-	    a->set.hall.n, "inbox", a->set.inbox.p, a->set.inbox.n, "power",
+	    "box", a->settings.box.p, a->settings.box.n, "hall",
+	    a->settings.hall.p, a->settings.hall.n, "inbox",
+	    a->settings.inbox.p, a->settings.inbox.n, "power",
 	    (json_int_t)memb_self(a->memb)->power, "newest", (json_int_t)newest,
 	    "floor", (json_int_t)conf_floor(a->conf), "digest", digest,
 	    "gate_digest", gate, "gate_ready", (int)a->gate_ready, "leaving",
@@ -244,21 +248,21 @@
 {
 	struct agent *a = ctx;
 	struct plat_request rq = {.kind = STR_LIT("status"),
-	    .name = a->set.box,
+	    .name = a->settings.box,
 	    .version = a->status_version};
 	json_t *spec, *value;
 
-	if (!wants_status(a) || agent_first_feed_asks(a))
+	if (!wants_status(a) || agent_first_feed_only(a))
 		return;
 	spec = status_spec(a);
 	rq.op = a->status_version == 0 ? PLAT_CREATE : PLAT_UPDATE;
 	a->status_digest = status_digest(spec);
 	value = json_pack("{s:o, s:s}", "spec", spec, "change", "status");
 	rq.value = value;
-	a->status_call = agent_call(a, &rq, on_status, a);
+	a->status_call = agent_platform_call(a, &rq, on_status, a);
 	json_decref(value);
 	if (a->status_call == NULL)
-		agent_box_status_soon(a);
+		agent_box_schedule_status(a);
 	else
 		a->poison_unsaved = false;
 }
@@ -269,11 +273,11 @@
 {
 	struct agent *a = ctx;
 	json_t *current = json_object_get(body, "current");
-	int64_t in =
-	    rnd_jitter(a->rnd, MAX(STATUS_AGAIN_NS, a->set.status_ms * NS_MS));
+	int64_t in = rnd_jitter(
+	    a->rnd, MAX(STATUS_AGAIN_NS, a->settings.status_ms * NS_MS));
 
 	a->status_call = NULL;
-	agent_call_ended(a, result);
+	agent_platform_call_ended(a, result);
 	if (result == PLAT_OK)
 		a->status_version = (uint64_t)json_integer_value(
 		    json_object_get(body, "version"));
@@ -281,16 +285,16 @@
 		a->status_version = (uint64_t)json_integer_value(
 		    json_object_get(current, "version"));
 	if (result == PLAT_OK) {
-		a->status_fails = 0;
-		a->status_at = clk_ns(a->clk);
+		a->status_failures = 0;
+		a->status_written_at = clk_ns(a->clk);
 		a->is_listed = true;
 		if (!status_holds(a)) {
-			agent_box_status_soon(a);
+			agent_box_schedule_status(a);
 			return;
 		}
 	} else {
-		a->poison_unsaved = poison_proved(a->poison) > 0;
-		in = STATUS_PATIENCE * agent_backoff(a, a->status_fails++);
+		a->poison_unsaved = poison_count_proved(a->poison) > 0;
+		in = STATUS_PATIENCE * agent_backoff(a, a->status_failures++);
 	}
 	tmr_set(
 	    &a->tmr, &a->status_timer, clk_ns(a->clk) + in, on_status_due, a);
--- a/agent_gate.c
+++ b/agent_gate.c
@@ -31,17 +31,17 @@
 {
 	if (a->scope == SCOPE_RULES && memb_count_hubs(a->memb) == 0)
 		return false;
-	return agent_is_complete(a) && a->settled;
+	return agent_conf_is_complete(a) && a->peers_known;
 }
 
 /* To the gate: ready means that it may serve. */
 void
-agent_gate_hello(struct agent *a)
+agent_gate_send_state(struct agent *a)
 {
-	struct msg m = agent_peer_hello_of(a);
+	struct msg m = agent_peer_own_state(a);
 
-	m.u.hello.self.ready = may_serve(a);
-	wire_send(a->wire, a->set.gate_inbox, &m);
+	m.u.announcement.self.ready = may_serve(a);
+	wire_send(a->wire, a->settings.gate_inbox, &m);
 }
 
 /* The hubs of all halls, for our gate. */
@@ -69,24 +69,24 @@
 	memb_each(a->memb, gather_hub, &l);
 	m.u.members.members.items = (struct memb_info *)l.infos->data;
 	m.u.members.members.n = l.infos->len;
-	m.u.members.fleet = memb_fleet(a->memb);
-	m.u.members.hub = memb_is_hub(a->memb, a->set.box);
-	wire_send(a->wire, a->set.gate_inbox, &m);
+	m.u.members.serving_gates = memb_count_fleet_serving(a->memb);
+	m.u.members.is_hub = memb_is_hub(a->memb, a->settings.box);
+	wire_send(a->wire, a->settings.gate_inbox, &m);
 	g_array_free(l.infos, TRUE);
 }
 
 /* The gate waits until it may serve: tell it so at once. */
 void
-agent_gate_tell_ready(struct agent *a)
+agent_gate_send_ready(struct agent *a)
 {
 	bool ready = may_serve(a);
 
-	if (ready && !a->told_ready) {
+	if (ready && !a->ready_sent) {
 		/* It has to know homes before it serves. */
 		send_hubs(a);
-		agent_gate_hello(a);
+		agent_gate_send_state(a);
 	}
-	a->told_ready = ready;
+	a->ready_sent = ready;
 }
 
 /* To the gate, when they have changed and now and then. */
@@ -95,62 +95,64 @@
 {
 	struct agent *a = ctx;
 	int64_t now = clk_ns(a->clk);
-	uint64_t hash = memb_digest_hubs(a->memb) + memb_fleet(a->memb);
+	uint64_t hash =
+	    memb_digest_hubs(a->memb) + memb_count_fleet_serving(a->memb);
 
-	if (hash == a->members_hash &&
-	    now - a->members_sent <= MEMBERS_AGAIN_NS)
+	if (hash == a->members_sent_hash &&
+	    now - a->members_sent_at <= MEMBERS_AGAIN_NS)
 		return;
-	a->members_hash = hash;
-	a->members_sent = now;
+	a->members_sent_hash = hash;
+	a->members_sent_at = now;
 	send_hubs(a);
 }
 
 /* When all boxes start, news come by the dozen, and go on together. */
 void
-agent_gate_members_soon(struct agent *a)
+agent_gate_schedule_members(struct agent *a)
 {
-	if (!a->members_timer.set)
+	if (!a->members_timer.armed)
 		tmr_set(&a->tmr, &a->members_timer,
 		    clk_ns(a->clk) + MEMBERS_GAP_NS, on_members_due, a);
 }
 
 /* Our gate told of itself. */
 void
-agent_gate_take(struct agent *a, const struct msg *m)
+agent_gate_on_status(struct agent *a, const struct msg *m)
 {
-	const struct msg_gate *gt = &m->u.gate;
+	const struct msg_gate_status *gt = &m->u.gate_status;
 	struct memb_info *self = memb_self(a->memb);
 	bool was_leaving = self->leaving;
-	bool fresh = gt->boot != a->gate_boot, begins;
-
-	a->gate_heard = clk_ns(a->clk);
-	if (gt->holds.digest != a->gate_digest || gt->ready != a->gate_ready)
-		agent_box_status_soon(a);
-	a->gate_boot = gt->boot;
-	a->gate_digest = gt->holds.digest;
+	bool fresh = gt->started_ms != a->gate_boot, begins;
+
+	a->gate_received_at = clk_ns(a->clk);
+	if (gt->conf_summary.digest != a->gate_digest ||
+	    gt->ready != a->gate_ready)
+		agent_box_schedule_status(a);
+	a->gate_boot = gt->started_ms;
+	a->gate_digest = gt->conf_summary.digest;
 	a->gate_ready = gt->ready;
 	if (fresh) {
 		/* A new gate: whoever knew the old one must look anew. */
-		self->boot = MAX(self->boot + 1, gt->boot);
+		self->started_ms = MAX(self->started_ms + 1, gt->started_ms);
 		self->leaving = false;
-		a->members_sent = 0;
-		agent_probe_tell_gate(a);
+		a->members_sent_at = 0;
+		agent_probe_send_to_gate(a);
 	}
 	begins = gt->ready && !self->ready;
 	if (fresh || self->ready != gt->ready) {
 		self->ready = gt->ready;
-		memb_changed(a->memb);
+		memb_self_changed(a->memb);
 	}
 	if (begins && memb_is_hub(a->memb, self->box))
-		agent_peer_ready(a);
+		agent_peer_announce_ready(a);
 	if (gt->leaving && !was_leaving)
-		agent_peer_leave(a);
+		agent_peer_announce_leaving(a);
 	else if (fresh)
-		agent_gate_hello(a);
-	if (gt->doubted.n > 0)
-		agent_peer_doubt(a, gt->doubted);
-	sync_compare(&a->sync, m->from, &gt->holds);
-	agent_gate_members_soon(a);
+		agent_gate_send_state(a);
+	if (gt->suspect_box.n > 0)
+		agent_peer_suspect(a, gt->suspect_box);
+	sync_compare(&a->sync, m->from, &gt->conf_summary);
+	agent_gate_schedule_members(a);
 }
 
 void
@@ -158,15 +160,15 @@
 {
 	struct memb_info *self = memb_self(a->memb);
 
-	if (self->ready && now - a->gate_heard > GATE_SILENT_NS) {
+	if (self->ready && now - a->gate_received_at > GATE_SILENT_NS) {
 		self->ready = false;
-		memb_changed(a->memb);
+		memb_self_changed(a->memb);
 		slog(SLOG_AGENT, "the gate is silent", "for_ms=%lld",
-		    (long long)((now - a->gate_heard) / NS_MS));
+		    (long long)((now - a->gate_received_at) / NS_MS));
 	}
-	if (now - a->gate_greeted >= a->set.hello_ms * NS_MS) {
-		a->gate_greeted = now;
-		agent_gate_hello(a);
+	if (now - a->gate_sent_at >= a->settings.hello_ms * NS_MS) {
+		a->gate_sent_at = now;
+		agent_gate_send_state(a);
 	}
-	agent_gate_members_soon(a);
+	agent_gate_schedule_members(a);
 }
--- a/agent_lapse.c
+++ b/agent_lapse.c
@@ -41,9 +41,9 @@
 }
 
 void
-agent_lapse_open(struct agent *a)
+agent_deletion_open(struct agent *a)
 {
-	a->lapses =
+	a->held_deletions =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, lapse_free);
 }
 
@@ -59,16 +59,17 @@
 	    gone ? "lapsed entry is gone" : "lapsed entry came back",
 	    "key=%.*s version=%llu", STR_ARG(l->key),
 	    (unsigned long long)l->version);
-	a->from_platform = true;
+	a->offer_from_platform = true;
 	conf_offer(
 	    a->conf, l->key, l->version, true, NULL, STR_LIT("platform"), NULL);
-	a->from_platform = false;
-	g_hash_table_remove(a->lapses, l->key.p);
+	a->offer_from_platform = false;
+	g_hash_table_remove(a->held_deletions, l->key.p);
 }
 
 /* True if the deletion of what is in force is held for now. */
 bool
-agent_lapse_hold(struct agent *a, const struct conf_entry *e, uint64_t version)
+agent_deletion_hold(
+    struct agent *a, const struct conf_entry *e, uint64_t version)
 {
 	int64_t now = clk_ns(a->clk), due = now + HOLD_NS;
 	struct agent_lapse *l;
@@ -76,18 +77,18 @@
 	if (e == NULL || e->kind != OBJ_BACKEND || e->obj == NULL ||
 	    e->obj->u.backend.drain || version < e->version)
 		return false;
-	l = g_hash_table_lookup(a->lapses, e->key.p);
+	l = g_hash_table_lookup(a->held_deletions, e->key.p);
 	if (l != NULL) {
 		l->version = MAX(l->version, version);
 		return true;
 	}
-	if (a->platform_back != 0)
-		due = MAX(due, a->platform_back + HOLD_AFTER_OUTAGE_NS);
+	if (a->platform_up_at != 0)
+		due = MAX(due, a->platform_up_at + HOLD_AFTER_OUTAGE_NS);
 	l = g_new0(struct agent_lapse, 1);
 	l->agent = a;
 	l->key = str_dup(e->key);
 	l->version = version;
-	g_hash_table_insert(a->lapses, (char *)l->key.p, l);
+	g_hash_table_insert(a->held_deletions, (char *)l->key.p, l);
 	tmr_set(&a->tmr, &l->timer, due, on_due, l);
 	slog(SLOG_WATCH, "entry lapsed, deletion is held",
 	    "key=%.*s version=%llu hold_ms=%lld", STR_ARG(e->key),
--- a/agent_look.c
+++ b/agent_look.c
@@ -41,8 +41,9 @@
 static bool
 is_looker(struct agent *a)
 {
-	return a->unheard ||
-	    (agent_is_watcher(a) && memb_watches(a->memb, a->set.box, LOOKERS));
+	return a->platform_silent ||
+	    (agent_is_watcher(a) &&
+		memb_is_watcher(a->memb, a->settings.box, LOOKERS));
 }
 
 /*
@@ -55,10 +56,10 @@
 	struct agent *a = l->agent;
 
 	if (clk_ns(a->clk) - l->asked_at < WAIT_MS * NS_MS ||
-	    l->asked_at < a->look_answered)
+	    l->asked_at < a->poll_answered_at)
 		return;
-	a->unheard = true;
-	agent_call_ended(a, PLAT_DOWN);
+	a->platform_silent = true;
+	agent_platform_call_ended(a, PLAT_UNAVAILABLE);
 }
 
 static void
@@ -66,11 +67,11 @@
 {
 	struct agent *a = l->agent;
 
-	a->look_answered = MAX(a->look_answered, l->asked_at);
-	if (!a->unheard)
+	a->poll_answered_at = MAX(a->poll_answered_at, l->asked_at);
+	if (!a->platform_silent)
 		return;
-	a->unheard = false;
-	agent_call_ended(a, PLAT_OK);
+	a->platform_silent = false;
+	agent_platform_call_ended(a, PLAT_OK);
 }
 
 static void
@@ -78,14 +79,14 @@
 {
 	struct look *l = ctx;
 
-	if (result == PLAT_DOWN)
+	if (result == PLAT_UNAVAILABLE)
 		note_silence(l);
 	else
 		note_answer(l);
 	if (result == PLAT_OK)
-		agent_watch_told(l->feed, body);
+		agent_watch_apply(l->feed, body);
 	else if (result == PLAT_TOO_OLD)
-		agent_watch_missed(l->feed);
+		agent_watch_history_lost(l->feed);
 	g_free(l);
 }
 
@@ -95,18 +96,18 @@
 	struct agent *a = f->agent;
 	struct plat_request rq = {.op = PLAT_WATCH,
 	    .kind = str_c(f->kinds),
-	    .version = f->since,
+	    .version = f->reached_revision,
 	    .timeout_ms = WAIT_MS};
 	struct look *l;
 
-	if (f->since == 0 || !agent_scope_has(a, f))
+	if (f->reached_revision == 0 || !agent_scope_includes(a, f))
 		return;
 	l = g_new0(struct look, 1);
 	l->agent = a;
 	l->feed = f;
 	l->asked_at = clk_ns(a->clk);
-	cnt_add(a->cnt, AC_LOOKS, 1);
-	if (agent_call(a, &rq, on_looked, l) == NULL)
+	cnt_add(a->cnt, AC_PLATFORM_POLLS, 1);
+	if (agent_platform_call(a, &rq, on_looked, l) == NULL)
 		g_free(l);
 }
 
@@ -114,10 +115,10 @@
 static void
 look_later(struct agent *a)
 {
-	int64_t in =
-	    a->set.look_ms > 0 ? a->set.look_ms * NS_MS : AGENT_RECHECK_NS;
+	int64_t in = a->settings.look_ms > 0 ? a->settings.look_ms * NS_MS
+					     : AGENT_RECHECK_NS;
 
-	tmr_set(&a->tmr, &a->look_timer,
+	tmr_set(&a->tmr, &a->poll_timer,
 	    clk_ns(a->clk) + rnd_jitter(a->rnd, in), on_due, a);
 }
 
@@ -128,15 +129,15 @@
 	unsigned i, n;
 
 	look_later(a);
-	if (a->set.look_ms == 0 || a->leaving || !is_looker(a))
+	if (a->settings.look_ms == 0 || a->leaving || !is_looker(a))
 		return;
-	n = a->looks++ % OTHERS_ONE_IN == 0 ? a->nfeeds : 1;
+	n = a->polls++ % OTHERS_ONE_IN == 0 ? a->nfeeds : 1;
 	for (i = 0; i < n; i++)
 		look_at(&a->feeds[i]);
 }
 
 void
-agent_look_open(struct agent *a)
+agent_poll_open(struct agent *a)
 {
 	look_later(a);
 }
--- a/agent_open.c
+++ b/agent_open.c
@@ -36,7 +36,7 @@
 static void on_left(void *);
 static void on_conf_changed(void *, const struct conf_entry *);
 
-#define F(member) offsetof(struct agent_set, member)
+#define F(member) offsetof(struct agent_settings, member)
 
 static const char *const words_status_by[] = {"all", "hubs", NULL};
 
@@ -163,51 +163,51 @@
 void
 agent_reload(struct agent *a)
 {
-	struct agent_set set = {0};
+	struct agent_settings set = {0};
 	GError *err = NULL;
 	json_t *seeds;
 
-	if (!set_load(a->file, a->section, fields, G_N_ELEMENTS(fields), &set,
-		&err)) {
+	if (!set_load(a->settings_file, a->settings_section, fields,
+		G_N_ELEMENTS(fields), &set, &err)) {
 		slog(SLOG_AGENT,
 		    "settings are kept, the new ones are not valid", "why=%s",
 		    slog_quote(err->message));
 		g_error_free(err);
 		return;
 	}
-	seeds = a->set.seeds;
-	a->set.seeds = set.seeds;
+	seeds = a->settings.seeds;
+	a->settings.seeds = set.seeds;
 	set.seeds = seeds;
-	a->set.watchers = set.watchers;
-	a->set.probe_rate = set.probe_rate;
-	a->set.platform_rate = set.platform_rate;
-	a->set.hello_ms = set.hello_ms;
-	a->set.list_ms = set.list_ms;
-	a->set.watch_ms = set.watch_ms;
-	a->set.gather_ms = set.gather_ms;
-	a->set.boxes_ms = set.boxes_ms;
-	a->set.look_ms = set.look_ms;
-	a->set.retry_ms = set.retry_ms;
-	a->set.status_ms = set.status_ms;
+	a->settings.watchers = set.watchers;
+	a->settings.probe_rate = set.probe_rate;
+	a->settings.platform_rate = set.platform_rate;
+	a->settings.hello_ms = set.hello_ms;
+	a->settings.list_ms = set.list_ms;
+	a->settings.watch_ms = set.watch_ms;
+	a->settings.gather_ms = set.gather_ms;
+	a->settings.boxes_ms = set.boxes_ms;
+	a->settings.look_ms = set.look_ms;
+	a->settings.retry_ms = set.retry_ms;
+	a->settings.status_ms = set.status_ms;
 	agent_peer_configure(a);
 	field_free(fields, G_N_ELEMENTS(fields), &set);
-	slog(SLOG_AGENT, "settings are read anew", "file=%s", a->file);
+	slog(SLOG_AGENT, "settings are read anew", "file=%s", a->settings_file);
 }
 
 bool
 agent_load(struct agent *a, const char *file, const char *section, GError **err)
 {
-	a->file = g_strdup(file);
-	a->section = section;
+	a->settings_file = g_strdup(file);
+	a->settings_section = section;
 	if (!set_load(
-		file, section, fields, G_N_ELEMENTS(fields), &a->set, err))
+		file, section, fields, G_N_ELEMENTS(fields), &a->settings, err))
 		return false;
-	a->form = plat_form_by_name(a->set.form);
+	a->form = plat_adapter_by_name(a->settings.form);
 	if (a->form == NULL)
 		return err_set(err, ERR_SETTINGS,
 		    "%s: platform_form: found \"%s\"; allowed is fern or "
 		    "objects",
-		    file, a->set.form.p);
+		    file, a->settings.form.p);
 	return true;
 }
 
@@ -215,40 +215,41 @@
 agent_open(struct agent *a, GError **err)
 {
 	struct memb_info self = {
-	    .box = a->set.box,
-	    .hall = a->set.hall,
-	    .inbox = a->set.inbox,
-	    .pass = a->set.pass,
-	    .gate_inbox = a->set.gate_inbox,
-	    .boot = (uint64_t)clk_wall_ms(a->clk),
-	    .power = (uint64_t)(a->set.power * MEMB_POWER_UNIT),
+	    .box = a->settings.box,
+	    .hall = a->settings.hall,
+	    .inbox = a->settings.inbox,
+	    .forward_address = a->settings.pass,
+	    .gate_inbox = a->settings.gate_inbox,
+	    .started_ms = (uint64_t)clk_wall_ms(a->clk),
+	    .power = (uint64_t)(a->settings.power * MEMB_POWER_ONE_CPU),
 	};
 
 	a->loop = uv_default_loop();
 	tmr_open(&a->tmr, a->loop, a->clk);
 	a->up = up_open(a->loop, &a->tmr, a->clk);
 	a->plat = plat_http_open(
-	    a->up, &a->tmr, a->clk, a->set.platform, a->form->codec);
+	    a->up, &a->tmr, a->clk, a->settings.platform, a->form->codec);
 	a->cnt = agent_stat_open();
 	a->shares_conf = a->conf != NULL;
 	if (!a->shares_conf)
 		a->conf = conf_new(NULL, NULL);
-	conf_listen(a->conf, on_conf_changed, a);
+	conf_add_listener(a->conf, on_conf_changed, a);
 	a->memb = memb_new(&self);
-	a->wire = wire_open(a->loop, a->set.inbox, agent_peer_take, a, err);
+	a->wire = wire_open(
+	    a->loop, a->settings.inbox, agent_peer_on_message, a, err);
 	if (a->wire == NULL)
 		return err_at(err, "inbox");
-	if (a->set.admin_listen.n > 0) {
-		a->admin = hsrv_open(a->loop, a->set.admin_listen,
+	if (a->settings.admin_listen.n > 0) {
+		a->admin = hsrv_open(a->loop, a->settings.admin_listen,
 		    ADMIN_BODY_MAX, agent_stat_page, a, err);
 		if (a->admin == NULL)
 			return err_at(err, "admin_listen");
 	}
-	agent_lapse_open(a);
+	agent_deletion_open(a);
 	agent_push_open(a);
 	agent_probe_open(a);
 	agent_watch_open(a);
-	agent_look_open(a);
+	agent_poll_open(a);
 	agent_scope_open(a);
 	agent_poison_open(a);
 	agent_peer_open(a);
@@ -270,33 +271,34 @@
 		    "key=%.*s version=%llu from=%.*s for_ms=%lld",
 		    STR_ARG(e->key), (unsigned long long)e->version,
 		    STR_ARG(e->source), (long long)sync_age_ms(&a->sync));
-	agent_watch_passed(a, e);
+	agent_watch_bypassed(a, e);
 	cnt_add(a->cnt, AC_CHANGES, 1);
 	a->targets_dirty = true;
-	a->targets_at = 0;
-	agent_push_change(a, e);
-	agent_box_status_soon(a);
+	a->targets_refreshed_at = 0;
+	agent_push_queue_change(a, e);
+	agent_box_schedule_status(a);
 }
 
 static void
 on_tick(void *ctx)
 {
 	struct agent *a = ctx;
-	int64_t now = clk_ns(a->clk), gap = now - a->last_tick;
+	int64_t now = clk_ns(a->clk), gap = now - a->last_tick_at;
 
-	if (a->last_tick != 0 && gap > PAUSE_NS) {
+	if (a->last_tick_at != 0 && gap > PAUSE_NS) {
 		slog(SLOG_AGENT, "was paused, looks anew", "gap_ms=%lld",
 		    (long long)(gap / NS_MS));
-		memb_paused(a->memb);
-		agent_watch_resume(a);
+		memb_cancel_requests(a->memb);
+		agent_watch_restart(a);
 	}
-	a->last_tick = now;
+	a->last_tick_at = now;
 	agent_peer_tick(a, now);
 	agent_gate_tick(a, now);
 	agent_probe_tick(a, now);
 	slog_flush();
 	tmr_set(&a->tmr, &a->tick,
-	    now + (a->set.probe_rate > 0 ? TICK_NS : TICK_IDLE_NS), on_tick, a);
+	    now + (a->settings.probe_rate > 0 ? TICK_NS : TICK_IDLE_NS),
+	    on_tick, a);
 }
 
 static void
@@ -320,7 +322,7 @@
 	}
 	slog(SLOG_AGENT, "leaves", "boxes=%zu", memb_count_alive(a->memb));
 	a->leaving = true;
-	agent_peer_leave(a);
+	agent_peer_announce_leaving(a);
 	tmr_set(&a->tmr, &left, clk_ns(a->clk) + LEAVE_MS * NS_MS, on_left, a);
 }
 
@@ -329,16 +331,17 @@
 {
 	tmr_set(&a->tmr, &a->tick, clk_ns(a->clk), on_tick, a);
 	slog(SLOG_AGENT, "started", "box=%s hall=%s inbox=%s platform=%s",
-	    a->set.box.p, a->set.hall.p, a->set.inbox.p, a->set.platform.p);
+	    a->settings.box.p, a->settings.hall.p, a->settings.inbox.p,
+	    a->settings.platform.p);
 }
 
 /* Leave on a signal; an agent beside its gate leaves with the gate. */
 void
-agent_on_signals(struct agent *a)
+agent_handle_signals(struct agent *a)
 {
-	uv_signal_init(a->loop, &a->term);
-	uv_signal_init(a->loop, &a->intr);
-	a->term.data = a->intr.data = a;
-	uv_signal_start(&a->term, on_signal, SIGTERM);
-	uv_signal_start(&a->intr, on_signal, SIGINT);
+	uv_signal_init(a->loop, &a->sigterm);
+	uv_signal_init(a->loop, &a->sigint);
+	a->sigterm.data = a->sigint.data = a;
+	uv_signal_start(&a->sigterm, on_signal, SIGTERM);
+	uv_signal_start(&a->sigint, on_signal, SIGINT);
 }
--- a/agent_peer.c
+++ b/agent_peer.c
@@ -31,30 +31,30 @@
 	wire_send(a->wire, to, &copy);
 }
 
-/* A hello to our own gate: who we are and what configuration we have. */
+/* A announcement to our own gate: who we are and what configuration we have. */
 struct msg
-agent_peer_hello_of(const struct agent *a)
+agent_peer_own_state(const struct agent *a)
 {
-	struct msg m = {.kind = MSG_HELLO};
+	struct msg m = {.kind = MSG_ANNOUNCEMENT};
 
-	m.u.hello.self = *memb_self(a->memb);
-	m.u.hello.holds = sync_holds(&a->sync);
+	m.u.announcement.self = *memb_self(a->memb);
+	m.u.announcement.conf_summary = sync_conf_summary(&a->sync);
 	return m;
 }
 
 static void
-op_hello(void *ctx, struct str to, const struct msg_hello *h)
+op_hello(void *ctx, struct str to, const struct msg_announcement *h)
 {
-	struct msg m = {.kind = MSG_HELLO, .u.hello = *h};
+	struct msg m = {.kind = MSG_ANNOUNCEMENT, .u.announcement = *h};
 	struct agent *a = ctx;
 
 	wire_send(a->wire, to, &m);
 }
 
 static void
-op_beat(void *ctx, struct str to, const struct msg_beat *b)
+op_beat(void *ctx, struct str to, const struct msg_heartbeat *b)
 {
-	struct msg m = {.kind = MSG_BEAT, .u.beat = *b};
+	struct msg m = {.kind = MSG_HEARTBEAT, .u.heartbeat = *b};
 	struct agent *a = ctx;
 
 	wire_send(a->wire, to, &m);
@@ -69,29 +69,29 @@
 	wire_send(a->wire, to, &m);
 }
 
-static struct msg_holds
+static struct msg_conf_summary
 op_holds(void *ctx)
 {
 	struct agent *a = ctx;
 
-	return sync_holds(&a->sync);
+	return sync_conf_summary(&a->sync);
 }
 
 static void
 op_list(void *ctx)
 {
-	agent_box_list(ctx);
+	agent_box_fetch_list(ctx);
 }
 
 void
 agent_peer_configure(struct agent *a)
 {
-	struct gossip_set set = {
-	    .hello_ns = a->set.hello_ms * NS_MS,
-	    .list_ns = a->set.boxes_ms * NS_MS,
-	    .list_other_ns = LIST_OTHER_NS,
-	    .watchers = (int)a->set.watchers,
-	    .seeds = a->set.seeds,
+	struct gossip_settings set = {
+	    .announce_interval_ns = a->settings.hello_ms * NS_MS,
+	    .list_interval_ns = a->settings.boxes_ms * NS_MS,
+	    .hub_list_interval_ns = LIST_OTHER_NS,
+	    .watchers = (int)a->settings.watchers,
+	    .seeds = a->settings.seeds,
 	};
 
 	gossip_configure(a->gossip, &set);
@@ -116,13 +116,13 @@
 static void
 look_settled(struct agent *a)
 {
-	if (a->settled || !gossip_settled(a->gossip))
+	if (a->peers_known || !gossip_is_settled(a->gossip))
 		return;
-	a->settled = true;
+	a->peers_known = true;
 	slog(SLOG_PEER, "knows the other boxes", "asked=%u alive=%zu hubs=%zu",
-	    gossip_asked(a->gossip), memb_count_alive(a->memb),
+	    gossip_initial_requests(a->gossip), memb_count_alive(a->memb),
 	    memb_count_hubs(a->memb));
-	agent_gate_tell_ready(a);
+	agent_gate_send_ready(a);
 }
 
 /* Who watches needs nobody to tell it of changes. */
@@ -142,7 +142,7 @@
 	    "hubs=%zu alive=%zu conf_age_ms=%lld", memb_count_hubs(a->memb),
 	    memb_count_alive(a->memb), (long long)sync_age_ms(&a->sync));
 	if (unattended)
-		agent_watch_unattended(a);
+		agent_watch_start_unattended(a);
 }
 
 /* Do what is due, and wake up for what is due next. */
@@ -159,10 +159,10 @@
 
 /* The platform's list of boxes is here. */
 void
-agent_peer_listed(struct agent *a)
+agent_peer_on_boxes_listed(struct agent *a)
 {
-	gossip_listed(a->gossip);
-	agent_scope_look(a);
+	gossip_list_received(a->gossip);
+	agent_scope_update(a);
 	on_due(a);
 }
 
@@ -177,38 +177,39 @@
 {
 	struct sight *s = ctx;
 
-	if (memb_alive(m) && !m->info.blind &&
-	    str_eq(m->info.hall, s->agent->set.hall))
+	if (memb_is_alive(m) && !m->info.platform_unreachable &&
+	    str_eq(m->info.hall, s->agent->settings.hall))
 		s->seeing = true;
 }
 
 static bool
-should_compare(struct agent *a, struct str hall, const struct msg_holds *holds,
-    int64_t now)
+should_compare(struct agent *a, struct str hall,
+    const struct msg_conf_summary *holds, int64_t now)
 {
 	struct sight s = {a, a->platform_up};
-	struct spread_difference d = {.near = str_eq(hall, a->set.hall),
-	    .complete = agent_is_complete(a),
-	    .alone = gossip_is_left_alone(a->gossip)};
+	struct spread_difference d = {
+	    .same_hall = str_eq(hall, a->settings.hall),
+	    .lists_complete = agent_conf_is_complete(a),
+	    .hall_box_silent = gossip_has_unresponsive_peer(a->gossip)};
 
-	if (sync_equal(&a->sync, holds))
+	if (sync_is_equal(&a->sync, holds))
 		a->differs_since = 0;
 	else if (a->differs_since == 0)
 		a->differs_since = now;
 	if (a->differs_since != 0)
-		d.lasts = MAX(now - a->differs_since, 1);
+		d.duration_ns = MAX(now - a->differs_since, 1);
 	if (!s.seeing)
 		memb_each(a->memb, look_for_sight, &s);
-	d.seeing = s.seeing;
+	d.hall_has_platform = s.seeing;
 	return spread_should_compare(&d);
 }
 
 /* A box has told which configuration it has. */
 static void
 take_holds(struct agent *a, struct str from, struct str hall,
-    const struct msg_holds *holds)
+    const struct msg_conf_summary *holds)
 {
-	sync_hear(&a->sync, holds);
+	sync_confirm_from_peer(&a->sync, holds);
 	if (should_compare(a, hall, holds, clk_ns(a->clk)))
 		sync_compare(&a->sync, from, holds);
 }
@@ -216,34 +217,34 @@
 static void
 take_hello(struct agent *a, const struct msg *m)
 {
-	const struct msg_hello *h = &m->u.hello;
+	const struct msg_announcement *h = &m->u.announcement;
 
-	gossip_take_hello(a->gossip, m->from, h);
-	take_holds(a, m->from, h->self.hall, &h->holds);
-	agent_gate_tell_ready(a);
-	agent_gate_members_soon(a);
+	gossip_on_announcement(a->gossip, m->from, h);
+	take_holds(a, m->from, h->self.hall, &h->conf_summary);
+	agent_gate_send_ready(a);
+	agent_gate_schedule_members(a);
 	on_due(a);
 }
 
 static void
 take_beat(struct agent *a, const struct msg *m)
 {
-	const struct msg_beat *b = &m->u.beat;
+	const struct msg_heartbeat *b = &m->u.heartbeat;
 	const struct memb_member *member;
 
-	gossip_take_beat(a->gossip, m->from, b);
+	gossip_on_heartbeat(a->gossip, m->from, b);
 	member = memb_find(a->memb, b->box);
 	if (member != NULL)
-		take_holds(a, m->from, member->info.hall, &b->holds);
-	agent_gate_tell_ready(a);
+		take_holds(a, m->from, member->info.hall, &b->conf_summary);
+	agent_gate_send_ready(a);
 	on_due(a);
 }
 
 static void
 take_members(struct agent *a, const struct msg_members *list)
 {
-	gossip_take_members(a->gossip, list);
-	agent_gate_members_soon(a);
+	gossip_on_members(a->gossip, list);
+	agent_gate_schedule_members(a);
 	on_due(a);
 }
 
@@ -253,16 +254,16 @@
 	if (memb_tick(a->memb, now))
 		slog(SLOG_PEER, "a box did not answer", "alive=%zu hubs=%zu",
 		    memb_count_alive(a->memb), memb_count_hubs(a->memb));
-	agent_scope_look(a);
+	agent_scope_update(a);
 	agent_box_tick(a);
 }
 
 /* Tell the others that the platform does, or does not, answer us. */
 void
-agent_peer_blind(struct agent *a, bool blind)
+agent_peer_announce_outage(struct agent *a, bool blind)
 {
-	memb_self(a->memb)->blind = blind;
-	memb_changed(a->memb);
+	memb_self(a->memb)->platform_unreachable = blind;
+	memb_self_changed(a->memb);
 	gossip_announce(a->gossip, false);
 }
 
@@ -273,57 +274,57 @@
  * servers.
  */
 void
-agent_peer_ready(struct agent *a)
+agent_peer_announce_ready(struct agent *a)
 {
 	gossip_announce(a->gossip, false);
 	on_due(a);
 }
 
 void
-agent_peer_leave(struct agent *a)
+agent_peer_announce_leaving(struct agent *a)
 {
 	slog(SLOG_PEER, "tells the other boxes that this one leaves",
 	    "boxes=%zu", memb_count_alive(a->memb));
 	memb_self(a->memb)->leaving = true;
-	memb_changed(a->memb);
+	memb_self_changed(a->memb);
 	gossip_announce(a->gossip, true);
-	agent_box_status_soon(a);
+	agent_box_schedule_status(a);
 }
 
 /* Our gate got no answer of another one. */
 void
-agent_peer_doubt(struct agent *a, struct str box)
+agent_peer_suspect(struct agent *a, struct str box)
 {
-	gossip_doubt(a->gossip, box);
+	gossip_check_suspect(a->gossip, box);
 	on_due(a);
 }
 
 void
-agent_peer_take(void *ctx, const struct msg *m)
+agent_peer_on_message(void *ctx, const struct msg *m)
 {
 	struct agent *a = ctx;
 
 	switch (m->kind) {
-	case MSG_HELLO:
+	case MSG_ANNOUNCEMENT:
 		take_hello(a, m);
 		break;
-	case MSG_BEAT:
+	case MSG_HEARTBEAT:
 		take_beat(a, m);
 		break;
 	case MSG_SUSPECTS:
-		agent_poison_take(a, &m->u.suspects);
+		agent_poison_merge(a, &m->u.suspects);
 		break;
-	case MSG_GATE:
-		agent_gate_take(a, m);
+	case MSG_GATE_STATUS:
+		agent_gate_on_status(a, m);
 		break;
 	case MSG_MEMBERS:
 		take_members(a, &m->u.members);
 		break;
 	case MSG_HEALTH:
-		agent_probe_take(a, &m->u.health);
+		agent_probe_on_health(a, &m->u.health);
 		break;
 	default:
-		sync_take(&a->sync, m);
+		sync_on_message(&a->sync, m);
 		break;
 	}
 }
--- a/agent_poison.c
+++ b/agent_poison.c
@@ -51,36 +51,37 @@
 static void
 tell_gate(struct agent *a)
 {
-	struct msg_suspect items[POISON_WORDS];
+	struct msg_suspect items[POISON_MSG_RECORDS_MAX];
 	struct msg m = {.kind = MSG_SUSPECTS};
-	unsigned n = poison_msg_write(a->poison, clk_ns(a->clk), items);
+	unsigned n = poison_msg_encode(a->poison, clk_ns(a->clk), items);
 
 	m.u.suspects.suspects = (struct msg_list){items, n};
 	if (n > 0)
-		wire_send(a->wire, a->set.gate_inbox, &m);
+		wire_send(a->wire, a->settings.gate_inbox, &m);
 }
 
 /* Our gate has proved something, by trials of its own. */
 void
-agent_poison_take(struct agent *a, const struct msg_suspects *m)
+agent_poison_merge(struct agent *a, const struct msg_suspects *m)
 {
-	poison_tick(a->poison);
-	poison_msg_take(a->poison, clk_ns(a->clk), m);
-	a->poison_unsaved = a->poison_unsaved || poison_proved(a->poison) > 0;
+	poison_expire(a->poison);
+	poison_msg_merge(a->poison, clk_ns(a->clk), m);
+	a->poison_unsaved =
+	    a->poison_unsaved || poison_count_proved(a->poison) > 0;
 }
 
 static json_t *
-word_spec(struct agent *a, const struct poison_word *w)
+word_spec(struct agent *a, const struct poison_record *w)
 {
-	int64_t ago = (clk_ns(a->clk) - w->ended) / NS_MS;
+	int64_t ago = (clk_ns(a->clk) - w->crashed_at) / NS_MS;
 	int64_t ended = clk_wall_ms(a->clk) - ago;
 	json_t *o = json_object();
 
-	add_hex(o, "hi", w->print.hi);
-	add_hex(o, "lo", w->print.lo);
-	add_hex(o, "caller", w->print.caller);
-	add_hex(o, "first", w->trials[0]);
-	add_hex(o, "second", w->trials[1]);
+	add_hex(o, "hi", w->fingerprint.hi);
+	add_hex(o, "lo", w->fingerprint.lo);
+	add_hex(o, "caller", w->fingerprint.caller);
+	add_hex(o, "first", w->trial_ids[0]);
+	add_hex(o, "second", w->trial_ids[1]);
 	json_object_set_new(o, "ended_s",
 	    json_integer((ended + MS_A_SECOND / 2) / MS_A_SECOND));
 	return o;
@@ -90,12 +91,13 @@
 json_t *
 agent_poison_spec(struct agent *a)
 {
-	struct poison_word words[POISON_WORDS];
-	unsigned i, n = poison_words(a->poison, words);
+	struct poison_record words[POISON_MSG_RECORDS_MAX];
+	unsigned i, n = poison_records(a->poison, words);
 	json_t *list = json_array();
 
 	for (i = 0; i < n; i++)
-		if (poison_look(a->poison, words[i].print) == POISON_PROVED)
+		if (poison_status_of(a->poison, words[i].fingerprint) ==
+		    POISON_PROVED)
 			json_array_append_new(list, word_spec(a, &words[i]));
 	if (json_array_size(list) > 0)
 		return list;
@@ -109,19 +111,19 @@
 	int64_t now = clk_ns(a->clk);
 	int64_t at = json_integer_value(json_object_get(o, "ended_s"));
 	int64_t ago = clk_wall_ms(a->clk) - at * MS_A_SECOND;
-	struct poison_word w = {
-	    .print = {hex_of(o, "hi"), hex_of(o, "lo"), hex_of(o, "caller")},
-	    .trials = {hex_of(o, "first"), hex_of(o, "second")}};
+	struct poison_record w = {.fingerprint = {hex_of(o, "hi"),
+				      hex_of(o, "lo"), hex_of(o, "caller")},
+	    .trial_ids = {hex_of(o, "first"), hex_of(o, "second")}};
 
 	if (at <= 0 || ago >= POISON_HOLD_NS / NS_MS)
 		return;
-	w.ended = now - MAX(ago, 0) * NS_MS;
-	poison_take(a->poison, &w);
+	w.crashed_at = now - MAX(ago, 0) * NS_MS;
+	poison_merge(a->poison, &w);
 }
 
 /* The platform listed a box, and what it had proved. */
 void
-agent_poison_listed(struct agent *a, const json_t *list)
+agent_poison_merge_listed(struct agent *a, const json_t *list)
 {
 	const json_t *o;
 	size_t i;
@@ -132,8 +134,8 @@
 
 /* The whole list has been read: our gate is told before it serves. */
 void
-agent_poison_tell(struct agent *a)
+agent_poison_send_to_gate(struct agent *a)
 {
-	poison_tick(a->poison);
+	poison_expire(a->poison);
 	tell_gate(a);
 }
--- a/agent_probe.c
+++ b/agent_probe.c
@@ -26,7 +26,7 @@
 
 /* What is thought of a backend server, by us or by the box that probes it. */
 struct agent_health {
-	enum msg_state state;
+	enum msg_health_state state;
 	uint64_t at_ms;
 };
 
@@ -36,18 +36,19 @@
 	struct str backend;
 	struct up_call *call;
 	struct tmr_item timer;
-	enum probe_found found;
+	enum probe_outcome found;
 };
 
 static void start_probe(void *, struct str, struct str, struct str);
-static void on_changed(void *, struct str, enum msg_state);
+static void on_changed(void *, struct str, enum msg_health_state);
 static void
 on_head(void *, struct up_call *, int, const h2o_header_t *, size_t);
 static void on_end(void *, struct up_call *);
 static void on_fail(void *, struct up_call *, enum err_kind);
 static void on_timeout(void *);
-static void land(struct flight *, enum probe_found);
-static void remember(struct agent *, struct str, enum msg_state, uint64_t);
+static void land(struct flight *, enum probe_outcome);
+static void
+remember(struct agent *, struct str, enum msg_health_state, uint64_t);
 static void want_service(void *, const struct route_service *);
 
 static const struct up_ops probe_flight_ops = {
@@ -58,7 +59,7 @@
 {
 	struct probe_ops ops = {start_probe, on_changed, a};
 
-	a->probe = probe_new(&ops, a->rnd, (double)a->set.probe_rate);
+	a->probe = probe_new(&ops, a->rnd, (double)a->settings.probe_rate);
 	a->health =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
@@ -81,12 +82,12 @@
 }
 
 static void
-land(struct flight *f, enum probe_found found)
+land(struct flight *f, enum probe_outcome found)
 {
 	struct agent *a = f->agent;
 
 	tmr_clear(&a->tmr, &f->timer);
-	probe_result(a->probe, f->backend, found, clk_ns(a->clk));
+	probe_record_outcome(a->probe, f->backend, found, clk_ns(a->clk));
 	str_free(&f->backend);
 	g_free(f);
 }
@@ -105,12 +106,12 @@
     const h2o_header_t *headers, size_t n)
 {
 	struct flight *f = ctx;
-	struct dial_word word;
+	struct dial_report word;
 
 	(void)call;
 	f->found = status < 400 ? PROBE_OK : PROBE_FAILED;
-	f->agent->form->dial->word(status, headers, n, &word);
-	if (word.leaves)
+	f->agent->form->dialect->parse_report(status, headers, n, &word);
+	if (word.leaving)
 		f->found = PROBE_DRAINING;
 }
 
@@ -132,8 +133,8 @@
 }
 
 static void
-remember(
-    struct agent *a, struct str backend, enum msg_state state, uint64_t at_ms)
+remember(struct agent *a, struct str backend, enum msg_health_state state,
+    uint64_t at_ms)
 {
 	char *key = g_strndup(backend.p, backend.n);
 	struct agent_health *h = g_hash_table_lookup(a->health, key);
@@ -150,22 +151,22 @@
 }
 
 static void
-tell(struct agent *a, struct str backend, enum msg_state state, bool all)
+tell(struct agent *a, struct str backend, enum msg_health_state state, bool all)
 {
-	struct msg_state_of st = {
+	struct msg_backend_health st = {
 	    backend, state, (uint64_t)clk_wall_ms(a->clk)};
 	struct msg m = {.kind = MSG_HEALTH};
 
-	remember(a, backend, state, st.at_ms);
+	remember(a, backend, state, st.probed_ms);
 	m.u.health.states.items = &st;
 	m.u.health.states.n = 1;
-	wire_send(a->wire, a->set.gate_inbox, &m);
+	wire_send(a->wire, a->settings.gate_inbox, &m);
 	if (all)
-		agent_push_all(a, &m);
+		agent_push_to_all(a, &m);
 }
 
 static void
-on_changed(void *ctx, struct str backend, enum msg_state state)
+on_changed(void *ctx, struct str backend, enum msg_health_state state)
 {
 	static const char *const names[] = {
 	    "unknown", "up", "down", "draining"};
@@ -177,21 +178,21 @@
 
 /* Passed on to the gate unless we know something newer. */
 void
-agent_probe_take(struct agent *a, const struct msg_health *health)
+agent_probe_on_health(struct agent *a, const struct msg_health *health)
 {
-	const struct msg_state_of *st = health->states.items;
+	const struct msg_backend_health *st = health->states.items;
 	struct msg m = {.kind = MSG_HEALTH};
 	size_t i;
 
 	for (i = 0; i < health->states.n; i++)
-		remember(
-		    a, st[i].backend, (enum msg_state)st[i].state, st[i].at_ms);
+		remember(a, st[i].backend, (enum msg_health_state)st[i].state,
+		    st[i].probed_ms);
 	m.u.health = *health;
-	wire_send(a->wire, a->set.gate_inbox, &m);
+	wire_send(a->wire, a->settings.gate_inbox, &m);
 }
 
 void
-agent_probe_tell_gate(struct agent *a)
+agent_probe_send_to_gate(struct agent *a)
 {
 	const struct agent_health *h;
 	GHashTableIter it;
@@ -211,10 +212,11 @@
 static bool
 is_prober(struct agent *a, struct str backend, struct str hall)
 {
-	const struct memb_info *hubs[MEMB_HUBS];
+	const struct memb_info *hubs[MEMB_HUBS_MAX];
 	bool served = memb_hubs(a->memb, hall, hubs) > 0;
 
-	return memb_is_first(a->memb, backend, served ? hall : str_c(NULL), 1);
+	return memb_is_in_top_hubs(
+	    a->memb, backend, served ? hall : str_c(NULL), 1);
 }
 
 static void
@@ -229,7 +231,7 @@
 		h = &svc->halls[i];
 		for (j = 0; j < h->n; j++)
 			if (is_prober(a, h->backends[j].name, h->hall))
-				probe_want(a->probe, h->backends[j].name,
+				probe_targets_add(a->probe, h->backends[j].name,
 				    h->backends[j].address,
 				    svc->obj->probe_path,
 				    svc->obj->probe_ms * NS_MS, now);
@@ -244,15 +246,15 @@
 		a->routes = route_build(a->conf);
 		a->targets_dirty = false;
 	}
-	probe_begin(a->probe);
+	probe_targets_begin(a->probe);
 	route_each(a->routes, want_service, a);
-	probe_commit(a->probe);
+	probe_targets_commit(a->probe);
 }
 
 static void
-tell_again(void *ctx, struct str backend, enum msg_state state)
+tell_again(void *ctx, struct str backend, enum msg_health_state state)
 {
-	if (state == STATE_DOWN || state == STATE_DRAINING)
+	if (state == HEALTH_DOWN || state == HEALTH_DRAINING)
 		tell(ctx, backend, state, true);
 }
 
@@ -270,8 +272,8 @@
 		h = value;
 		if (now - h->at_ms < HEALTH_KEEP_MS)
 			continue;
-		if (h->state == STATE_DOWN || h->state == STATE_DRAINING)
-			tell(a, str_c(key), STATE_UNKNOWN, false);
+		if (h->state == HEALTH_DOWN || h->state == HEALTH_DRAINING)
+			tell(a, str_c(key), HEALTH_UNKNOWN, false);
 		else
 			g_hash_table_iter_remove(&it);
 	}
@@ -280,14 +282,14 @@
 void
 agent_probe_tick(struct agent *a, int64_t now)
 {
-	if (a->set.probe_rate == 0)
+	if (a->settings.probe_rate == 0)
 		return;
-	if (now - a->targets_at > TARGETS_NS) {
-		a->targets_at = now;
+	if (now - a->targets_refreshed_at > TARGETS_NS) {
+		a->targets_refreshed_at = now;
 		refresh_targets(a);
 	}
-	if (now - a->health_at > HEALTH_AGAIN_NS) {
-		a->health_at = now;
+	if (now - a->health_sent_at > HEALTH_AGAIN_NS) {
+		a->health_sent_at = now;
 		probe_each(a->probe, tell_again, a);
 		forget_old(a);
 	}
--- a/agent_push.c
+++ b/agent_push.c
@@ -41,7 +41,7 @@
 void
 agent_push_open(struct agent *a)
 {
-	a->unsent =
+	a->unsent_changes =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
@@ -60,7 +60,7 @@
 }
 
 void
-agent_push_all(struct agent *a, struct msg *msg)
+agent_push_to_all(struct agent *a, struct msg *msg)
 {
 	struct many many = {a, msg};
 
@@ -73,14 +73,14 @@
 {
 	struct agent *a = p->agent;
 	struct str inbox = to->info.inbox;
-	bool small = spread_to(a->memb, to, origin, false);
+	bool small = spread_should_send(a->memb, to, origin, false);
 
 	if (small)
 		sync_pack_send(&a->sync, c->small, inbox);
 	/* A weak box holds no backend servers: agent_scope.c. */
-	if (small && (to->strong || !agent_scope_divides(a)))
+	if (small && (to->strong || !agent_scope_is_split(a)))
 		sync_pack_send(&a->sync, c->backends, inbox);
-	if (spread_to(a->memb, to, origin, true))
+	if (spread_should_send(a->memb, to, origin, true))
 		sync_pack_send(&a->sync, c->large, inbox);
 }
 
@@ -89,9 +89,9 @@
 {
 	struct push *p = ctx;
 
-	send_changes(p, &p->told, SPREAD_TOLD, m);
+	send_changes(p, &p->told, SPREAD_FROM_PLATFORM, m);
 	if (p->nheard <= FORWARD_MAX)
-		send_changes(p, &p->heard, SPREAD_HEARD, m);
+		send_changes(p, &p->heard, SPREAD_FROM_BOX, m);
 }
 
 /*
@@ -101,8 +101,8 @@
 static bool
 tells_others(struct agent *a)
 {
-	return gossip_settled(a->gossip) && agent_is_complete(a) &&
-	    memb_is_hub(a->memb, a->set.box);
+	return gossip_is_settled(a->gossip) && agent_conf_is_complete(a) &&
+	    memb_is_hub(a->memb, a->settings.box);
 }
 
 static void
@@ -127,7 +127,7 @@
 	if (e->kind == OBJ_BACKEND)
 		sync_pack_add(c->backends, e);
 	else if (sync_pack_add(c->small, e) > PUSH_SMALL_MAX &&
-	    e->bad_version == 0)
+	    e->rejected_version == 0)
 		sync_pack_move_last(c->small, c->large);
 }
 
@@ -139,7 +139,7 @@
 	GHashTableIter it;
 	gpointer key, told;
 
-	g_hash_table_iter_init(&it, a->unsent);
+	g_hash_table_iter_init(&it, a->unsent_changes);
 	while (g_hash_table_iter_next(&it, &key, &told)) {
 		e = conf_get(a->conf, str_c(key));
 		if (e == NULL)
@@ -152,9 +152,9 @@
 static void
 send_to_gate(struct agent *a, const struct changes *c)
 {
-	sync_pack_send(&a->sync, c->small, a->set.gate_inbox);
-	sync_pack_send(&a->sync, c->backends, a->set.gate_inbox);
-	sync_pack_send(&a->sync, c->large, a->set.gate_inbox);
+	sync_pack_send(&a->sync, c->small, a->settings.gate_inbox);
+	sync_pack_send(&a->sync, c->backends, a->settings.gate_inbox);
+	sync_pack_send(&a->sync, c->large, a->settings.gate_inbox);
 }
 
 /* What has changed goes out in few messages, written down once. */
@@ -167,7 +167,7 @@
 	changes_open(&p.told);
 	changes_open(&p.heard);
 	gather_unsent(&p);
-	g_hash_table_remove_all(a->unsent);
+	g_hash_table_remove_all(a->unsent_changes);
 	if (!a->shares_conf) {
 		send_to_gate(a, &p.told);
 		send_to_gate(a, &p.heard);
@@ -180,14 +180,14 @@
 
 /* A change is to be told; those of one turn of the loop go out together. */
 void
-agent_push_change(struct agent *a, const struct conf_entry *e)
+agent_push_queue_change(struct agent *a, const struct conf_entry *e)
 {
-	if (a->unattended && a->from_platform)
-		gossip_hurry(a->gossip);
+	if (a->unattended && a->offer_from_platform)
+		gossip_start_round_now(a->gossip);
 	if (a->shares_conf && !tells_others(a))
 		return;
-	g_hash_table_insert(
-	    a->unsent, g_strdup(e->key.p), GINT_TO_POINTER(a->from_platform));
-	if (!a->push_timer.set)
+	g_hash_table_insert(a->unsent_changes, g_strdup(e->key.p),
+	    GINT_TO_POINTER(a->offer_from_platform));
+	if (!a->push_timer.armed)
 		tmr_set(&a->tmr, &a->push_timer, clk_ns(a->clk), on_push, a);
 }
--- a/agent_scope.c
+++ b/agent_scope.c
@@ -30,20 +30,20 @@
 	unsigned i;
 
 	for (i = 0; i < a->nfeeds; i++)
-		if (a->feeds[i].mask == 1u << OBJ_BACKEND)
+		if (a->feeds[i].kind_mask == 1u << OBJ_BACKEND)
 			return &a->feeds[i];
 	return NULL;
 }
 
 bool
-agent_scope_divides(struct agent *a)
+agent_scope_is_split(struct agent *a)
 {
 	return backends_feed(a) != NULL;
 }
 
 /* Is a feed of use to a box of our scope, as far as that is known? */
 bool
-agent_scope_has(struct agent *a, const struct agent_feed *f)
+agent_scope_includes(struct agent *a, const struct agent_feed *f)
 {
 	return f != backends_feed(a) || a->scope == SCOPE_ALL;
 }
@@ -55,7 +55,7 @@
 void
 agent_scope_open(struct agent *a)
 {
-	a->sync.partial = agent_scope_divides(a);
+	a->sync.rules_only = agent_scope_is_split(a);
 }
 
 static void
@@ -64,29 +64,29 @@
 	if (a->scope == scope)
 		return;
 	a->scope = scope;
-	a->sync.partial = scope != SCOPE_ALL;
+	a->sync.rules_only = scope != SCOPE_ALL;
 	slog(SLOG_AGENT, "knows what to hold", "backends=%d",
 	    scope == SCOPE_ALL);
 	if (scope == SCOPE_ALL && backends_feed(a) != NULL)
 		agent_watch_now(backends_feed(a));
-	agent_gate_tell_ready(a);
+	agent_gate_send_ready(a);
 }
 
 /* Boxes have come or gone, or time has passed: what do we hold now? */
 void
-agent_scope_look(struct agent *a)
+agent_scope_update(struct agent *a)
 {
 	if (a->scope == SCOPE_ALL)
 		return;
-	if (!agent_scope_divides(a))
+	if (!agent_scope_is_split(a))
 		enter(a, SCOPE_ALL);
-	else if (gossip_knows_power(a->gossip))
+	else if (gossip_knows_relative_power(a->gossip))
 		enter(a, memb_is_strong(a->memb) ? SCOPE_ALL : SCOPE_RULES);
 }
 
 /* Have we seen complete lists of all that we hold? */
 bool
-agent_is_complete(const struct agent *a)
+agent_conf_is_complete(const struct agent *a)
 {
 	if (a->scope == SCOPE_RULES)
 		return conf_floor_of(a->conf, CONF_RULES) > 0;
--- a/agent_stat.c
+++ b/agent_stat.c
@@ -15,9 +15,9 @@
 static const struct cnt_desc descs[AC_MAX] = {
     [AC_PLATFORM_CALLS] = {"fern_platform_calls_total",
 	"Calls to the platform, a waiting watch as one.", CNT_COUNTER},
-    [AC_PLATFORM_PUT_OFF] = {"fern_platform_put_off_total",
+    [AC_PLATFORM_DEFERRED] = {"fern_platform_put_off_total",
 	"Calls put off because the box's budget was spent.", CNT_COUNTER},
-    [AC_LOOKS] = {"fern_looks_total",
+    [AC_PLATFORM_POLLS] = {"fern_looks_total",
 	"Looks at the platform beside the watches.", CNT_COUNTER},
     [AC_WATCHES_BROKEN] = {"fern_watches_broken_total",
 	"Watches that were cut or refused, or were silent.", CNT_COUNTER},
@@ -38,7 +38,7 @@
     [AC_SYNC_MESSAGES] = {"fern_sync_messages_total",
 	"Messages sent to bring configurations together.", CNT_COUNTER},
     [AC_PROBES] = {"fern_probes_total", "Probes started.", CNT_COUNTER},
-    [AC_PROBES_PUT_OFF] = {"fern_probes_put_off_total",
+    [AC_PROBES_DEFERRED] = {"fern_probes_put_off_total",
 	"Rounds in which probes waited for the budget.", CNT_COUNTER},
     [AC_PROBE_TARGETS] = {"fern_probe_targets",
 	"Backend servers that this box probes.", CNT_GAUGE},
@@ -61,14 +61,14 @@
 static void
 refresh(struct agent *a)
 {
-	const struct wire_totals *lc = wire_counts(a->wire);
+	const struct wire_totals *lc = wire_get_totals(a->wire);
 
 	cnt_set(a->cnt, AC_MEMBERS, memb_count_alive(a->memb));
 	cnt_set(a->cnt, AC_OBJECTS, conf_count(a->conf));
-	cnt_set(a->cnt, AC_SYNC_MESSAGES, a->sync.messages);
-	cnt_set(a->cnt, AC_PROBES, probe_started(a->probe));
-	cnt_set(a->cnt, AC_PROBES_PUT_OFF, probe_put_off(a->probe));
-	cnt_set(a->cnt, AC_PROBE_TARGETS, probe_count(a->probe));
+	cnt_set(a->cnt, AC_SYNC_MESSAGES, a->sync.messages_sent);
+	cnt_set(a->cnt, AC_PROBES, probe_started_count(a->probe));
+	cnt_set(a->cnt, AC_PROBES_DEFERRED, probe_deferred_count(a->probe));
+	cnt_set(a->cnt, AC_PROBE_TARGETS, probe_target_count(a->probe));
 	cnt_set(a->cnt, AC_CONTROL_IN, lc->bytes_in);
 	cnt_set(a->cnt, AC_CONTROL_OUT, lc->bytes_out);
 	cnt_set(a->cnt, AC_CONTROL_DROPPED, lc->dropped);
@@ -83,13 +83,14 @@
 	GString *out;
 
 	if (!str_eq(hsrv_path(req), STR_LIT("/metrics"))) {
-		hsrv_answer(req, 404, "text/plain", str_c("pages: /metrics\n"));
+		hsrv_send_response(
+		    req, 404, "text/plain", str_c("pages: /metrics\n"));
 		return;
 	}
 	refresh(a);
 	out = g_string_new(NULL);
 	cnt_print(a->cnt, out);
-	hsrv_answer(
+	hsrv_send_response(
 	    req, 200, "text/plain; version=0.0.4", str_n(out->str, out->len));
 	g_string_free(out, TRUE);
 }
--- a/agent_watch.c
+++ b/agent_watch.c
@@ -52,12 +52,12 @@
 
 /* Start a call if the budget has one; NULL if it must be put off. */
 struct plat_call *
-agent_call(struct agent *a, const struct plat_request *rq, plat_done_fn *done,
-    void *ctx)
+agent_platform_call(struct agent *a, const struct plat_request *rq,
+    plat_done_fn *done, void *ctx)
 {
-	if (!limit_take(&a->plat_budget, (double)a->set.platform_rate,
+	if (!limit_allow(&a->plat_budget, (double)a->settings.platform_rate,
 		clk_ns(a->clk))) {
-		cnt_add(a->cnt, AC_PLATFORM_PUT_OFF, 1);
+		cnt_add(a->cnt, AC_PLATFORM_DEFERRED, 1);
 		return NULL;
 	}
 	cnt_add(a->cnt, AC_PLATFORM_CALLS, 1);
@@ -70,7 +70,7 @@
 {
 	int64_t ns = BACKOFF_FIRST_NS << MIN(fails, BACKOFF_SHIFT_MAX);
 
-	return rnd_jitter(a->rnd, MIN(ns, a->set.retry_ms * NS_MS));
+	return rnd_jitter(a->rnd, MIN(ns, a->settings.retry_ms * NS_MS));
 }
 
 /* What was left to the first feed's calls goes on. */
@@ -85,7 +85,7 @@
 		/* A call of before the outage may never be answered. */
 		if (f->call != NULL)
 			plat_cancel(a->plat, f->call);
-		if (f->call != NULL || (i > 0 && !f->timer.set))
+		if (f->call != NULL || (i > 0 && !f->timer.armed))
 			watch_soon(f, 0);
 		f->call = NULL;
 	}
@@ -94,24 +94,24 @@
 
 /* A call's result tells whether the platform answers. */
 void
-agent_call_ended(struct agent *a, enum plat_result result)
+agent_platform_call_ended(struct agent *a, enum plat_result result)
 {
-	bool up = result != PLAT_DOWN && result != PLAT_UNSURE;
+	bool up = result != PLAT_UNAVAILABLE && result != PLAT_UNKNOWN;
 	bool back = up && !a->platform_up;
 
 	if (!up)
 		cnt_add(a->cnt, AC_PLATFORM_DOWN, 1);
 	if (back)
-		a->platform_back = clk_ns(a->clk);
+		a->platform_up_at = clk_ns(a->clk);
 	if (!up)
-		a->platform_lost = clk_ns(a->clk);
+		a->platform_down_at = clk_ns(a->clk);
 	if (up != a->platform_up)
 		slog(SLOG_WATCH,
 		    up ? "platform answers again" : "platform does not answer",
-		    "platform=%s result=%s", a->set.platform.p,
+		    "platform=%s result=%s", a->settings.platform.p,
 		    plat_result_name(result));
 	if (up != a->platform_up)
-		agent_peer_blind(a, !up);
+		agent_peer_announce_outage(a, !up);
 	a->platform_up = up;
 	if (back)
 		resume_calls(a);
@@ -122,10 +122,10 @@
  * back, and all others wait; each call has its price, a refused one too.
  */
 bool
-agent_first_feed_asks(struct agent *a)
+agent_first_feed_only(struct agent *a)
 {
 	return !a->platform_up && a->feeds[0].listed_at == 0 &&
-	    (agent_asks_platform(a) || !agent_is_complete(a));
+	    (agent_watches_platform(a) || !agent_conf_is_complete(a));
 }
 
 /* Is our box one of the few that watch the platform for the fleet? */
@@ -133,7 +133,8 @@
 agent_is_watcher(struct agent *a)
 {
 	return gossip_is_hub(a->gossip) &&
-	    memb_watches(a->memb, a->set.box, (int)a->set.watchers);
+	    memb_is_watcher(
+		a->memb, a->settings.box, (int)a->settings.watchers);
 }
 
 /*
@@ -141,7 +142,7 @@
  * dealt among strong boxes, and these may all be dead, frozen or refused.
  */
 bool
-agent_asks_platform(struct agent *a)
+agent_watches_platform(struct agent *a)
 {
 	return agent_is_watcher(a) || a->unattended;
 }
@@ -151,7 +152,7 @@
 watch_backoff(struct agent_feed *f)
 {
 	struct agent *a = f->agent;
-	int fails = f->fails++;
+	int fails = f->failures++;
 
 	if (a->unattended)
 		return rnd_jitter(a->rnd, UNATTENDED_RETRY_NS);
@@ -179,7 +180,7 @@
 has_feed(const struct agent *a, const char *feed)
 {
 	return a->form->has_feed == NULL ||
-	    a->form->has_feed(a->set.contracts, feed);
+	    a->form->has_feed(a->settings.contracts, feed);
 }
 
 void
@@ -196,14 +197,14 @@
 		f = &a->feeds[a->nfeeds++];
 		f->agent = a;
 		f->kinds = a->form->feeds[i];
-		f->mask = mask_of(f->kinds);
-		watch_soon(f, rnd_jitter(a->rnd, a->set.first_ms * NS_MS));
+		f->kind_mask = mask_of(f->kinds);
+		watch_soon(f, rnd_jitter(a->rnd, a->settings.first_ms * NS_MS));
 	}
 }
 
 /* After a pause nothing that we held of the platform is taken for new. */
 void
-agent_watch_resume(struct agent *a)
+agent_watch_restart(struct agent *a)
 {
 	struct agent_feed *f;
 	unsigned i;
@@ -220,12 +221,12 @@
 
 /* Nobody attends to the box any more. */
 void
-agent_watch_unattended(struct agent *a)
+agent_watch_start_unattended(struct agent *a)
 {
-	uint64_t crowd = MAX(gossip_crowd(a->gossip), 1), in = 0;
+	uint64_t crowd = MAX(gossip_serving_gates(a->gossip), 1), in = 0;
 	unsigned i;
 
-	if (gossip_hubs_are_blind(a->gossip))
+	if (gossip_hubs_lost_platform(a->gossip))
 		in = rnd_below(a->rnd, crowd * NS_S / UNATTENDED_RATE);
 	for (i = 0; i < a->nfeeds; i++) {
 		if (a->feeds[i].call != NULL)
@@ -258,13 +259,13 @@
 {
 	struct plat_request rq = {.op = PLAT_LIST,
 	    .kind = str_c(f->kinds),
-	    .stale = f->complete == 0 && !f->agent->unattended,
+	    .allow_stale = f->listed_revision == 0 && !f->agent->unattended,
 	    .timeout_ms = LIST_TIMEOUT_MS};
 
-	f->copy = rq.stale;
-	f->asked_at = clk_ns(f->agent->clk);
-	f->watches = false;
-	f->call = agent_call(f->agent, &rq, on_list, f);
+	f->may_be_stale = rq.allow_stale;
+	f->call_started_at = clk_ns(f->agent->clk);
+	f->is_watch = false;
+	f->call = agent_platform_call(f->agent, &rq, on_list, f);
 	if (f->call == NULL)
 		watch_soon(f, rnd_jitter(f->agent->rnd, AGENT_RECHECK_NS));
 }
@@ -275,12 +276,12 @@
 	struct agent *a = f->agent;
 	struct plat_request rq = {.op = PLAT_WATCH,
 	    .kind = str_c(f->kinds),
-	    .version = f->since,
-	    .wait_ms = MIN(a->set.watch_ms, a->set.list_ms)};
+	    .version = f->reached_revision,
+	    .wait_ms = MIN(a->settings.watch_ms, a->settings.list_ms)};
 
-	f->asked_at = clk_ns(a->clk);
-	f->watches = true;
-	f->call = agent_call(a, &rq, on_watch, f);
+	f->call_started_at = clk_ns(a->clk);
+	f->is_watch = true;
+	f->call = agent_platform_call(a, &rq, on_watch, f);
 	if (f->call == NULL)
 		watch_soon(f, rnd_jitter(a->rnd, AGENT_RECHECK_NS));
 }
@@ -293,10 +294,10 @@
 static void
 forget_outage(struct agent *a)
 {
-	if (a->platform_up || clk_ns(a->clk) - a->platform_lost < BLIND_NS)
+	if (a->platform_up || clk_ns(a->clk) - a->platform_down_at < BLIND_NS)
 		return;
 	a->platform_up = true;
-	agent_peer_blind(a, false);
+	agent_peer_announce_outage(a, false);
 	agent_box_resume_calls(a);
 }
 
@@ -310,20 +311,20 @@
 	struct agent_feed *f = ctx;
 	struct agent *a = f->agent;
 	int64_t now = clk_ns(a->clk);
-	bool asks = agent_asks_platform(a);
+	bool asks = agent_watches_platform(a);
 
 	cnt_set(a->cnt, AC_WATCHING, asks);
-	if (f->call != NULL || a->leaving || !agent_scope_has(a, f) ||
-	    (f != &a->feeds[0] && agent_first_feed_asks(a)))
+	if (f->call != NULL || a->leaving || !agent_scope_includes(a, f) ||
+	    (f != &a->feeds[0] && agent_first_feed_only(a)))
 		return;
-	if (!asks && (f->complete > 0 || agent_is_complete(a))) {
+	if (!asks && (f->listed_revision > 0 || agent_conf_is_complete(a))) {
 		forget_outage(a);
 		f->listed_at = 0;
 		watch_soon(f, rnd_jitter(a->rnd, AGENT_RECHECK_NS));
 		return;
 	}
-	if (f->listed_at == 0 || f->since == 0 ||
-	    now - f->listed_at > a->set.list_ms * NS_MS)
+	if (f->listed_at == 0 || f->reached_revision == 0 ||
+	    now - f->listed_at > a->settings.list_ms * NS_MS)
 		start_list(f);
 	else
 		start_watch(f);
@@ -336,7 +337,8 @@
 
 	if (err != NULL)
 		return err->message;
-	return e != NULL && e->bad_why != NULL ? e->bad_why : "unknown";
+	return e != NULL && e->rejected_reason != NULL ? e->rejected_reason
+						       : "unknown";
 }
 
 static void
@@ -348,7 +350,7 @@
 	    (uint64_t)json_integer_value(json_object_get(o, "version"));
 	bool deleted = json_is_true(json_object_get(o, "deleted"));
 	json_t *spec = json_object_get(o, "spec");
-	enum conf_result got = CONF_KNOWN;
+	enum conf_result got = CONF_DUPLICATE;
 	GError *err = NULL;
 	char *key;
 
@@ -356,10 +358,10 @@
 		return;
 	key = g_strdup_printf("%s/%s", kind, name);
 	if (!deleted ||
-	    !agent_lapse_hold(a, conf_get(a->conf, str_c(key)), version))
+	    !agent_deletion_hold(a, conf_get(a->conf, str_c(key)), version))
 		got = conf_offer(a->conf, str_c(key), version, deleted, spec,
-		    a->from_copy ? STR_LIT("platform-copy")
-				 : STR_LIT("platform"),
+		    a->offer_may_be_stale ? STR_LIT("platform-copy")
+					  : STR_LIT("platform"),
 		    &err);
 	if (got == CONF_REJECTED)
 		slog(SLOG_CONF,
@@ -383,11 +385,11 @@
 	json_t *objects = json_object_get(body, "objects"), *o;
 	size_t i;
 
-	a->from_platform = true;
-	a->from_copy = copy;
+	a->offer_from_platform = true;
+	a->offer_may_be_stale = copy;
 	json_array_foreach (objects, i, o)
 		offer(a, o, keys);
-	a->from_platform = a->from_copy = false;
+	a->offer_from_platform = a->offer_may_be_stale = false;
 }
 
 static uint64_t
@@ -408,11 +410,11 @@
 {
 	struct absent *ab = ctx;
 
-	if ((ab->feed->mask >> e->kind & 1) == 0 || e->deleted ||
+	if ((ab->feed->kind_mask >> e->kind & 1) == 0 || e->deleted ||
 	    e->version > ab->revision ||
 	    g_hash_table_contains(ab->keys, e->key.p))
 		return;
-	if (agent_lapse_hold(ab->feed->agent, e, ab->revision))
+	if (agent_deletion_hold(ab->feed->agent, e, ab->revision))
 		g_hash_table_add(ab->keys, g_strdup(e->key.p));
 }
 
@@ -422,7 +424,8 @@
 {
 	unsigned backends = 1u << OBJ_BACKEND;
 
-	return (f->mask & (part == CONF_BACKENDS ? backends : ~backends)) != 0;
+	return (f->kind_mask &
+		   (part == CONF_BACKENDS ? backends : ~backends)) != 0;
 }
 
 /* A part's floor is what the lists of all feeds that have it have reached. */
@@ -434,7 +437,7 @@
 
 	for (i = 0; i < a->nfeeds; i++)
 		if (has_part(&a->feeds[i], part))
-			floor = MIN(floor, a->feeds[i].complete);
+			floor = MIN(floor, a->feeds[i].listed_revision);
 	conf_raise_floor(a->conf, part, floor);
 }
 
@@ -467,38 +470,39 @@
 	struct agent *a = f->agent;
 	uint64_t revision = revision_of(body);
 	struct absent ab = {f, NULL, revision};
-	bool first = f->complete == 0;
+	bool first = f->listed_revision == 0;
 
 	f->call = NULL;
-	agent_call_ended(a, result);
+	agent_platform_call_ended(a, result);
 	if (result != PLAT_OK ||
 	    !json_is_array(json_object_get(body, "objects"))) {
 		watch_soon(f, watch_backoff(f));
 		return;
 	}
-	f->fails = 0;
+	f->failures = 0;
 	ab.keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	offer_all(a, body, ab.keys, f->copy);
+	offer_all(a, body, ab.keys, f->may_be_stale);
 	conf_each(a->conf, hold_absent, &ab);
-	a->from_platform = true;
+	a->offer_from_platform = true;
 	if (is_newest(f, revision))
-		conf_complete_kinds(a->conf, f->mask, revision, ab.keys);
-	a->from_platform = false;
+		conf_apply_list_of_kinds(
+		    a->conf, f->kind_mask, revision, ab.keys);
+	a->offer_from_platform = false;
 	g_hash_table_destroy(ab.keys);
-	if (!f->copy)
+	if (!f->may_be_stale)
 		confirm(f);
 	f->listed_at = clk_ns(a->clk);
-	f->since = MAX(f->since, revision);
-	f->complete = MAX(f->complete, revision);
+	f->reached_revision = MAX(f->reached_revision, revision);
+	f->listed_revision = MAX(f->listed_revision, revision);
 	raise_floor(a, CONF_RULES);
 	raise_floor(a, CONF_BACKENDS);
-	agent_gate_tell_ready(a);
+	agent_gate_send_ready(a);
 	slog(SLOG_WATCH, "listed",
 	    "kinds=%s revision=%llu in_force=%zu copy=%d", f->kinds,
-	    (unsigned long long)revision, conf_count(a->conf), f->copy);
-	agent_box_status_soon(a);
+	    (unsigned long long)revision, conf_count(a->conf), f->may_be_stale);
+	agent_box_schedule_status(a);
 	/* A weak box that starts hears first whether it must watch at all. */
-	watch_soon(f, first && !agent_asks_platform(a) ? FIRST_WATCH_NS : 0);
+	watch_soon(f, first && !agent_watches_platform(a) ? FIRST_WATCH_NS : 0);
 }
 
 static void
@@ -508,8 +512,8 @@
 
 	cnt_add(a->cnt, AC_WATCHES_BROKEN, 1);
 	slog(SLOG_WATCH, "a watch failed", "kinds=%s since=%llu waited_ms=%lld",
-	    f->kinds, (unsigned long long)f->since,
-	    (long long)((clk_ns(a->clk) - f->asked_at) / NS_MS));
+	    f->kinds, (unsigned long long)f->reached_revision,
+	    (long long)((clk_ns(a->clk) - f->call_started_at) / NS_MS));
 }
 
 /*
@@ -526,15 +530,15 @@
 	struct agent *a = f->agent;
 
 	f->call = NULL;
-	if (result == PLAT_DOWN)
+	if (result == PLAT_UNAVAILABLE)
 		note_broken(f);
-	if (result == PLAT_DOWN && f->fails == 0) {
-		f->fails++;
+	if (result == PLAT_UNAVAILABLE && f->failures == 0) {
+		f->failures++;
 		f->listed_at = 0;
 		watch_soon(f, rnd_jitter(a->rnd, CUT_NS));
 		return;
 	}
-	agent_call_ended(a, result);
+	agent_platform_call_ended(a, result);
 	if (result == PLAT_TOO_OLD) {
 		f->listed_at = 0;
 		watch_soon(f, 0);
@@ -546,15 +550,15 @@
 		watch_soon(f, watch_backoff(f));
 		return;
 	}
-	f->fails = 0;
+	f->failures = 0;
 	slog(SLOG_WATCH, "watched", "kinds=%s revision=%llu changes=%zu",
 	    f->kinds, (unsigned long long)revision_of(body),
 	    json_array_size(json_object_get(body, "objects")));
 	offer_all(a, body, NULL, false);
 	confirm(f);
-	f->since = MAX(f->since, revision_of(body));
+	f->reached_revision = MAX(f->reached_revision, revision_of(body));
 	/* Changes come in rows; those of a moment are fetched together. */
-	watch_soon(f, a->set.gather_ms * NS_MS);
+	watch_soon(f, a->settings.gather_ms * NS_MS);
 }
 
 /* The watch has had its time to bring what came past it. */
@@ -563,8 +567,8 @@
 {
 	struct agent_feed *f = ctx;
 
-	if (f->call == NULL || !f->watches ||
-	    clk_ns(f->agent->clk) - f->asked_at < PASSED_NS)
+	if (f->call == NULL || !f->is_watch ||
+	    clk_ns(f->agent->clk) - f->call_started_at < PASSED_NS)
 		return;
 	note_broken(f);
 	plat_cancel(f->agent->plat, f->call);
@@ -581,13 +585,13 @@
 {
 	struct agent *a = f->agent;
 
-	if (f->call != NULL && f->watches && !f->passed_timer.set)
-		tmr_set(&a->tmr, &f->passed_timer, clk_ns(a->clk) + PASSED_NS,
+	if (f->call != NULL && f->is_watch && !f->bypass_timer.armed)
+		tmr_set(&a->tmr, &f->bypass_timer, clk_ns(a->clk) + PASSED_NS,
 		    on_passed, f);
 }
 
 void
-agent_watch_told(struct agent_feed *f, json_t *body)
+agent_watch_apply(struct agent_feed *f, json_t *body)
 {
 	uint64_t revision = revision_of(body);
 
@@ -596,11 +600,11 @@
 		wait_for_watch(f);
 	}
 	confirm(f);
-	f->since = MAX(f->since, revision);
+	f->reached_revision = MAX(f->reached_revision, revision);
 }
 
 void
-agent_watch_missed(struct agent_feed *f)
+agent_watch_history_lost(struct agent_feed *f)
 {
 	if (f->listed_at == 0)
 		return;
@@ -612,16 +616,17 @@
 }
 
 void
-agent_watch_passed(struct agent *a, const struct conf_entry *e)
+agent_watch_bypassed(struct agent *a, const struct conf_entry *e)
 {
 	struct agent_feed *f;
 	unsigned i;
 
-	if (a->from_platform)
+	if (a->offer_from_platform)
 		return;
 	for (i = 0; i < a->nfeeds; i++) {
 		f = &a->feeds[i];
-		if ((f->mask >> e->kind & 1) != 0 && e->version > f->since)
+		if ((f->kind_mask >> e->kind & 1) != 0 &&
+		    e->version > f->reached_revision)
 			wait_for_watch(f);
 	}
 }
--- a/caller.c
+++ b/caller.c
@@ -26,11 +26,11 @@
 {
 	int i;
 
-	if (c->all < MEMORY)
+	if (c->total_weight < MEMORY)
 		return;
 	for (i = 0; i < CALLER_VALUES; i++)
-		c->values[i].seen /= 2;
-	c->all /= 2;
+		c->values[i].weight /= 2;
+	c->total_weight /= 2;
 }
 
 /* The value's place; a new one takes that of the rarest. */
@@ -40,23 +40,23 @@
 	struct caller_value *v, *rarest = &c->values[0];
 	int i;
 
-	c->all++;
+	c->total_weight++;
 	for (i = 0; i < CALLER_VALUES; i++) {
 		v = &c->values[i];
-		if (v->left_ms == left_ms) {
-			v->seen++;
+		if (v->remaining_ms == left_ms) {
+			v->weight++;
 			return;
 		}
-		if (v->seen < rarest->seen)
+		if (v->weight < rarest->weight)
 			rarest = v;
 	}
 	/* Halved, so that rare values do not add up in one place. */
-	rarest->seen = rarest->seen / 2 + 1;
-	rarest->left_ms = left_ms;
+	rarest->weight = rarest->weight / 2 + 1;
+	rarest->remaining_ms = left_ms;
 }
 
 int64_t
-callers_waited(struct callers *c, int64_t left_ms)
+callers_elapsed_ms(struct callers *c, int64_t left_ms)
 {
 	const struct caller_value *v;
 	int64_t waited = 0;
@@ -64,15 +64,16 @@
 
 	forget(c);
 	count(c, left_ms);
-	if (c->all < ENOUGH)
+	if (c->total_weight < ENOUGH)
 		return 0;
 	for (i = 0; i < CALLER_VALUES; i++) {
 		v = &c->values[i];
-		if (v->seen < COMMON * c->all || v->left_ms < left_ms)
+		if (v->weight < COMMON * c->total_weight ||
+		    v->remaining_ms < left_ms)
 			continue;
-		if (waited == 0 || v->left_ms - left_ms < waited)
-			waited = v->left_ms - left_ms;
-		if (v->left_ms == left_ms)
+		if (waited == 0 || v->remaining_ms - left_ms < waited)
+			waited = v->remaining_ms - left_ms;
+		if (v->remaining_ms == left_ms)
 			return 0;
 	}
 	return waited;
--- a/caller.h
+++ b/caller.h
@@ -23,20 +23,20 @@
 enum { CALLER_VALUES = 8 };
 
 struct caller_value {
-	int64_t left_ms;
-	double seen; /* how often, the older the less */
+	int64_t remaining_ms;
+	double weight; /* how often, the older the less */
 };
 
 /* The callers of one rule. */
 struct callers {
 	struct caller_value values[CALLER_VALUES];
-	double all;
+	double total_weight;
 };
 
 /*
  * A caller says that it waits `left_ms` more.  How many ms it has waited, 0
  * where that is not known.
  */
-int64_t callers_waited(struct callers *, int64_t left_ms);
+int64_t callers_elapsed_ms(struct callers *, int64_t left_ms);
 
 #endif
--- a/cold.c
+++ b/cold.c
@@ -16,48 +16,48 @@
 static void
 begin(struct cold *c, int64_t now)
 {
-	if (c->bucket.filled == 0)
-		c->bucket.filled = now;
+	if (c->bucket.updated_at == 0)
+		c->bucket.updated_at = now;
 }
 
 void
-cold_suspect(struct cold *c, int64_t lasts, int64_t now)
+cold_set_suspected(struct cold *c, int64_t lasts, int64_t now)
 {
 	begin(c, now);
-	c->until = MAX(c->until, now + lasts);
-	c->told = false;
+	c->cold_until = MAX(c->cold_until, now + lasts);
+	c->reported = false;
 }
 
 void
-cold_told(struct cold *c, int64_t ns, int64_t now)
+cold_set_reported(struct cold *c, int64_t ns, int64_t now)
 {
 	begin(c, now);
-	c->until = ns > 0 ? now + ns : 0;
-	c->told = true;
+	c->cold_until = ns > 0 ? now + ns : 0;
+	c->reported = true;
 }
 
 bool
-cold_is(const struct cold *c, int64_t now)
+cold_is_cold(const struct cold *c, int64_t now)
 {
-	return now < c->until;
+	return now < c->cold_until;
 }
 
 bool
-cold_in_doubt(const struct cold *c, int64_t now)
+cold_is_unconfirmed(const struct cold *c, int64_t now)
 {
-	return cold_is(c, now) && !c->told;
+	return cold_is_cold(c, now) && !c->reported;
 }
 
 bool
-cold_may(const struct cold *c, const struct cold_bound *bound, int64_t now)
+cold_can_send(const struct cold *c, const struct cold_limit *bound, int64_t now)
 {
-	return bound->rate <= 0 || !cold_is(c, now) ||
-	    bucket_holds(&c->bucket, bound->rate, bound->burst, now) >= 1;
+	return bound->rate <= 0 || !cold_is_cold(c, now) ||
+	    bucket_tokens(&c->bucket, bound->rate, bound->burst, now) >= 1;
 }
 
 /* A warm one may get any number; then nothing is saved when it turns cold. */
 void
-cold_sent(struct cold *c, const struct cold_bound *bound, int64_t now)
+cold_record_send(struct cold *c, const struct cold_limit *bound, int64_t now)
 {
-	bucket_take(&c->bucket, bound->rate, bound->burst, now);
+	bucket_consume(&c->bucket, bound->rate, bound->burst, now);
 }
--- a/cold.h
+++ b/cold.h
@@ -30,34 +30,35 @@
  */
 
 /* What one bears while it is cold. */
-struct cold_bound {
+struct cold_limit {
 	double rate; /* requests a second; 0: it is not bounded */
 	double burst; /* requests beyond, at once */
-	int64_t lasts; /* ns that it takes to warm up, at most */
+	int64_t duration; /* ns that it takes to warm up, at most */
 };
 
 /* Whether one is cold, as far as is known, and what it got. */
 struct cold {
-	int64_t until; /* monotonic ns; it is cold before that, or may be */
-	bool told; /* by itself; otherwise it is suspected */
+	int64_t
+	    cold_until; /* monotonic ns; it is cold before that, or may be */
+	bool reported; /* by itself; otherwise it is suspected */
 	struct bucket bucket; /* requests that it may get; filled 0: unused */
 };
 
 /* It has started, or may have: cold for so many ns unless it says better. */
-void cold_suspect(struct cold *, int64_t lasts, int64_t now);
+void cold_set_suspected(struct cold *, int64_t lasts, int64_t now);
 
 /* It says itself that it is cold for so many ns more; 0: it is warm. */
-void cold_told(struct cold *, int64_t ns, int64_t now);
+void cold_set_reported(struct cold *, int64_t ns, int64_t now);
 
-bool cold_is(const struct cold *, int64_t now);
+bool cold_is_cold(const struct cold *, int64_t now);
 
 /* Is it suspected, so that asking it would tell? */
-bool cold_in_doubt(const struct cold *, int64_t now);
+bool cold_is_unconfirmed(const struct cold *, int64_t now);
 
 /* May it get a request now? */
-bool cold_may(const struct cold *, const struct cold_bound *, int64_t now);
+bool cold_can_send(const struct cold *, const struct cold_limit *, int64_t now);
 
 /* It gets one, cold or not. */
-void cold_sent(struct cold *, const struct cold_bound *, int64_t now);
+void cold_record_send(struct cold *, const struct cold_limit *, int64_t now);
 
 #endif
--- a/conc.c
+++ b/conc.c
@@ -62,7 +62,7 @@
 }
 
 void
-conc_learn(struct conc *c, int beside, int slots, double time, int64_t now)
+conc_add_sample(struct conc *c, int beside, int slots, double time, int64_t now)
 {
 	struct conc_step *s;
 
@@ -70,13 +70,14 @@
 		return;
 	s = &c->steps[step_of(beside + 1, slots)];
 	if (s->samples > 0)
-		time = CLAMP(time, s->time / SAMPLE_MAX, s->time * SAMPLE_MAX);
-	if (now - s->learned >= OLD_NS)
-		s->lately = MIN(s->samples, 1);
+		time = CLAMP(
+		    time, s->mean_time / SAMPLE_MAX, s->mean_time * SAMPLE_MAX);
+	if (now - s->updated_at >= OLD_NS)
+		s->recent_samples = MIN(s->samples, 1);
 	s->samples = MIN(s->samples + 1, WEIGHT);
-	s->lately = MIN(s->lately + 1, WEIGHT);
-	s->time += (time - s->time) / s->lately;
-	s->learned = now;
+	s->recent_samples = MIN(s->recent_samples + 1, WEIGHT);
+	s->mean_time += (time - s->mean_time) / s->recent_samples;
+	s->updated_at = now;
 }
 
 /* The mean of all samples up to a step. */
@@ -88,14 +89,14 @@
 	int i;
 
 	for (i = 0; i <= last; i++) {
-		sum += c->steps[i].time * c->steps[i].samples;
+		sum += c->steps[i].mean_time * c->steps[i].samples;
 		n += c->steps[i].samples;
 	}
 	return n == 0 ? 0 : sum / n;
 }
 
 double
-conc_usual(const struct conc *c)
+conc_base_time(const struct conc *c)
 {
 	double half = mean_time(c, HALF_STEP);
 
@@ -103,9 +104,9 @@
 }
 
 void
-conc_add(struct conc *c, const struct conc *other)
+conc_merge(struct conc *c, const struct conc *other)
 {
-	double usual = conc_usual(other), weight;
+	double usual = conc_base_time(other), weight;
 	const struct conc_step *o;
 	struct conc_step *s;
 	int i;
@@ -116,10 +117,10 @@
 		if (o->samples == 0)
 			continue;
 		weight = (double)o->samples / (o->samples + s->samples);
-		s->time += (o->time / usual - s->time) * weight;
+		s->mean_time += (o->mean_time / usual - s->mean_time) * weight;
 		s->samples += o->samples;
-		s->lately += o->lately;
-		s->learned = MAX(s->learned, o->learned);
+		s->recent_samples += o->recent_samples;
+		s->updated_at = MAX(s->updated_at, o->updated_at);
 	}
 }
 
@@ -131,14 +132,14 @@
 
 	for (i = step; i >= 0; i--)
 		if (is_known(&c->steps[i]))
-			return c->steps[i].time;
+			return c->steps[i].mean_time;
 	return 0;
 }
 
 double
 conc_slowdown(const struct conc *c, int beside, int slots)
 {
-	double usual = conc_usual(c);
+	double usual = conc_base_time(c);
 	int step;
 
 	if (slots <= 0 || usual == 0)
@@ -180,7 +181,8 @@
 static bool
 is_current(const struct conc_step *s, int64_t now)
 {
-	return s->lately > KNOWN_SAMPLES && now - s->learned < OLD_NS;
+	return s->recent_samples > KNOWN_SAMPLES &&
+	    now - s->updated_at < OLD_NS;
 }
 
 /*
@@ -188,7 +190,7 @@
  * shows whether the limit should move: its neighbours.
  */
 int
-conc_to_try(const struct conc *c, int slots, int64_t now)
+conc_next_to_explore(const struct conc *c, int slots, int64_t now)
 {
 	int limit = conc_limit(c, slots), half = half_of(slots);
 
--- a/conc.h
+++ b/conc.h
@@ -24,10 +24,10 @@
 enum { CONC_STEPS = 16 };
 
 struct conc_step {
-	double time; /* that work takes; 0: unknown */
+	double mean_time; /* that work takes; 0: unknown */
 	unsigned samples;
-	unsigned lately; /* of these, since there were none for long */
-	int64_t learned; /* monotonic ns of the last sample */
+	unsigned recent_samples; /* of these, since there were none for long */
+	int64_t updated_at; /* monotonic ns of the last sample */
 };
 
 struct conc {
@@ -35,16 +35,17 @@
 };
 
 /* A request that began beside `beside` others took so long. */
-void conc_learn(struct conc *, int beside, int slots, double time, int64_t now);
+void
+conc_add_sample(struct conc *, int beside, int slots, double time, int64_t now);
 
 /* What work takes that other work does not slow; 0: unknown. */
-double conc_usual(const struct conc *);
+double conc_base_time(const struct conc *);
 
 /*
  * Add what is known of another kind of work.  A sum tells nothing of times,
  * but how they compare.
  */
-void conc_add(struct conc *, const struct conc *);
+void conc_merge(struct conc *, const struct conc *);
 
 /* How many times longer work takes that begins beside so many others; >= 1. */
 double conc_slowdown(const struct conc *, int beside, int slots);
@@ -56,6 +57,6 @@
  * The number of requests at once that should be tried next to learn whether
  * the limit holds; 0 if all that matters was learned lately.
  */
-int conc_to_try(const struct conc *, int slots, int64_t now);
+int conc_next_to_explore(const struct conc *, int slots, int64_t now);
 
 #endif
--- a/conf.c
+++ b/conf.c
@@ -27,7 +27,7 @@
 	uint64_t digests[CONF_PARTS];
 	uint64_t floors[CONF_PARTS];
 	size_t live;
-	struct listener listeners[CONF_LISTENERS];
+	struct listener listeners[CONF_LISTENERS_MAX];
 	unsigned nlisteners;
 };
 
@@ -45,11 +45,11 @@
 static void
 clear_bad(struct conf_entry *e)
 {
-	json_decref(e->bad_spec);
-	g_free(e->bad_why);
-	e->bad_spec = NULL;
-	e->bad_why = NULL;
-	e->bad_version = 0;
+	json_decref(e->rejected_spec);
+	g_free(e->rejected_reason);
+	e->rejected_spec = NULL;
+	e->rejected_reason = NULL;
+	e->rejected_version = 0;
 }
 
 static void
@@ -73,14 +73,14 @@
 	c->entries =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, entry_free);
 	if (changed != NULL)
-		conf_listen(c, changed, ctx);
+		conf_add_listener(c, changed, ctx);
 	return c;
 }
 
 void
-conf_listen(struct conf *c, conf_changed_fn *changed, void *ctx)
+conf_add_listener(struct conf *c, conf_changed_fn *changed, void *ctx)
 {
-	g_assert(c->nlisteners < CONF_LISTENERS);
+	g_assert(c->nlisteners < CONF_LISTENERS_MAX);
 	c->listeners[c->nlisteners++] = (struct listener){changed, ctx};
 }
 
@@ -193,9 +193,9 @@
 		parts[0] = e->version;
 		parts[1] = hash_spec(e->spec);
 	}
-	if (e->bad_version > 0) {
-		parts[2] = e->bad_version;
-		parts[3] = hash_spec(e->bad_spec);
+	if (e->rejected_version > 0) {
+		parts[2] = e->rejected_version;
+		parts[3] = hash_spec(e->rejected_spec);
 	}
 	if (parts[0] == 0 && parts[2] == 0)
 		return 0;
@@ -268,7 +268,7 @@
 	e->version = version;
 	e->deleted = deleted;
 	e->source = str_dup(source);
-	if (e->bad_version <= version)
+	if (e->rejected_version <= version)
 		clear_bad(e);
 	c->live += (size_t)!deleted - (size_t)was;
 	rehash(c, e);
@@ -280,17 +280,17 @@
 offer_bad(struct conf *c, struct conf_entry *e, uint64_t version, json_t *spec,
     GError *why)
 {
-	bool newer = version > e->version && version > e->bad_version;
+	bool newer = version > e->version && version > e->rejected_version;
 
 	if (newer) {
 		clear_bad(e);
-		e->bad_version = version;
-		e->bad_spec = json_incref(spec);
-		e->bad_why = g_strdup(why->message);
+		e->rejected_version = version;
+		e->rejected_spec = json_incref(spec);
+		e->rejected_reason = g_strdup(why->message);
 		rehash(c, e);
 	}
 	g_error_free(why);
-	return newer ? CONF_REJECTED : CONF_OLDER;
+	return newer ? CONF_REJECTED : CONF_STALE;
 }
 
 /*
@@ -319,14 +319,14 @@
 	g_free(text);
 	if (e == NULL &&
 	    (version == 0 || version <= c->floors[part_of_key(key)]))
-		return CONF_OLDER;
+		return CONF_STALE;
 	if (e != NULL && version == e->version && version > 0 &&
 	    deleted == e->deleted && (deleted || json_equal(spec, e->spec)))
-		return CONF_KNOWN;
-	if (e != NULL && version == e->bad_version)
-		return CONF_KNOWN;
+		return CONF_DUPLICATE;
+	if (e != NULL && version == e->rejected_version)
+		return CONF_DUPLICATE;
 	if (e != NULL && !wins(e, version, deleted, spec))
-		return CONF_OLDER;
+		return CONF_STALE;
 	if (e == NULL)
 		e = entry_new(c, key, err);
 	if (e == NULL)
@@ -339,7 +339,7 @@
 			return offer_bad(c, e, version, spec, why);
 	}
 	enforce(c, e, version, deleted, spec, obj, source);
-	return CONF_NEWER;
+	return CONF_APPLIED;
 }
 
 /* A deletion at or below the floor need not be kept: the floor tells it. */
@@ -350,7 +350,7 @@
 	const struct conf *c = ctx;
 
 	(void)key;
-	return (e->deleted || e->version == 0) && e->bad_version == 0 &&
+	return (e->deleted || e->version == 0) && e->rejected_version == 0 &&
 	    e->version <= c->floors[conf_part_of(e->kind)];
 }
 
@@ -364,19 +364,19 @@
 }
 
 void
-conf_complete(struct conf *c, uint64_t revision, GHashTable *keys)
+conf_apply_list(struct conf *c, uint64_t revision, GHashTable *keys)
 {
 	int part;
 
 	if (revision < conf_floor(c))
 		return;
-	conf_complete_kinds(c, ~0u, revision, keys);
+	conf_apply_list_of_kinds(c, ~0u, revision, keys);
 	for (part = 0; part < CONF_PARTS; part++)
 		conf_raise_floor(c, (enum conf_part)part, revision);
 }
 
 void
-conf_complete_kinds(
+conf_apply_list_of_kinds(
     struct conf *c, unsigned kinds, uint64_t revision, GHashTable *keys)
 {
 	struct conf_entry *e;
@@ -389,7 +389,8 @@
 		if ((kinds >> e->kind & 1) == 0 ||
 		    g_hash_table_contains(keys, key))
 			continue;
-		if (e->bad_version > 0 && e->bad_version <= revision) {
+		if (e->rejected_version > 0 &&
+		    e->rejected_version <= revision) {
 			clear_bad(e);
 			rehash(c, e);
 		}
--- a/conf.h
+++ b/conf.h
@@ -33,7 +33,7 @@
  * No I/O is done here; changes go out through a callback.
  */
 
-enum { CONF_BUCKETS = 64, CONF_LISTENERS = 2 };
+enum { CONF_BUCKETS = 64, CONF_LISTENERS_MAX = 2 };
 
 /*
  * The two parts of a configuration: a box that only passes requests on to
@@ -50,9 +50,9 @@
 	bool deleted;
 	json_t *spec; /* of the version in force */
 	struct obj *obj; /* the same, checked */
-	uint64_t bad_version; /* rejected; 0: none */
-	json_t *bad_spec;
-	char *bad_why;
+	uint64_t rejected_version; /* rejected; 0: none */
+	json_t *rejected_spec;
+	char *rejected_reason;
 	struct str source; /* who offered the version in force */
 	uint64_t hash; /* this entry's share of the digest */
 };
@@ -61,15 +61,15 @@
 typedef void conf_changed_fn(void *, const struct conf_entry *);
 
 /* What became of an offer. */
-enum conf_result { CONF_NEWER, CONF_KNOWN, CONF_OLDER, CONF_REJECTED };
+enum conf_result { CONF_APPLIED, CONF_DUPLICATE, CONF_STALE, CONF_REJECTED };
 
 struct conf;
 
 /* The callback, if not NULL, is the first listener. */
 struct conf *conf_new(conf_changed_fn *, void *);
 
-/* Tell changes to one more listener, CONF_LISTENERS at most. */
-void conf_listen(struct conf *, conf_changed_fn *, void *);
+/* Tell changes to one more listener, CONF_LISTENERS_MAX at most. */
+void conf_add_listener(struct conf *, conf_changed_fn *, void *);
 void conf_free(struct conf *);
 
 /*
@@ -84,14 +84,14 @@
  * A complete list at `revision` has been offered; `keys` holds the keys in
  * it.  Whatever is not in it at or below that revision has been deleted.
  */
-void conf_complete(struct conf *, uint64_t revision, GHashTable *keys);
+void conf_apply_list(struct conf *, uint64_t revision, GHashTable *keys);
 
 /*
  * The same for some kinds only, a bit 1 << kind for each.  The floors stay:
  * their owner raises them once lists of all kinds of a part are at or above
  * them.
  */
-void conf_complete_kinds(
+void conf_apply_list_of_kinds(
     struct conf *, unsigned kinds, uint64_t revision, GHashTable *keys);
 
 /*
--- a/ctl_call.c
+++ b/ctl_call.c
@@ -61,12 +61,12 @@
 static enum plat_result
 read_call(struct ctl *c, const struct plat_request *rq, json_t **body)
 {
-	enum plat_result result = PLAT_DOWN;
+	enum plat_result result = PLAT_UNAVAILABLE;
 	int i;
 
 	for (i = 0; i < TRIES_MAX; i++) {
 		result = ctl_call(c, rq, body);
-		if (result != PLAT_DOWN)
+		if (result != PLAT_UNAVAILABLE)
 			break;
 		json_decref(*body);
 		*body = NULL;
@@ -85,7 +85,7 @@
 	if (result == PLAT_OK)
 		return body;
 	json_decref(body);
-	if (result != PLAT_NONE)
+	if (result != PLAT_NOT_FOUND)
 		no_answer(err);
 	return NULL;
 }
@@ -182,24 +182,24 @@
 		now = json_incref(json_object_get(body, "current"));
 		json_decref(body);
 		body = NULL;
-		fate = result == PLAT_CONFLICT || result == PLAT_NONE
+		fate = result == PLAT_CONFLICT || result == PLAT_NOT_FOUND
 		    ? FATE_OVERTAKEN
 		    : FATE_NOT_DONE;
 		/* Our own earlier try may be what we now collide with. */
-		if (result == PLAT_UNSURE || (fate == FATE_OVERTAKEN && i > 0))
+		if (result == PLAT_UNKNOWN || (fate == FATE_OVERTAKEN && i > 0))
 			fate = read_back(
 			    c, kind, name, old, id, spec == NULL, &now);
 		if (fate == FATE_DONE)
 			*version = (uint64_t)version_of(now);
 		if (fate == FATE_OVERTAKEN)
 			lost_race(kind, name, old, now, err);
-		if (result == PLAT_BAD)
+		if (result == PLAT_BAD_REQUEST)
 			err_set(err, ERR_PLATFORM,
 			    "%.*s/%.*s: the platform refuses the call",
 			    STR_ARG(kind), STR_ARG(name));
 		json_decref(now);
 		if (fate == FATE_DONE || fate == FATE_OVERTAKEN ||
-		    result == PLAT_BAD)
+		    result == PLAT_BAD_REQUEST)
 			break;
 		g_usleep(PAUSE_MS * 1000);
 	}
--- a/ctl_main.c
+++ b/ctl_main.c
@@ -118,7 +118,7 @@
 	tmr_open(&c->tmr, c->loop, c->clk);
 	c->up = up_open(c->loop, &c->tmr, c->clk);
 	c->plat = plat_http_open(c->up, &c->tmr, c->clk, address,
-	    plat_form_by_name(STR_LIT("fern"))->codec);
+	    plat_adapter_by_name(STR_LIT("fern"))->codec);
 	return true;
 }
 
--- a/ctl_show.c
+++ b/ctl_show.c
@@ -20,7 +20,7 @@
 static void
 print_backends(const struct route_service *svc)
 {
-	const struct disp_backend *b;
+	const struct disp_backend_conf *b;
 	unsigned i, j;
 
 	if (svc->nhalls == 0)
@@ -40,7 +40,7 @@
 }
 
 static void
-print_part(const struct route_rule *rule, const struct route_part *part)
+print_part(const struct route_rule *rule, const struct route_target *part)
 {
 	const struct route_service *svc = part->service;
 
@@ -52,9 +52,9 @@
 	}
 	printf("service     %.*s: %s", STR_ARG(svc->name),
 	    svc->obj->select_text.p);
-	if (rule->nparts > 1)
+	if (rule->ntargets > 1)
 		printf(", %llu of %llu", (unsigned long long)part->weight,
-		    (unsigned long long)rule->weight);
+		    (unsigned long long)rule->total_weight);
 	printf("\n");
 	print_backends(svc);
 }
@@ -224,15 +224,16 @@
 	printf("rule        %.*s (host \"%s\", path \"%s\", method \"%s\")\n",
 	    STR_ARG(rule->name), obj->host.p, obj->path.p, obj->method.p);
 	printf("repeatable  %s\n",
-	    route_repeatable(obj, method, key) ? "yes"
+	    route_is_repeatable(obj, method, key) ? "yes"
 		: key ? "no: it carries an Idempotency-Key"
 		: obj->repeatable == REPEATABLE_NO ? "no: the rule says so"
 						   : "no: by its method");
 	if (obj->regions.n > 0)
 		printf("regions     %s\n", obj->regions.p);
-	printf("class       %s\n", obj_class_name((enum obj_class)obj->cls));
-	for (i = 0; i < rule->nparts; i++)
-		print_part(rule, &rule->parts[i]);
+	printf("class       %s\n",
+	    obj_class_name((enum obj_class)obj->request_class));
+	for (i = 0; i < rule->ntargets; i++)
+		print_part(rule, &rule->targets[i]);
 }
 
 /* explain PATH: the same code as the gate's decides. */
--- a/customer.c
+++ b/customer.c
@@ -119,7 +119,7 @@
 }
 
 const struct customer *
-customers_named(const struct customers *c, struct str name)
+customers_by_name(const struct customers *c, struct str name)
 {
 	char *text = g_strndup(name.p, name.n);
 	const struct customer *found = g_hash_table_lookup(c->by_name, text);
--- a/customer.h
+++ b/customer.h
@@ -63,6 +63,6 @@
 
 /* Returns the customer of a name; NULL if there is none. */
 const struct customer *
-customers_named(const struct customers *, struct str name);
+customers_by_name(const struct customers *, struct str name);
 
 #endif
--- a/dial.c
+++ b/dial.c
@@ -19,27 +19,27 @@
 
 static bool refused(int, const h2o_header_t *, size_t);
 static bool moved(int, const h2o_header_t *, size_t);
-static void word(int, const h2o_header_t *, size_t, struct dial_word *);
+static void word(int, const h2o_header_t *, size_t, struct dial_report *);
 
-const struct dial dial_fern = {
+const struct dialect fern_dialect = {
     .name = "fern",
     .deadline = {"fern-deadline-ms", 16},
     .retried = {"fern-retried", 12},
-    .refused = refused,
-    .moved = moved,
-    .word = word,
+    .not_executed = refused,
+    .address_reassigned = moved,
+    .parse_report = word,
 };
 
-static const struct dial_word_names word_names = {
+static const struct dial_report_headers word_names = {
     .load = {"fern-load", 9},
-    .cold = {"fern-cold-ms", 12},
-    .leaves = {"fern-drain", 10},
-    .limit = {"fern-limit", 10},
-    .rest = {"retry-after", 11},
+    .slow_start = {"fern-cold-ms", 12},
+    .leaving = {"fern-drain", 10},
+    .rate_limit = {"fern-limit", 10},
+    .retry_after = {"retry-after", 11},
 };
 
 struct str
-dial_header(const h2o_header_t *headers, size_t n, struct str name)
+dial_find_header(const h2o_header_t *headers, size_t n, struct str name)
 {
 	size_t i;
 
@@ -52,7 +52,7 @@
 }
 
 bool
-dial_read_load(struct str text, struct dial_load *out)
+dial_parse_load(struct str text, struct dial_load *out)
 {
 	char copy[64];
 	int n;
@@ -61,11 +61,11 @@
 		return false;
 	memcpy(copy, text.p, text.n);
 	copy[text.n] = '\0';
-	out->pace = PACE_USUAL;
+	out->latency_percent = PACE_USUAL;
 	n = sscanf(copy, "%d,%d,%d,%d", &out->running, &out->waiting,
-	    &out->slots, &out->pace);
+	    &out->slots, &out->latency_percent);
 	return n >= 3 && out->running >= 0 && out->waiting >= 0 &&
-	    out->slots > 0 && out->pace > 0;
+	    out->slots > 0 && out->latency_percent > 0;
 }
 
 /*
@@ -75,7 +75,7 @@
 static bool
 refused(int status, const h2o_header_t *headers, size_t n)
 {
-	struct str ran = dial_header(headers, n, STR_LIT("fern-ran"));
+	struct str ran = dial_find_header(headers, n, STR_LIT("fern-ran"));
 
 	return status >= 400 && str_eq(ran, STR_LIT("no"));
 }
@@ -90,7 +90,7 @@
 }
 
 int64_t
-dial_ms(struct str text)
+dial_parse_ms(struct str text)
 {
 	unsigned long long ms;
 
@@ -125,7 +125,7 @@
 }
 
 bool
-dial_read_rate(struct str text, double *out)
+dial_parse_rate(struct str text, double *out)
 {
 	double rate;
 
@@ -136,7 +136,7 @@
 }
 
 bool
-dial_read_seconds(struct str text, int64_t *ms)
+dial_parse_seconds(struct str text, int64_t *ms)
 {
 	double seconds;
 
@@ -154,27 +154,28 @@
 }
 
 void
-dial_read_word(const struct dial_word_names *names, int status,
-    const h2o_header_t *headers, size_t n, struct dial_word *out)
+dial_parse_report(const struct dial_report_headers *names, int status,
+    const h2o_header_t *headers, size_t n, struct dial_report *out)
 {
-	struct str load = dial_header(headers, n, names->load);
-	struct str limit = dial_header(headers, n, names->limit);
-	struct str rest = dial_header(headers, n, names->rest);
-
-	*out = (struct dial_word){
-	    .cold_ms = dial_ms(dial_header(headers, n, names->cold)),
-	    .leaves = says_yes(dial_header(headers, n, names->leaves)),
+	struct str load = dial_find_header(headers, n, names->load);
+	struct str limit = dial_find_header(headers, n, names->rate_limit);
+	struct str rest = dial_find_header(headers, n, names->retry_after);
+
+	*out = (struct dial_report){
+	    .slow_start_ms =
+		dial_parse_ms(dial_find_header(headers, n, names->slow_start)),
+	    .leaving = says_yes(dial_find_header(headers, n, names->leaving)),
 	};
-	out->tells_load = dial_read_load(load, &out->load);
-	if (limit.p != NULL && !dial_read_rate(limit, &out->limit))
+	out->has_load = dial_parse_load(load, &out->load);
+	if (limit.p != NULL && !dial_parse_rate(limit, &out->rate_limit))
 		out->malformed = true;
 	if (rest.p != NULL && asks_for_rest(status) &&
-	    !dial_read_seconds(rest, &out->rest_ms))
+	    !dial_parse_seconds(rest, &out->retry_after_ms))
 		out->malformed = true;
 }
 
 static void
-word(int status, const h2o_header_t *headers, size_t n, struct dial_word *out)
+word(int status, const h2o_header_t *headers, size_t n, struct dial_report *out)
 {
-	dial_read_word(&word_names, status, headers, n, out);
+	dial_parse_report(&word_names, status, headers, n, out);
 }
--- a/dial.h
+++ b/dial.h
@@ -26,65 +26,69 @@
 	int running; /* requests that it works on */
 	int waiting; /* requests in its own queue */
 	int slots;
-	int pace; /* percent of the usual time that work takes there now */
+	int latency_percent; /* percent of the usual time that work takes there
+				now */
 };
 
 /* What a backend server says of itself with an answer. */
-struct dial_word {
-	bool tells_load;
+struct dial_report {
+	bool has_load;
 	struct dial_load load;
-	int64_t cold_ms; /* it stays cold for so long; 0: it does not say so */
-	bool leaves; /* it leaves, and wants nothing new */
-	int64_t rest_ms; /* it wants nothing more from the box that asked */
+	int64_t slow_start_ms; /* it stays cold for so long; 0: it does not say
+				  so */
+	bool leaving; /* it leaves, and wants nothing new */
+	int64_t
+	    retry_after_ms; /* it wants nothing more from the box that asked */
 	/* Requests a second that it takes from all boxes together; 0: any. */
-	double limit;
+	double rate_limit;
 	bool malformed; /* it says something that cannot be read */
 };
 
-struct dial {
+struct dialect {
 	const char *name;
 	/* Header names in lower case; an empty one is not used. */
-	struct str id; /* names a request; backend servers repeat it */
+	struct str request_id; /* names a request; backend servers repeat it */
 	struct str deadline; /* milliseconds that are left */
 	struct str instance; /* the backend server that is meant */
-	struct str
-	    key; /* of the customer; goes no further than the first box */
+	struct str customer_key; /* of the customer; goes no further than the
+				    first box */
 	struct str customer; /* by name; never a caller's own word */
 	struct str retried; /* "yes" on a request that was sent before */
-	bool fractions; /* Retry-After may be a fraction of a second */
+	bool fractional_retry_after; /* Retry-After may be a fraction of a
+					second */
 	/*
 	 * 408, 421, 429 and 503 promise by themselves that a request has not
 	 * run, so that none of them may be used where it may have.
 	 */
-	bool status_promises;
+	bool status_means_not_run;
 	/* One that says that it leaves does not take that back. */
-	bool leaves_for_life;
+	bool leaving_is_final;
 	/* The backend server says that it did not run the request. */
-	bool (*refused)(int status, const h2o_header_t *, size_t);
+	bool (*not_executed)(int status, const h2o_header_t *, size_t);
 	/* It says that another backend server has its address now. */
-	bool (*moved)(int status, const h2o_header_t *, size_t);
+	bool (*address_reassigned)(int status, const h2o_header_t *, size_t);
 	/* What it says of itself. */
-	void (*word)(
-	    int status, const h2o_header_t *, size_t, struct dial_word *);
+	void (*parse_report)(
+	    int status, const h2o_header_t *, size_t, struct dial_report *);
 };
 
 /* Where a dialect has what a backend server says of itself. */
-struct dial_word_names {
-	struct str load, cold, leaves, limit, rest;
+struct dial_report_headers {
+	struct str load, slow_start, leaving, rate_limit, retry_after;
 };
 
 /* Fernjunction's own dialect, as ferncaller(7) describes it. */
-extern const struct dial dial_fern;
+extern const struct dialect fern_dialect;
 
 /* The value of a header; an empty string if it is not there. */
-struct str dial_header(const h2o_header_t *, size_t, struct str name);
+struct str dial_find_header(const h2o_header_t *, size_t, struct str name);
 
 /* A time in whole milliseconds; 0 where there is none, or it is malformed. */
-int64_t dial_ms(struct str);
+int64_t dial_parse_ms(struct str);
 enum { DIAL_MS_MAX = 24 * 3600 * 1000 };
 
 /* Read "running,waiting,slots[,pace]"; false if it is malformed. */
-bool dial_read_load(struct str, struct dial_load *);
+bool dial_parse_load(struct str, struct dial_load *);
 
 /* Decimal numbers are no longer than this. */
 enum { DIAL_DECIMAL_MAX = 16 };
@@ -94,17 +98,17 @@
  * Less than DIAL_RATE_MIN is read as that much: an answer has to tell of the
  * end.
  */
-bool dial_read_rate(struct str, double *);
+bool dial_parse_rate(struct str, double *);
 #define DIAL_RATE_MIN 0.1
 
 /*
  * Read seconds, a plain decimal number, as ms, DIAL_MS_MAX at most; false if it
  * is malformed.
  */
-bool dial_read_seconds(struct str, int64_t *ms);
+bool dial_parse_seconds(struct str, int64_t *ms);
 
 /* Read all that the headers of an answer say. */
-void dial_read_word(const struct dial_word_names *, int status,
-    const h2o_header_t *, size_t, struct dial_word *);
+void dial_parse_report(const struct dial_report_headers *, int status,
+    const h2o_header_t *, size_t, struct dial_report *);
 
 #endif
--- a/disp.c
+++ b/disp.c
@@ -33,13 +33,13 @@
 } outcomes[DISP_OUTCOME_MAX] = {
     [DISP_OK] = {false, false, true},
     [DISP_REFUSED] = {true, false, false},
-    [DISP_CONNECT] = {true, true, false},
-    [DISP_FAILED] = {false, true, false},
-    [DISP_CUT] = {false, true, false},
-    [DISP_LATE] = {false, true, false},
-    [DISP_GONE] = {false, false, false},
-    [DISP_SLOW] = {false, false, false},
-    [DISP_MOVED] = {true, false, false},
+    [DISP_CONNECT_FAILED] = {true, true, false},
+    [DISP_SERVER_ERROR] = {false, true, false},
+    [DISP_CONN_BROKEN] = {false, true, false},
+    [DISP_TIMED_OUT] = {false, true, false},
+    [DISP_CANCELED] = {false, false, false},
+    [DISP_STOPPED_SLOW] = {false, false, false},
+    [DISP_WRONG_INSTANCE] = {true, false, false},
 };
 
 struct disp *
@@ -53,12 +53,14 @@
 	d->clk = clk;
 	d->rnd = rnd;
 	d->backends = g_ptr_array_new();
-	d->remotes = g_array_new(FALSE, TRUE, sizeof(struct disp_remote_hall));
-	d->works = g_array_new(FALSE, TRUE, sizeof(struct disp_work));
-	d->mean_pace = d->begin_pace = 1;
-	d->slow_pace = SLOW_PACE_FIRST;
-	g_queue_init(&d->out);
-	for (i = 0; i < QUEUES; i++)
+	d->remote_halls =
+	    g_array_new(FALSE, TRUE, sizeof(struct disp_remote_hall));
+	d->service_times =
+	    g_array_new(FALSE, TRUE, sizeof(struct disp_service_times));
+	d->mean_latency_factor = d->start_latency_factor = 1;
+	d->slow_latency_factor = SLOW_PACE_FIRST;
+	g_queue_init(&d->inflight);
+	for (i = 0; i < QUEUE_COUNT; i++)
 		queue_init(&d->queues[i]);
 	return d;
 }
@@ -68,11 +70,11 @@
 {
 	int i;
 
-	disp_set_free(d);
-	disp_pass_free(d);
-	for (i = 0; i < QUEUES; i++)
+	disp_free_backends(d);
+	disp_forward_free(d);
+	for (i = 0; i < QUEUE_COUNT; i++)
 		queue_clear(&d->queues[i]);
-	g_array_free(d->works, TRUE);
+	g_array_free(d->service_times, TRUE);
 	g_free(d);
 }
 
@@ -80,8 +82,8 @@
 disp_configure(struct disp *d, const struct disp_params *params)
 {
 	d->params = *params;
-	d->budget.max = params->retry_max;
-	disp_roll_mark(d);
+	d->retry_budget.max = params->retry_budget_max;
+	disp_roll_update(d);
 }
 
 /*
@@ -100,13 +102,14 @@
 	ahead = (int64_t)d->queues[CLASS_INTERACTIVE].n;
 	if (cls == CLASS_BULK)
 		ahead += (int64_t)d->queues[CLASS_BULK].n;
-	if (disp_word_wait(d, (size_t)ahead, &wait))
+	if (disp_report_wait(d, (size_t)ahead, &wait))
 		return wait;
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (!pick_usable(b, now) || now < b->rest_until)
+		if (!pick_is_usable(b, now) || now < b->pause_until)
 			continue;
-		usual = b->usual == 0 ? USUAL_UNKNOWN_NS : b->usual;
+		usual = b->usual_latency == 0 ? DEFAULT_LATENCY_NS
+					      : b->usual_latency;
 		one = (double)b->slots / (double)usual;
 		if (b->quota.rate > 0)
 			one = MIN(one, b->quota.rate / NS_S);
@@ -116,17 +119,17 @@
 }
 
 void
-disp_drop(struct disp *d, struct disp_req *r, enum err_kind kind, int64_t after)
+disp_fail(struct disp *d, struct disp_req *r, enum err_kind kind, int64_t after)
 {
-	d->ops.give_up(d->ops.ctx, r, kind, after);
+	d->ops.fail(d->ops.ctx, r, kind, after);
 }
 
 /* Try to start a request now; false if it has to wait. */
 bool
-disp_start(struct disp *d, struct disp_req *r)
+disp_try_send(struct disp *d, struct disp_req *r)
 {
-	struct pick_set set = disp_set_of(d);
-	struct pick_want want = {r->cls, r->avoid, r->work};
+	struct pick_set set = disp_pick_set(d);
+	struct pick_criteria want = {r->cls, r->avoid, r->service_time};
 	int64_t now = clk_ns(d->clk);
 	struct pick_backend *b;
 	int at;
@@ -135,47 +138,47 @@
 	if (at == PICK_NONE)
 		return false;
 	b = set.v[at];
-	if (disp_pace_should_wait(d, r, b, now))
+	if (disp_latency_should_wait(d, r, b, now))
 		return false;
-	if (disp_pace_better_elsewhere(d, r, b, now) && disp_pass(d, r))
+	if (disp_latency_remote_better(d, r, b, now) && disp_forward(d, r))
 		return true;
-	disp_begin(d, r, b);
+	disp_send(d, r, b);
 	return true;
 }
 
 /* Is something sent there now against what it says of itself? */
-static enum disp_against
+static enum disp_violation
 against(const struct pick_backend *b, int64_t now)
 {
-	if (b->leaves)
-		return AGAINST_LEAVING;
-	if (now < b->rest_until)
-		return AGAINST_REST;
-	return quota_free(&b->quota, now) == 0 ? AGAINST_QUOTA
-					       : AGAINST_NOTHING;
+	if (b->leaving)
+		return VIOLATION_LEAVING;
+	if (now < b->pause_until)
+		return VIOLATION_PAUSE;
+	return quota_available(&b->quota, now) == 0 ? VIOLATION_QUOTA
+						    : VIOLATION_NONE;
 }
 
 void
-disp_begin(struct disp *d, struct disp_req *r, struct pick_backend *b)
+disp_send(struct disp *d, struct disp_req *r, struct pick_backend *b)
 {
 	int64_t now = clk_ns(d->clk);
 
 	b->inflight++;
 	b->inflight_bulk += r->cls == CLASS_BULK;
-	b->turns++;
-	if (b->oldest == 0)
-		b->oldest = now;
-	r->link.data = r;
-	g_queue_push_tail_link(&d->out, &r->link);
-	r->at = b;
-	r->sent = now;
-	r->tries++;
-	cold_sent(&b->cold, &d->params.cold, now);
-	r->against = against(b, now);
-	quota_sent(&b->quota, now);
-	disp_roll_sent(d, b);
-	disp_conc_begin(d, r);
-	disp_work_begin(d, r);
+	b->sent_count++;
+	if (b->oldest_sent_at == 0)
+		b->oldest_sent_at = now;
+	r->inflight_link.data = r;
+	g_queue_push_tail_link(&d->inflight, &r->inflight_link);
+	r->backend = b;
+	r->sent_at = now;
+	r->attempt_count++;
+	cold_record_send(&b->cold, &d->params.cold, now);
+	r->violation = against(b, now);
+	quota_consume(&b->quota, now);
+	disp_roll_attempt_sent(d, b);
+	disp_conc_attempt_sent(d, r);
+	disp_work_attempt_sent(d, r);
 	d->ops.send(d->ops.ctx, r, b);
 }
 
@@ -184,54 +187,54 @@
 may_arrive(struct disp *d, struct disp_req *r)
 {
 	if (clk_ns(d->clk) >= r->deadline) {
-		disp_drop(d, r, ERR_DEADLINE, 0);
+		disp_fail(d, r, ERR_DEADLINE, 0);
 		return false;
 	}
-	if (!limit_take(&d->limit, d->params.rate, clk_ns(d->clk))) {
-		disp_drop(d, r, ERR_OVER_LIMIT, 0);
+	if (!limit_allow(&d->rate_limit, d->params.rate, clk_ns(d->clk))) {
+		disp_fail(d, r, ERR_OVER_LIMIT, 0);
 		return false;
 	}
-	if (r->tries == 0 || r->paid) {
-		retry_budget_pay(&d->budget, d->params.retry_percent);
+	if (r->attempt_count == 0 || r->budget_charged) {
+		retry_budget_deposit(&d->retry_budget, d->params.retry_percent);
 		return true;
 	}
-	if (!retry_budget_has(&d->budget)) {
-		disp_drop(d, r, ERR_CUT, 0);
+	if (!retry_budget_available(&d->retry_budget)) {
+		disp_fail(d, r, ERR_CUT, 0);
 		return false;
 	}
-	retry_budget_take(&d->budget);
+	retry_budget_withdraw(&d->retry_budget);
 	return true;
 }
 
 void
-disp_arrive(struct disp *d, struct disp_req *r)
+disp_submit(struct disp *d, struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk), wait;
 
-	if (r->came_back)
-		d->came_back = now;
-	if (!may_arrive(d, r) || disp_trial_arrive(d, r))
+	if (r->previously_refused)
+		d->last_return_at = now;
+	if (!may_arrive(d, r) || disp_trial_submit(d, r))
 		return;
-	disp_roll_look(d);
-	if (d->params.policy->paced) {
-		disp_pace_arrive(d, r);
+	disp_roll_update_if_changed(d);
+	if (d->params.policy->latency_aware) {
+		disp_latency_submit(d, r);
 		return;
 	}
-	if (d->queues[r->cls].n == 0 && disp_start(d, r))
+	if (d->queues[r->cls].n == 0 && disp_try_send(d, r))
 		return;
 	wait = expected_wait(d, r->cls);
-	if (disp_pass(d, r) || disp_pass_to_shorter(d, r, wait))
+	if (disp_forward(d, r) || disp_forward_to_shorter(d, r, wait))
 		return;
-	if (disp_usable(d) == 0) {
-		disp_drop(d, r, ERR_NO_BACKEND, 0);
+	if (disp_usable_backends(d) == 0) {
+		disp_fail(d, r, ERR_NO_BACKEND, 0);
 		return;
 	}
 	if ((int64_t)d->queues[r->cls].n >= d->params.queue_max ||
 	    now + wait >= r->deadline) {
-		disp_drop(d, r, ERR_BUSY, MAX(wait, NS_S));
+		disp_fail(d, r, ERR_BUSY, MAX(wait, NS_S));
 		return;
 	}
-	disp_hold(d, r);
+	disp_enqueue(d, r);
 }
 
 static bool
@@ -243,17 +246,18 @@
 	if (item == NULL)
 		return false;
 	r = item->data;
-	if (disp_trial_takes(d, r))
+	if (disp_trial_intercept(d, r))
 		return true;
-	if (disp_peek_first(d, r, clk_ns(d->clk)))
+	if (disp_query_before_send(d, r, clk_ns(d->clk)))
 		return false;
-	disp_unhold(d, r);
-	if (disp_start(d, r) || disp_pass(d, r))
+	disp_dequeue(d, r);
+	if (disp_try_send(d, r) || disp_forward(d, r))
 		return true;
-	if (d->params.policy->paced && !r->judged &&
-	    !disp_cold_asks(d, clk_ns(d->clk)) && !disp_pace_may_wait(d, r))
+	if (d->params.policy->latency_aware && !r->wait_decided &&
+	    !disp_cold_query_pending(d, clk_ns(d->clk)) &&
+	    !disp_latency_admit(d, r))
 		return true;
-	disp_hold(d, r);
+	disp_enqueue(d, r);
 	return false;
 }
 
@@ -262,17 +266,17 @@
  * request and so bring us here again; one level then looks twice.
  */
 void
-disp_serve(struct disp *d)
+disp_serve_queues(struct disp *d)
 {
-	d->again = true;
+	d->serve_again = true;
 	if (d->serving)
 		return;
 	d->serving = true;
-	while (d->again) {
-		d->again = false;
-		disp_roll_look(d);
-		disp_sort_late(d);
-		disp_trial_serve(d);
+	while (d->serve_again) {
+		d->serve_again = false;
+		disp_roll_update_if_changed(d);
+		disp_separate_late(d);
+		disp_trial_serve_queue(d);
 		while (serve_queue(d, CLASS_INTERACTIVE))
 			;
 		if (d->queues[CLASS_INTERACTIVE].n > 0)
@@ -292,12 +296,13 @@
 	const struct disp_req *r;
 	const GList *at;
 
-	b->oldest = 0;
-	for (at = d->out.head; b->inflight > 0 && at != NULL; at = at->next) {
+	b->oldest_sent_at = 0;
+	for (at = d->inflight.head; b->inflight > 0 && at != NULL;
+	     at = at->next) {
 		r = at->data;
-		if (r->at != b)
+		if (r->backend != b)
 			continue;
-		b->oldest = r->sent;
+		b->oldest_sent_at = r->sent_at;
 		return;
 	}
 }
@@ -306,27 +311,27 @@
 judge(struct disp *d, struct disp_req *r, struct pick_backend *b,
     enum disp_outcome outcome)
 {
-	struct pick_set set = disp_set_of(d);
+	struct pick_set set = disp_pick_set(d);
 	int64_t now = clk_ns(d->clk);
 
-	disp_roll_done(d, r, b, outcome);
-	if (outcomes[outcome].good && d->params.policy->paced &&
-	    !disp_roll_is_trial(d, b))
-		disp_work_done(d, r, b, now);
+	disp_roll_attempt_done(d, r, b, outcome);
+	if (outcomes[outcome].good && d->params.policy->latency_aware &&
+	    !disp_roll_is_canary(d, b))
+		disp_work_learn(d, r, b, now);
 	if (outcomes[outcome].good)
-		pick_good(b, d->params.chart, now, now - r->sent);
+		pick_record_success(b, d->params.chart, now, now - r->sent_at);
 	else if (outcomes[outcome].bad)
-		pick_bad(b, &set, d->params.chart, now, d->rnd);
+		pick_record_failure(b, &set, d->params.chart, now, d->rnd);
 	else if (outcome == DISP_REFUSED)
-		pick_refused(b, now, d->rnd);
-	else if (outcome == DISP_SLOW)
-		pick_slow(b, now - r->sent);
-	else if (outcome == DISP_MOVED)
-		pick_drain(b, d->params.chart, true);
-	if (outcome == DISP_CONNECT || outcome == DISP_CUT)
+		pick_record_refusal(b, now, d->rnd);
+	else if (outcome == DISP_STOPPED_SLOW)
+		pick_record_slow(b, now - r->sent_at);
+	else if (outcome == DISP_WRONG_INSTANCE)
+		pick_set_drain(b, d->params.chart, true);
+	if (outcome == DISP_CONNECT_FAILED || outcome == DISP_CONN_BROKEN)
 		disp_cold_suspect(d, b, 0);
-	if (outcome == DISP_CONNECT)
-		disp_doubt_settle(d, b, true);
+	if (outcome == DISP_CONNECT_FAILED)
+		disp_crash_resolve(d, b, true);
 }
 
 /*
@@ -341,12 +346,12 @@
 static bool
 has_budget(struct disp *d, const struct disp_req *r)
 {
-	bool others_return =
-	    d->came_back != 0 && clk_ns(d->clk) - d->came_back < RETURNS_NS;
+	bool others_return = d->last_return_at != 0 &&
+	    clk_ns(d->clk) - d->last_return_at < RETURNS_NS;
 
-	if (r->came_back || !others_return)
-		return retry_budget_has(&d->budget);
-	return retry_budget_has_spare(&d->budget);
+	if (r->previously_refused || !others_return)
+		return retry_budget_available(&d->retry_budget);
+	return retry_budget_above_reserve(&d->retry_budget);
 }
 
 /*
@@ -358,93 +363,95 @@
  * refusal in a row, and that bounds the refusals.
  */
 bool
-disp_retryable(
+disp_can_retry(
     struct disp *d, const struct disp_req *r, enum disp_outcome outcome)
 {
-	if (outcome == DISP_OK || outcome == DISP_LATE || outcome == DISP_GONE)
+	if (outcome == DISP_OK || outcome == DISP_TIMED_OUT ||
+	    outcome == DISP_CANCELED)
 		return false;
-	if (!r->may_retry || clk_ns(d->clk) >= r->deadline)
+	if (!r->can_retry || clk_ns(d->clk) >= r->deadline)
 		return false;
-	if (r->attempts > 0 && r->tries >= r->attempts)
+	if (r->max_attempts > 0 && r->attempt_count >= r->max_attempts)
 		return false;
 	if (outcome == DISP_REFUSED)
-		return r->attempts == 0 || has_budget(d, r);
+		return r->max_attempts == 0 || has_budget(d, r);
 	if (!outcomes[outcome].not_run && !r->repeatable)
 		return false;
-	if (!outcomes[outcome].not_run && r->retried)
+	if (!outcomes[outcome].not_run && r->is_retry)
 		return false;
-	return r->tries < TRIES_MAX && retry_budget_has(&d->budget);
+	return r->attempt_count < TRIES_MAX &&
+	    retry_budget_available(&d->retry_budget);
 }
 
 static bool
 retry(struct disp *d, struct disp_req *r, enum disp_outcome outcome)
 {
-	if (!disp_retryable(d, r, outcome))
+	if (!disp_can_retry(d, r, outcome))
 		return false;
-	if (outcome != DISP_REFUSED || r->attempts > 0)
-		retry_budget_take(&d->budget);
-	r->judged = true;
-	r->paid = true;
-	disp_hold(d, r);
+	if (outcome != DISP_REFUSED || r->max_attempts > 0)
+		retry_budget_withdraw(&d->retry_budget);
+	r->wait_decided = true;
+	r->budget_charged = true;
+	disp_enqueue(d, r);
 	return true;
 }
 
 bool
-disp_done(struct disp *d, struct disp_req *r, enum disp_outcome outcome)
+disp_attempt_done(struct disp *d, struct disp_req *r, enum disp_outcome outcome)
 {
-	struct pick_backend *b = r->at;
+	struct pick_backend *b = r->backend;
 	bool again;
 
 	b->inflight--;
 	b->inflight_bulk -= r->cls == CLASS_BULK;
-	g_queue_unlink(&d->out, &r->link);
-	r->at = NULL;
+	g_queue_unlink(&d->inflight, &r->inflight_link);
+	r->backend = NULL;
 	r->avoid = b;
-	if (b->oldest == r->sent || b->inflight == 0)
+	if (b->oldest_sent_at == r->sent_at || b->inflight == 0)
 		refresh_oldest(d, b);
 	judge(d, r, b, outcome);
-	disp_trial_done(d, r, b, outcome);
+	disp_trial_attempt_done(d, r, b, outcome);
 	again = retry(d, r, outcome);
-	disp_serve(d);
-	if (b->gone)
-		disp_sweep(d);
+	disp_serve_queues(d);
+	if (b->removed)
+		disp_free_removed(d);
 	return again;
 }
 
 void
-disp_forget(struct disp *d, struct disp_req *r)
+disp_cancel(struct disp *d, struct disp_req *r)
 {
-	if (r->held)
-		disp_unhold(d, r);
+	if (r->queued)
+		disp_dequeue(d, r);
 }
 
 void
 disp_tick(struct disp *d)
 {
-	struct pick_set set = disp_set_of(d);
+	struct pick_set set = disp_pick_set(d);
 	int64_t now = clk_ns(d->clk);
 	int i;
 
-	disp_roll_mark(d);
-	if (now - d->limited >= LIMIT_NS)
-		disp_conc_set(d, now);
-	disp_cold_ask(d, now);
-	disp_peek_silent(d, now);
-	disp_sort_late(d);
-	for (i = 0; i < QUEUES; i++)
+	disp_roll_update(d);
+	if (now - d->limits_set_at >= LIMIT_NS)
+		disp_conc_update_limits(d, now);
+	disp_cold_query(d, now);
+	disp_query_unresponsive(d, now);
+	disp_separate_late(d);
+	for (i = 0; i < QUEUE_COUNT; i++)
 		disp_expire(d, i, now);
 	pick_tick(&set, d->params.chart, now);
-	if (d->params.policy->paced)
-		disp_move(d, now);
-	else if (d->params.policy->holds)
-		disp_stop_stuck(d, now);
-	disp_serve(d);
-	for (i = 0; i < QUEUES && disp_usable(d) == 0; i++)
-		disp_give_up_all(d, i);
+	if (d->params.policy->latency_aware)
+		disp_reassign_slow(d, now);
+	else if (d->params.policy->holds_requests)
+		disp_stop_slow(d, now);
+	disp_serve_queues(d);
+	for (i = 0; i < QUEUE_COUNT && disp_usable_backends(d) == 0; i++)
+		disp_fail_all(d, i);
 }
 
 unsigned
 disp_inflight(const struct disp *d)
 {
-	return d->out.length;
+	return d->inflight.length;
 }
--- a/disp_cold.c
+++ b/disp_cold.c
@@ -29,35 +29,36 @@
 {
 	if (d->params.cold.rate <= 0)
 		return;
-	cold_suspect(
-	    &b->cold, MAX(lasts, d->params.cold.lasts), clk_ns(d->clk));
-	d->in_doubt = true;
+	cold_set_suspected(
+	    &b->cold, MAX(lasts, d->params.cold.duration), clk_ns(d->clk));
+	d->cold_unconfirmed = true;
 }
 
 /* Does only a question tell whether it is cold, and does one answer there? */
 static bool
 is_asked(const struct pick_backend *b, int64_t now)
 {
-	return cold_in_doubt(&b->cold, now) && !pick_is_silent(b) &&
-	    pick_usable(b, now);
+	return cold_is_unconfirmed(&b->cold, now) && !pick_is_unresponsive(b) &&
+	    pick_is_usable(b, now);
 }
 
 /* Ask those of which it is not known, in turn; health answers tell at once. */
 void
-disp_cold_ask(struct disp *d, int64_t now)
+disp_cold_query(struct disp *d, int64_t now)
 {
 	const struct pick_backend *b;
 	guint i;
 
-	if (!d->in_doubt || !d->params.policy->paced)
+	if (!d->cold_unconfirmed || !d->params.policy->latency_aware)
 		return;
-	d->in_doubt = false;
+	d->cold_unconfirmed = false;
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		d->in_doubt = d->in_doubt || cold_in_doubt(&b->cold, now);
+		d->cold_unconfirmed =
+		    d->cold_unconfirmed || cold_is_unconfirmed(&b->cold, now);
 	}
-	if (d->in_doubt)
-		disp_peek_in_turn(d, is_asked, ASK_AGAIN_NS, now);
+	if (d->cold_unconfirmed)
+		disp_query_round_robin(d, is_asked, ASK_AGAIN_NS, now);
 }
 
 /*
@@ -67,15 +68,16 @@
  * that did not answer before nobody waits.
  */
 bool
-disp_cold_asks(const struct disp *d, int64_t now)
+disp_cold_query_pending(const struct disp *d, int64_t now)
 {
 	const struct pick_backend *b;
 	guint i;
 
-	for (i = 0; d->in_doubt && i < d->backends->len; i++) {
+	for (i = 0; d->cold_unconfirmed && i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (b->peeking && b->silent == 0 && pick_usable(b, now) &&
-		    cold_in_doubt(&b->cold, now))
+		if (b->query_pending && b->unanswered_queries == 0 &&
+		    pick_is_usable(b, now) &&
+		    cold_is_unconfirmed(&b->cold, now))
 			return true;
 	}
 	return false;
@@ -89,11 +91,12 @@
 double
 disp_cold_slots(const struct disp *d, const struct pick_backend *b, int64_t now)
 {
-	double at_work = d->params.cold.rate * (double)d->mean_work / NS_S;
-	double slots = pick_slots(b);
+	double at_work =
+	    d->params.cold.rate * (double)d->mean_service_time / NS_S;
+	double slots = pick_slot_limit(b);
 
-	if (d->params.cold.rate <= 0 || !cold_is(&b->cold, now) ||
-	    d->mean_work == 0)
+	if (d->params.cold.rate <= 0 || !cold_is_cold(&b->cold, now) ||
+	    d->mean_service_time == 0)
 		return slots;
 	return MIN(at_work, slots);
 }
--- a/disp_conc.c
+++ b/disp_conc.c
@@ -28,10 +28,10 @@
 
 /* The request is about to be sent, and counted in flight. */
 void
-disp_conc_begin(const struct disp *d, struct disp_req *r)
+disp_conc_attempt_sent(const struct disp *d, struct disp_req *r)
 {
-	r->beside = r->at->inflight - 1;
-	r->slowdown = conc_slowdown(&d->conc, r->beside, r->at->slots);
+	r->concurrent = r->backend->inflight - 1;
+	r->slowdown = conc_slowdown(&d->conc, r->concurrent, r->backend->slots);
 }
 
 /*
@@ -39,28 +39,30 @@
  * little has been learned lately.
  */
 void
-disp_conc_set(struct disp *d, int64_t now)
+disp_conc_update_limits(struct disp *d, int64_t now)
 {
 	guint turn = (guint)(now / TRY_NS), i;
 	struct pick_backend *b;
 	int try;
 
-	d->limited = now;
-	disp_work_mean_pace(d);
+	d->limits_set_at = now;
+	disp_work_update_mean(d);
 	memset(&d->conc, 0, sizeof(d->conc));
-	for (i = 0; i < d->works->len; i++)
-		conc_add(&d->conc,
-		    &g_array_index(d->works, struct disp_work, i).times);
-	if (!d->params.policy->paced)
+	for (i = 0; i < d->service_times->len; i++)
+		conc_merge(&d->conc,
+		    &g_array_index(
+			d->service_times, struct disp_service_times, i)
+			 .times);
+	if (!d->params.policy->latency_aware)
 		return;
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
 		b->conc = &d->conc;
-		b->limit = conc_limit(&d->conc, b->slots);
+		b->max_inflight = conc_limit(&d->conc, b->slots);
 		if (i % TRY_EVERY != turn % TRY_EVERY)
 			continue;
-		try = conc_to_try(&d->conc, b->slots, now);
+		try = conc_next_to_explore(&d->conc, b->slots, now);
 		if (try > 0)
-			b->limit = try;
+			b->max_inflight = try;
 	}
 }
--- a/disp_doubt.c
+++ b/disp_doubt.c
@@ -28,12 +28,12 @@
 may_have_ended(const struct disp_req *r, const struct pick_backend *b,
     enum disp_outcome outcome)
 {
-	if (outcome == DISP_CUT)
+	if (outcome == DISP_CONN_BROKEN)
 		return true;
-	if (outcome == DISP_GONE)
-		return pick_is_silent(b);
-	return (outcome == DISP_LATE || outcome == DISP_SLOW) &&
-	    b->heard_at <= r->sent;
+	if (outcome == DISP_CANCELED)
+		return pick_is_unresponsive(b);
+	return (outcome == DISP_TIMED_OUT || outcome == DISP_STOPPED_SLOW) &&
+	    b->last_answer_at <= r->sent_at;
 }
 
 /*
@@ -42,21 +42,21 @@
  * millisecond.
  */
 void
-disp_doubt_done(struct disp *d, struct disp_req *r, struct pick_backend *b,
-    enum disp_outcome outcome)
+disp_crash_attempt_done(struct disp *d, struct disp_req *r,
+    struct pick_backend *b, enum disp_outcome outcome)
 {
-	struct disp_doubt doubt = {r->print, r->trial};
+	struct disp_crash_suspect doubt = {r->fingerprint, r->in_trial};
 
-	if (d->params.poison == NULL || fprint_is_none(r->print) ||
-	    d->ops.peek == NULL || !may_have_ended(r, b, outcome))
+	if (d->params.poison == NULL || fprint_is_none(r->fingerprint) ||
+	    d->ops.query_load == NULL || !may_have_ended(r, b, outcome))
 		return;
-	if (b->doubts == NULL)
-		b->doubts = g_array_new(FALSE, FALSE, sizeof(doubt));
-	if (b->doubts->len < DOUBTS_MAX)
-		g_array_append_val(b->doubts, doubt);
-	b->doubted_at = clk_ns(d->clk);
-	r->doubted = b;
-	disp_peek_after(d, b, 0, b->doubted_at);
+	if (b->crash_suspects == NULL)
+		b->crash_suspects = g_array_new(FALSE, FALSE, sizeof(doubt));
+	if (b->crash_suspects->len < DOUBTS_MAX)
+		g_array_append_val(b->crash_suspects, doubt);
+	b->crash_suspected_at = clk_ns(d->clk);
+	r->maybe_crashed = b;
+	disp_query_after_gap(d, b, 0, b->crash_suspected_at);
 }
 
 /* Those that wait to learn what became of a backend server wait no more. */
@@ -69,30 +69,31 @@
 
 	for (i = 0; i < q->n; i++) {
 		r = q->heap[i]->data;
-		if (r->doubted == b)
-			r->doubted = NULL;
+		if (r->maybe_crashed == b)
+			r->maybe_crashed = NULL;
 	}
 }
 
 /* It is known now whether a backend server has ended. */
 void
-disp_doubt_settle(struct disp *d, struct pick_backend *b, bool ended)
+disp_crash_resolve(struct disp *d, struct pick_backend *b, bool ended)
 {
-	GArray *doubts = b->doubts;
-	const struct disp_doubt *doubt;
+	GArray *doubts = b->crash_suspects;
+	const struct disp_crash_suspect *doubt;
 	guint i;
 
 	if (doubts == NULL)
 		return;
-	b->doubts = NULL;
+	b->crash_suspects = NULL;
 	for (i = 0; ended && i < doubts->len; i++) {
-		doubt = &g_array_index(doubts, struct disp_doubt, i);
-		poison_ended(d->params.poison, doubt->print, doubt->trial);
+		doubt = &g_array_index(doubts, struct disp_crash_suspect, i);
+		poison_record_crash(
+		    d->params.poison, doubt->fingerprint, doubt->in_trial);
 	}
 	if (ended)
-		pick_ended(b, clk_ns(d->clk));
-	if (ended && d->ops.ended != NULL)
-		d->ops.ended(d->ops.ctx, b, doubts->len);
+		pick_mark_crashed(b, clk_ns(d->clk));
+	if (ended && d->ops.crashed != NULL)
+		d->ops.crashed(d->ops.ctx, b, doubts->len);
 	g_array_free(doubts, TRUE);
 	release_held(d, b);
 }
@@ -103,26 +104,28 @@
  * connection and breaks it off is full, and has not ended.
  */
 void
-disp_doubt_peeked(struct disp *d, struct pick_backend *b, bool answered)
+disp_crash_query_done(struct disp *d, struct pick_backend *b, bool answered)
 {
-	if (b->doubts == NULL)
+	if (b->crash_suspects == NULL)
 		return;
-	if (b->peeked_at >= b->doubted_at)
-		disp_doubt_settle(d, b, !answered && !b->reached);
+	if (b->queried_at >= b->crash_suspected_at)
+		disp_crash_resolve(d, b, !answered && !b->query_connected);
 	else
-		disp_peek_after(d, b, 0, clk_ns(d->clk));
+		disp_query_after_gap(d, b, 0, clk_ns(d->clk));
 }
 
 /* Did a trial of it break off at a backend server that may have ended? */
 bool
-disp_doubt_waits(const struct pick_backend *b, struct fprint print)
+disp_crash_trial_pending(const struct pick_backend *b, struct fprint print)
 {
-	const struct disp_doubt *doubt;
+	const struct disp_crash_suspect *doubt;
 	guint i;
 
-	for (i = 0; b->doubts != NULL && i < b->doubts->len; i++) {
-		doubt = &g_array_index(b->doubts, struct disp_doubt, i);
-		if (doubt->trial && fprint_same(doubt->print, print))
+	for (i = 0; b->crash_suspects != NULL && i < b->crash_suspects->len;
+	     i++) {
+		doubt = &g_array_index(
+		    b->crash_suspects, struct disp_crash_suspect, i);
+		if (doubt->in_trial && fprint_same(doubt->fingerprint, print))
 			return true;
 	}
 	return false;
--- a/disp_hold.c
+++ b/disp_hold.c
@@ -14,9 +14,9 @@
 
 /* Can it be answered before its target, if it starts now? */
 bool
-disp_is_in_time(const struct disp_req *r, int64_t now)
+disp_can_meet_target(const struct disp_req *r, int64_t now)
 {
-	return r->target == 0 || now + r->work <= r->target;
+	return r->target == 0 || now + r->service_time <= r->target;
 }
 
 /*
@@ -24,27 +24,27 @@
  * ones behind all of them, by their deadlines.
  */
 void
-disp_hold(struct disp *d, struct disp_req *r)
+disp_enqueue(struct disp *d, struct disp_req *r)
 {
-	r->held = true;
+	r->queued = true;
 	r->queue = (int)r->cls;
 	r->item.rank = r->rank;
 	r->item.deadline = r->deadline;
 	r->item.data = r;
-	if (r->target != 0 && disp_is_in_time(r, clk_ns(d->clk)))
-		r->item.deadline = r->target - r->work;
+	if (r->target != 0 && disp_can_meet_target(r, clk_ns(d->clk)))
+		r->item.deadline = r->target - r->service_time;
 	else if (r->target != 0)
 		r->queue = QUEUE_LATE;
-	if (disp_trial_holds(d, r))
+	if (disp_trial_required(d, r))
 		r->queue = QUEUE_TRIAL;
 	queue_push(&d->queues[r->queue], &r->item);
 }
 
 void
-disp_unhold(struct disp *d, struct disp_req *r)
+disp_dequeue(struct disp *d, struct disp_req *r)
 {
 	queue_remove(&d->queues[r->queue], &r->item);
-	r->held = false;
+	r->queued = false;
 }
 
 /*
@@ -67,7 +67,7 @@
 static bool
 is_late(const struct disp_req *r, int64_t now)
 {
-	return !disp_is_in_time(r, now);
+	return !disp_can_meet_target(r, now);
 }
 
 /*
@@ -75,17 +75,17 @@
  * that would only end at its deadline.
  */
 void
-disp_sort_late(struct disp *d)
+disp_separate_late(struct disp *d)
 {
 	int64_t now = clk_ns(d->clk);
 	struct disp_req *r;
 
 	while ((r = find(d, CLASS_INTERACTIVE, is_late, now)) != NULL) {
-		disp_unhold(d, r);
-		if (disp_word_refuses_late(d, r))
-			disp_pace_refuse(d, r, 0);
+		disp_dequeue(d, r);
+		if (disp_report_refuses_late(d, r))
+			disp_latency_refuse(d, r, 0);
 		else
-			disp_hold(d, r);
+			disp_enqueue(d, r);
 	}
 }
 
@@ -94,7 +94,7 @@
 is_hopeless(const struct disp_req *r, int64_t now)
 {
 	return (r->queue == QUEUE_LATE || r->queue == QUEUE_TRIAL) &&
-	    now + r->work > r->deadline;
+	    now + r->service_time > r->deadline;
 }
 
 static bool
@@ -115,25 +115,25 @@
 
 	while ((r = find(d, queue, is_expired, now)) != NULL) {
 		hopeless = is_hopeless(r, now);
-		disp_unhold(d, r);
+		disp_dequeue(d, r);
 		if (hopeless)
-			disp_drop(d, r, ERR_BUSY, COME_BACK_MIN_NS);
+			disp_fail(d, r, ERR_BUSY, RETRY_AFTER_MIN_NS);
 		else
-			disp_drop(d, r, ERR_DEADLINE, 0);
+			disp_fail(d, r, ERR_DEADLINE, 0);
 	}
 }
 
 /* Nothing can be used any more: what is held need not wait for that. */
 void
-disp_give_up_all(struct disp *d, int queue)
+disp_fail_all(struct disp *d, int queue)
 {
 	struct queue_item *item;
 	struct disp_req *r;
 
 	while ((item = queue_first(&d->queues[queue])) != NULL) {
 		r = item->data;
-		disp_unhold(d, r);
-		if (!disp_pass(d, r))
-			disp_drop(d, r, ERR_NO_BACKEND, COME_BACK_NS);
+		disp_dequeue(d, r);
+		if (!disp_forward(d, r))
+			disp_fail(d, r, ERR_NO_BACKEND, RETRY_AFTER_MAX_NS);
 	}
 }
--- a/disp_move.c
+++ b/disp_move.c
@@ -28,15 +28,18 @@
 static int64_t
 end_here(const struct disp *d, const struct disp_req *r, int64_t now)
 {
-	double own = r->at->factor > 0 ? r->at->factor : 1;
-	double work = (double)r->work * own * r->slowdown;
-	double expected = work * (r->told ? r->pace : 1);
+	double own = r->backend->service_time_ratio > 0
+	    ? r->backend->service_time_ratio
+	    : 1;
+	double work = (double)r->service_time * own * r->slowdown;
+	double expected = work * (r->load_report_fresh ? r->latency_factor : 1);
 
-	if (pick_is_silent(r->at))
+	if (pick_is_unresponsive(r->backend))
 		return INT64_MAX;
-	if ((double)(now - r->sent) > expected * OVERDUE)
-		expected = work * MAX(d->slow_pace, r->pace);
-	return MAX(r->sent + (int64_t)expected, now);
+	if ((double)(now - r->sent_at) > expected * OVERDUE)
+		expected =
+		    work * MAX(d->slow_latency_factor, r->latency_factor);
+	return MAX(r->sent_at + (int64_t)expected, now);
 }
 
 /* Would an end at `there` be worth more than one at `here`? */
@@ -51,10 +54,11 @@
 static bool
 may_move(struct disp *d, const struct disp_req *r)
 {
-	int tries = r->attempts > 0 ? r->attempts : TRIES_MAX;
+	int tries = r->max_attempts > 0 ? r->max_attempts : TRIES_MAX;
 
-	return r->target != 0 && r->work != 0 && r->repeatable && !r->trial &&
-	    r->tries < tries && disp_retryable(d, r, DISP_SLOW);
+	return r->target != 0 && r->service_time != 0 && r->repeatable &&
+	    !r->in_trial && r->attempt_count < tries &&
+	    disp_can_retry(d, r, DISP_STOPPED_SLOW);
 }
 
 /*
@@ -64,22 +68,24 @@
 static bool
 should_move(struct disp *d, const struct disp_req *r, int64_t now)
 {
-	struct pick_set set = disp_set_of(d);
-	struct pick_want want = {r->cls, r->at, r->work};
+	struct pick_set set = disp_pick_set(d);
+	struct pick_criteria want = {r->cls, r->backend, r->service_time};
 	int64_t here = end_here(d, r, now);
-	int64_t there = now + (int64_t)((double)r->work * RESERVE);
+	int64_t there = now + (int64_t)((double)r->service_time * RESERVE);
 	int at;
 
 	if (!is_worth_more(r, here, there))
 		return false;
 	at = d->params.policy->choose(&set, &want, now, d->rnd);
-	if (at == PICK_NONE || set.v[at] == r->at)
+	if (at == PICK_NONE || set.v[at] == r->backend)
 		return false;
-	if (pace_is_good(set.v[at], now)) {
-		there = now + pace_time(set.v[at], r->work, d->mean_pace, now);
+	if (pace_is_near_usual(set.v[at], now)) {
+		there = now +
+		    pace_service_time(set.v[at], r->service_time,
+			d->mean_latency_factor, now);
 		return is_worth_more(r, here, there);
 	}
-	disp_peek_some(d, r->work, now);
+	disp_query_best(d, r->service_time, now);
 	return false;
 }
 
@@ -89,7 +95,7 @@
 	struct disp_req *r;
 	GList *at;
 
-	for (at = d->out.head; at != NULL; at = at->next) {
+	for (at = d->inflight.head; at != NULL; at = at->next) {
 		r = at->data;
 		if (may_move(d, r) && should_move(d, r, now))
 			return r;
@@ -99,7 +105,7 @@
 
 /* Each move changes the list, so it is looked through anew. */
 void
-disp_move(struct disp *d, int64_t now)
+disp_reassign_slow(struct disp *d, int64_t now)
 {
 	struct disp_req *r;
 
--- a/disp_pace.c
+++ b/disp_pace.c
@@ -31,13 +31,16 @@
  * hall that has room?
  */
 bool
-disp_pace_better_elsewhere(const struct disp *d, const struct disp_req *r,
+disp_latency_remote_better(const struct disp *d, const struct disp_req *r,
     const struct pick_backend *b, int64_t now)
 {
-	if (!d->params.policy->paced || !r->may_pass || r->target == 0 ||
-	    r->work == 0 || !disp_is_in_time(r, now + PASS_COST_NS))
+	if (!d->params.policy->latency_aware || !r->can_forward ||
+	    r->target == 0 || r->service_time == 0 ||
+	    !disp_can_meet_target(r, now + PASS_COST_NS))
 		return false;
-	return now + pace_time(b, r->work, d->mean_pace, now) > r->target;
+	return now +
+	    pace_service_time(b, r->service_time, d->mean_latency_factor, now) >
+	    r->target;
 }
 
 /*
@@ -45,17 +48,19 @@
  * work would be done in it; unless there is no time left to wait.
  */
 bool
-disp_pace_should_wait(struct disp *d, const struct disp_req *r,
+disp_latency_should_wait(struct disp *d, const struct disp_req *r,
     struct pick_backend *b, int64_t now)
 {
-	int64_t end = now + pace_time(b, r->work, d->mean_pace, now);
+	int64_t end = now +
+	    pace_service_time(b, r->service_time, d->mean_latency_factor, now);
 
-	if (!d->params.policy->paced || r->work == 0 ||
-	    end + PACE_MEMORY_NS >= r->deadline ||
-	    !pace_passes(b, r->work, d->mean_pace, now))
+	if (!d->params.policy->latency_aware || r->service_time == 0 ||
+	    end + PACE_DECAY_NS >= r->deadline ||
+	    !pace_waiting_is_faster(
+		b, r->service_time, d->mean_latency_factor, now))
 		return false;
-	if (!pace_is_fresh(b, now))
-		disp_peek_one(d, b, now);
+	if (!pace_report_is_fresh(b, now))
+		disp_query_one(d, b, now);
 	return true;
 }
 
@@ -88,15 +93,15 @@
 paced_wait(const struct disp *d, const struct disp_req *r)
 {
 	size_t ahead = count_ahead(d, r);
-	double slots = disp_slots(d);
+	double slots = disp_usable_slots(d);
 	int64_t wait;
 
-	if (disp_word_wait(d, ahead, &wait))
+	if (disp_report_wait(d, ahead, &wait))
 		return wait;
 	if (slots == 0)
 		return 0;
-	return (int64_t)((double)(ahead + 1) * (double)d->mean_work *
-	    d->begin_pace / slots);
+	return (int64_t)((double)(ahead + 1) * (double)d->mean_service_time *
+	    d->start_latency_factor / slots);
 }
 
 /*
@@ -114,27 +119,27 @@
 static int64_t
 come_back(const struct disp *d, const struct disp_req *r, int64_t wait)
 {
-	int64_t left = r->deadline - clk_ns(d->clk) - r->work;
+	int64_t left = r->deadline - clk_ns(d->clk) - r->service_time;
 	int64_t first = left / COME_BACK_FIRST, last = left / COME_BACK_LAST;
 
-	if (r->target == 0 || first <= COME_BACK_MIN_NS)
-		return CLAMP(wait, COME_BACK_MIN_NS, COME_BACK_NS);
+	if (r->target == 0 || first <= RETRY_AFTER_MIN_NS)
+		return CLAMP(wait, RETRY_AFTER_MIN_NS, RETRY_AFTER_MAX_NS);
 	return first + (int64_t)rnd_below(d->rnd, (uint64_t)(last - first));
 }
 
 void
-disp_pace_refuse(struct disp *d, struct disp_req *r, int64_t wait)
+disp_latency_refuse(struct disp *d, struct disp_req *r, int64_t wait)
 {
-	disp_drop(d, r, ERR_BUSY, come_back(d, r, wait));
+	disp_fail(d, r, ERR_BUSY, come_back(d, r, wait));
 }
 
 int64_t
-disp_refused_again(struct disp *d, const struct disp_req *r)
+disp_refused_retry_after(struct disp *d, const struct disp_req *r)
 {
 	int64_t wait;
 
-	if (!disp_word_wait(d, 0, &wait) || wait <= DISP_REFUSED_AGAIN_NS)
-		return DISP_REFUSED_AGAIN_NS;
+	if (!disp_report_wait(d, 0, &wait) || wait <= DISP_REFUSED_RETRY_NS)
+		return DISP_REFUSED_RETRY_NS;
 	return come_back(d, r, wait);
 }
 
@@ -144,39 +149,41 @@
  * something; it is worth more than a late answer, and spares the queue.
  */
 bool
-disp_pace_may_wait(struct disp *d, struct disp_req *r)
+disp_latency_admit(struct disp *d, struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk), wait = paced_wait(d, r);
-	int64_t end = now + wait + (int64_t)((double)r->work * d->begin_pace);
+	int64_t end = now + wait +
+	    (int64_t)((double)r->service_time * d->start_latency_factor);
 
-	r->judged = true;
-	if (disp_usable(d) == 0) {
-		disp_drop(d, r, ERR_NO_BACKEND, COME_BACK_NS);
+	r->wait_decided = true;
+	if (disp_usable_backends(d) == 0) {
+		disp_fail(d, r, ERR_NO_BACKEND, RETRY_AFTER_MAX_NS);
 		return false;
 	}
 	if (end > r->deadline || (r->target != 0 && end > r->target)) {
-		disp_pace_refuse(d, r, wait);
+		disp_latency_refuse(d, r, wait);
 		return false;
 	}
 	return true;
 }
 
 void
-disp_pace_arrive(struct disp *d, struct disp_req *r)
+disp_latency_submit(struct disp *d, struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk);
 
-	r->work = disp_work_of(d, r->kind);
-	if (r->work == 0 && r->target != 0)
-		r->work = MAX((r->target - now) / WORK_GUESS, 0);
-	if (disp_peek_first(d, r, now)) {
-		disp_hold(d, r);
+	r->service_time = disp_work_estimate(d, r->kind);
+	if (r->service_time == 0 && r->target != 0)
+		r->service_time = MAX((r->target - now) / WORK_GUESS, 0);
+	if (disp_query_before_send(d, r, now)) {
+		disp_enqueue(d, r);
 		return;
 	}
-	if (d->queues[r->cls].n == 0 && disp_start(d, r))
+	if (d->queues[r->cls].n == 0 && disp_try_send(d, r))
 		return;
-	if (disp_pass(d, r) || disp_pass_to_shorter(d, r, paced_wait(d, r)))
+	if (disp_forward(d, r) ||
+	    disp_forward_to_shorter(d, r, paced_wait(d, r)))
 		return;
-	if (disp_cold_asks(d, now) || disp_pace_may_wait(d, r))
-		disp_hold(d, r);
+	if (disp_cold_query_pending(d, now) || disp_latency_admit(d, r))
+		disp_enqueue(d, r);
 }
--- a/disp_pass.c
+++ b/disp_pass.c
@@ -27,64 +27,67 @@
 	struct disp_remote_hall *m, add = {0};
 	guint i;
 
-	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
+	for (i = 0; i < d->remote_halls->len; i++) {
+		m = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
 		if (str_eq(m->hall, hall))
 			return m;
 	}
 	add.hall = str_dup(hall);
-	g_array_append_val(d->remotes, add);
+	g_array_append_val(d->remote_halls, add);
 	return &g_array_index(
-	    d->remotes, struct disp_remote_hall, d->remotes->len - 1);
+	    d->remote_halls, struct disp_remote_hall, d->remote_halls->len - 1);
 }
 
 /* Is there room in another hall, as far as its home has told lately? */
 static bool
 has_room(const struct disp_remote_hall *m, int64_t now)
 {
-	return m->told != 0 && now - m->told <= REMOTE_FRESH_NS &&
-	    m->room.waiting == 0 && m->room.free > REMOTE_SPARE;
+	return m->reported_at != 0 &&
+	    now - m->reported_at <= HALL_CAPACITY_TTL_NS &&
+	    m->capacity.queued == 0 && m->capacity.free_slots > REMOTE_SPARE;
 }
 
 void
-disp_pass_free(struct disp *d)
+disp_forward_free(struct disp *d)
 {
 	struct disp_remote_hall *m;
 	guint i;
 
-	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
+	for (i = 0; i < d->remote_halls->len; i++) {
+		m = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
 		str_free(&m->hall);
 		str_free(&m->region);
 	}
-	g_array_free(d->remotes, TRUE);
+	g_array_free(d->remote_halls, TRUE);
 }
 
 /* May the request be served there, as far as its rule and the hall go? */
 static bool
 may_serve(const struct disp_remote_hall *m, const struct disp_req *r)
 {
-	return m->slots > 0 && region_allows(r->regions, m->region);
+	return m->configured_slots > 0 &&
+	    region_allows(r->allowed_regions, m->region);
 }
 
 /* Can a backend server there be tried, as far as its home has told lately? */
 bool
-disp_pass_may_try(
+disp_forward_can_serve(
     const struct disp_remote_hall *m, const struct disp_req *r, int64_t now)
 {
-	return may_serve(m, r) && m->told != 0 &&
-	    now - m->told <= REMOTE_FRESH_NS && m->room.slots > 0;
+	return may_serve(m, r) && m->reported_at != 0 &&
+	    now - m->reported_at <= HALL_CAPACITY_TTL_NS &&
+	    m->capacity.slots > 0;
 }
 
 bool
-disp_has_room_elsewhere(
+disp_forward_has_capacity(
     const struct disp *d, const struct disp_req *r, int64_t now)
 {
 	const struct disp_remote_hall *m;
 	guint i;
 
-	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
+	for (i = 0; i < d->remote_halls->len; i++) {
+		m = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
 		if (may_serve(m, r) && has_room(m, now))
 			return true;
 	}
@@ -95,9 +98,9 @@
 static bool
 is_better(const struct disp_remote_hall *m, const struct disp_remote_hall *best)
 {
-	if (best == NULL || m->far != best->far)
-		return best == NULL || best->far;
-	return m->room.free > best->room.free;
+	if (best == NULL || m->other_region != best->other_region)
+		return best == NULL || best->other_region;
+	return m->capacity.free_slots > best->capacity.free_slots;
 }
 
 /*
@@ -105,17 +108,17 @@
  * hall that has slots will do, whatever its home said last.
  */
 bool
-disp_pass(struct disp *d, struct disp_req *r)
+disp_forward(struct disp *d, struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk);
-	bool must = disp_usable(d) == 0;
+	bool must = disp_usable_backends(d) == 0;
 	struct disp_remote_hall *m, *best = NULL;
 	guint i;
 
-	if (!r->may_pass || !d->params.policy->holds)
+	if (!r->can_forward || !d->params.policy->holds_requests)
 		return false;
-	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
+	for (i = 0; i < d->remote_halls->len; i++) {
+		m = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
 		if (!may_serve(m, r) || (!must && !has_room(m, now)))
 			continue;
 		if (is_better(m, best))
@@ -123,8 +126,8 @@
 	}
 	if (best == NULL)
 		return false;
-	best->room.free--;
-	d->ops.pass(d->ops.ctx, r, best->hall);
+	best->capacity.free_slots--;
+	d->ops.forward(d->ops.ctx, r, best->hall);
 	return true;
 }
 
@@ -133,22 +136,23 @@
  * would take it much sooner, so that a surge ends everywhere at the same time.
  */
 bool
-disp_pass_to_shorter(struct disp *d, struct disp_req *r, int64_t wait)
+disp_forward_to_shorter(struct disp *d, struct disp_req *r, int64_t wait)
 {
-	int64_t now = clk_ns(d->clk), usual = disp_usual(d), there;
+	int64_t now = clk_ns(d->clk), usual = disp_usual_latency(d), there;
 	struct disp_remote_hall *m, *best = NULL;
 	int64_t best_wait = wait - 2 * PASS_GAIN_NS;
 	guint i;
 
-	if (!r->may_pass || !d->params.policy->holds)
+	if (!r->can_forward || !d->params.policy->holds_requests)
 		return false;
-	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
-		if (!may_serve(m, r) || m->far || m->told == 0 ||
-		    m->room.slots == 0 || now - m->told > REMOTE_FRESH_NS)
+	for (i = 0; i < d->remote_halls->len; i++) {
+		m = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
+		if (!may_serve(m, r) || m->other_region ||
+		    m->reported_at == 0 || m->capacity.slots == 0 ||
+		    now - m->reported_at > HALL_CAPACITY_TTL_NS)
 			continue;
-		there = (int64_t)((double)usual * (m->room.waiting + 1) /
-		    m->room.slots);
+		there = (int64_t)((double)usual * (m->capacity.queued + 1) /
+		    m->capacity.slots);
 		if (there >= best_wait)
 			continue;
 		best_wait = there;
@@ -156,23 +160,24 @@
 	}
 	if (best == NULL)
 		return false;
-	best->room.waiting++;
-	d->ops.pass(d->ops.ctx, r, best->hall);
+	best->capacity.queued++;
+	d->ops.forward(d->ops.ctx, r, best->hall);
 	return true;
 }
 
 void
-disp_hall(struct disp *d, struct str hall, int slots)
+disp_set_hall_slots(struct disp *d, struct str hall, int slots)
 {
-	remote_of(d, hall)->slots = slots;
+	remote_of(d, hall)->configured_slots = slots;
 }
 
 void
-disp_hall_region(struct disp *d, struct str hall, struct str region, bool near)
+disp_set_hall_region(
+    struct disp *d, struct str hall, struct str region, bool near)
 {
 	struct disp_remote_hall *m = remote_of(d, hall);
 
-	m->far = !near;
+	m->other_region = !near;
 	if (str_eq(m->region, region))
 		return;
 	str_free(&m->region);
@@ -180,11 +185,12 @@
 }
 
 void
-disp_remote(struct disp *d, struct str hall, const struct disp_room *room)
+disp_set_hall_capacity(
+    struct disp *d, struct str hall, const struct disp_capacity *room)
 {
 	struct disp_remote_hall *m = remote_of(d, hall);
 
-	m->room = *room;
-	m->told = clk_ns(d->clk);
-	disp_serve(d);
+	m->capacity = *room;
+	m->reported_at = clk_ns(d->clk);
+	disp_serve_queues(d);
 }
--- a/disp_peek.c
+++ b/disp_peek.c
@@ -36,8 +36,8 @@
 static bool
 may_ask(const struct disp *d, const struct pick_backend *b, int64_t now)
 {
-	return d->ops.peek != NULL && !b->mute && !b->peeking &&
-	    now - b->peeked_at >= GAP_NS;
+	return d->ops.query_load != NULL && !b->reports_no_load &&
+	    !b->query_pending && now - b->queried_at >= GAP_NS;
 }
 
 /*
@@ -45,23 +45,24 @@
  * is out, or was asked less than `gap` ago.
  */
 bool
-disp_peek_after(
+disp_query_after_gap(
     struct disp *d, struct pick_backend *b, int64_t gap, int64_t now)
 {
-	if (d->ops.peek == NULL || b->peeking || now - b->peeked_at < gap)
+	if (d->ops.query_load == NULL || b->query_pending ||
+	    now - b->queried_at < gap)
 		return false;
-	b->peeking = true;
-	b->peeked_at = now;
-	b->reached = false;
-	d->ops.peek(d->ops.ctx, b);
+	b->query_pending = true;
+	b->queried_at = now;
+	b->query_connected = false;
+	d->ops.query_load(d->ops.ctx, b);
 	return true;
 }
 
 /* Ask one for its load; false if it was asked just now, or tells none. */
 bool
-disp_peek_one(struct disp *d, struct pick_backend *b, int64_t now)
+disp_query_one(struct disp *d, struct pick_backend *b, int64_t now)
 {
-	return !b->mute && disp_peek_after(d, b, GAP_NS, now);
+	return !b->reports_no_load && disp_query_after_gap(d, b, GAP_NS, now);
 }
 
 /* The free one that may be asked and looks best by now. */
@@ -74,10 +75,10 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (pick_free(b, now) == 0 || pace_is_fresh(b, now) ||
-		    !may_ask(d, b, now))
+		if (pick_free_slots(b, now) == 0 ||
+		    pace_report_is_fresh(b, now) || !may_ask(d, b, now))
 			continue;
-		t = pace_time(b, work, d->mean_pace, now);
+		t = pace_service_time(b, work, d->mean_latency_factor, now);
 		if (t < least) {
 			least = t;
 			best = b;
@@ -88,7 +89,7 @@
 
 /* Ask the best few of those that are free. */
 void
-disp_peek_some(struct disp *d, int64_t work, int64_t now)
+disp_query_best(struct disp *d, int64_t work, int64_t now)
 {
 	struct pick_backend *b;
 	unsigned i;
@@ -97,7 +98,7 @@
 		b = best_to_ask(d, work, now);
 		if (b == NULL)
 			return;
-		disp_peek_one(d, b, now);
+		disp_query_one(d, b, now);
 	}
 }
 
@@ -110,7 +111,7 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		n += b->peeking;
+		n += b->query_pending;
 	}
 	return n;
 }
@@ -121,7 +122,7 @@
  * and 190 MB in the box that was home for them.
  */
 void
-disp_peek_in_turn(struct disp *d,
+disp_query_round_robin(struct disp *d,
     bool (*is_asked)(const struct pick_backend *, int64_t now), int64_t gap,
     int64_t now)
 {
@@ -130,18 +131,18 @@
 	guint i, n = d->backends->len;
 
 	for (i = 0; i < n && out < IN_TURN_MAX; i++) {
-		b = g_ptr_array_index(d->backends, (d->ask_from + i) % n);
-		out += is_asked(b, now) && disp_peek_after(d, b, gap, now);
+		b = g_ptr_array_index(d->backends, (d->query_next + i) % n);
+		out += is_asked(b, now) && disp_query_after_gap(d, b, gap, now);
 	}
-	d->ask_from = n == 0 ? 0 : (d->ask_from + i) % n;
+	d->query_next = n == 0 ? 0 : (d->query_next + i) % n;
 }
 
 static bool
 may_be_back(const struct pick_backend *b, int64_t now)
 {
 	(void)now;
-	return pick_is_silent(b) && !b->gone && !b->evacuated && !b->leaves &&
-	    b->state != PICK_DRAINING;
+	return pick_is_unresponsive(b) && !b->removed && !b->evacuated &&
+	    !b->leaving && b->state != PICK_DRAINING;
 }
 
 /*
@@ -155,9 +156,9 @@
  * (virtual time, four seeds).
  */
 void
-disp_peek_silent(struct disp *d, int64_t now)
+disp_query_unresponsive(struct disp *d, int64_t now)
 {
-	disp_peek_in_turn(d, may_be_back, SILENT_GAP_NS, now);
+	disp_query_round_robin(d, may_be_back, SILENT_GAP_NS, now);
 }
 
 /* How many are free and tell their load; is one of them good, or asked? */
@@ -171,11 +172,11 @@
 	*good = *asked = false;
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (pick_free(b, now) == 0 || b->mute)
+		if (pick_free_slots(b, now) == 0 || b->reports_no_load)
 			continue;
 		n++;
-		*good = *good || pace_is_good(b, now);
-		*asked = *asked || b->peeking;
+		*good = *good || pace_is_near_usual(b, now);
+		*asked = *asked || b->query_pending;
 	}
 	return n;
 }
@@ -185,26 +186,26 @@
 latest_start(const struct disp_req *r, int64_t now)
 {
 	if (r->target == 0)
-		return r->asked ? 0 : now + WAIT_NS;
-	return r->target - (int64_t)((double)r->work * (1 + RESERVE));
+		return r->queried ? 0 : now + WAIT_NS;
+	return r->target - (int64_t)((double)r->service_time * (1 + RESERVE));
 }
 
 /* True if the request should wait for a good place before it is sent. */
 bool
-disp_peek_first(struct disp *d, struct disp_req *r, int64_t now)
+disp_query_before_send(struct disp *d, struct disp_req *r, int64_t now)
 {
 	bool good, asked;
 
-	if (!d->params.policy->paced || d->ops.peek == NULL || r->work == 0 ||
-	    now >= latest_start(r, now))
+	if (!d->params.policy->latency_aware || d->ops.query_load == NULL ||
+	    r->service_time == 0 || now >= latest_start(r, now))
 		return false;
 	if (count_free(d, now, &good, &asked) == 0 || good)
 		return false;
 	/* All that were asked here are slow: start() looks elsewhere. */
-	if (r->asked && !asked && r->may_pass &&
-	    disp_has_room_elsewhere(d, r, now))
+	if (r->queried && !asked && r->can_forward &&
+	    disp_forward_has_capacity(d, r, now))
 		return false;
-	disp_peek_some(d, r->work, now);
-	r->asked = true;
+	disp_query_best(d, r->service_time, now);
+	r->queried = true;
 	return true;
 }
--- a/disp_roll.c
+++ b/disp_roll.c
@@ -38,11 +38,13 @@
 static void
 mark(struct pick_backend *b, const struct disp *d)
 {
-	const struct roll *roll = d->params.roll;
+	const struct roll *roll = d->params.rollout;
 
-	b->excluded = !(b->is_new ? d->new_may : d->old_may);
-	b->passed_over = d->new_first && !b->is_new;
-	b->uncounted = roll != NULL && !roll_counts_on(roll, b->is_new);
+	b->version_excluded =
+	    !(b->is_new_version ? d->new_allowed : d->old_allowed);
+	b->version_deferred = d->prefer_new && !b->is_new_version;
+	b->capacity_uncounted =
+	    roll != NULL && !roll_counts_as_capacity(roll, b->is_new_version);
 }
 
 /* Does the next request go to the new version, if that has a good server? */
@@ -58,53 +60,53 @@
 		return false;
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		all += b->is_new && pick_usable(b, now);
-		n += b->is_new && pick_free(b, now) > 0;
+		all += b->is_new_version && pick_is_usable(b, now);
+		n += b->is_new_version && pick_free_slots(b, now) > 0;
 	}
 	return n > 0 && n >= MIN(all, FIRST_FREE_MIN);
 }
 
 void
-disp_roll_mark(struct disp *d)
+disp_roll_update(struct disp *d)
 {
-	const struct roll *roll = d->params.roll;
+	const struct roll *roll = d->params.rollout;
 	guint i;
 
-	d->new_may = roll == NULL || roll_may_send(roll, true);
-	d->old_may = roll == NULL || roll_may_send(roll, false);
-	d->new_first = false;
+	d->new_allowed = roll == NULL || roll_allows(roll, true);
+	d->old_allowed = roll == NULL || roll_allows(roll, false);
+	d->prefer_new = false;
 	for (i = 0; i < d->backends->len; i++)
 		mark(g_ptr_array_index(d->backends, i), d);
 }
 
 /* A request is about to be placed. */
 void
-disp_roll_look(struct disp *d)
+disp_roll_update_if_changed(struct disp *d)
 {
-	const struct roll *roll = d->params.roll;
+	const struct roll *roll = d->params.rollout;
 	bool first;
 	guint i;
 
 	if (roll == NULL)
 		return;
-	if (d->new_may != roll_may_send(roll, true) ||
-	    d->old_may != roll_may_send(roll, false))
-		disp_roll_mark(d);
-	first = d->new_may && d->old_may && is_new_first(d);
-	if (first == d->new_first)
+	if (d->new_allowed != roll_allows(roll, true) ||
+	    d->old_allowed != roll_allows(roll, false))
+		disp_roll_update(d);
+	first = d->new_allowed && d->old_allowed && is_new_first(d);
+	if (first == d->prefer_new)
 		return;
-	d->new_first = first;
+	d->prefer_new = first;
 	for (i = 0; i < d->backends->len; i++)
 		mark(g_ptr_array_index(d->backends, i), d);
 }
 
 void
-disp_roll_sent(struct disp *d, const struct pick_backend *b)
+disp_roll_attempt_sent(struct disp *d, const struct pick_backend *b)
 {
-	if (d->params.roll == NULL)
+	if (d->params.rollout == NULL)
 		return;
-	roll_sent(d->params.roll, b->is_new);
-	disp_roll_look(d);
+	roll_request_sent(d->params.rollout, b->is_new_version);
+	disp_roll_update_if_changed(d);
 }
 
 /* Where no pace was told, the time may be that of a slow spell. */
@@ -112,13 +114,14 @@
 is_slow(const struct disp *d, const struct disp_req *r,
     const struct pick_backend *b)
 {
-	double took = (double)(clk_ns(d->clk) - r->sent);
-	double expected = (double)r->work * r->slowdown;
+	double took = (double)(clk_ns(d->clk) - r->sent_at);
+	double expected = (double)r->service_time * r->slowdown;
 
-	if (r->work == 0 || (!r->told && !b->mute))
+	if (r->service_time == 0 ||
+	    (!r->load_report_fresh && !b->reports_no_load))
 		return false;
-	if (r->told)
-		expected *= r->pace;
+	if (r->load_report_fresh)
+		expected *= r->latency_factor;
 	return took > SLOW_FACTOR * expected && took - expected > SLOW_LEAST_NS;
 }
 
@@ -127,43 +130,47 @@
     const struct pick_backend *b, enum disp_outcome outcome)
 {
 	switch (outcome) {
-	case DISP_FAILED:
-	case DISP_CUT:
+	case DISP_SERVER_ERROR:
+	case DISP_CONN_BROKEN:
 		return VERDICT_FAILED;
 	case DISP_OK:
 		return is_slow(d, r, b) ? VERDICT_SLOW : VERDICT_GOOD;
-	case DISP_SLOW:
-		return r->told || b->mute ? VERDICT_SLOW : VERDICT_NOTHING;
-	case DISP_LATE:
-	case DISP_GONE:
-		return is_slow(d, r, b) ? VERDICT_SLOW : VERDICT_NOTHING;
+	case DISP_STOPPED_SLOW:
+		return r->load_report_fresh || b->reports_no_load
+		    ? VERDICT_SLOW
+		    : VERDICT_IGNORED;
+	case DISP_TIMED_OUT:
+	case DISP_CANCELED:
+		return is_slow(d, r, b) ? VERDICT_SLOW : VERDICT_IGNORED;
 	default:
-		return VERDICT_NOTHING;
+		return VERDICT_IGNORED;
 	}
 }
 
 void
-disp_roll_done(struct disp *d, const struct disp_req *r,
+disp_roll_attempt_done(struct disp *d, const struct disp_req *r,
     const struct pick_backend *b, enum disp_outcome outcome)
 {
-	struct roll *roll = d->params.roll;
+	struct roll *roll = d->params.rollout;
 
 	if (roll == NULL)
 		return;
-	roll_ended(roll, b->is_new, r->kind, answer_of(d, r, b, outcome));
-	disp_roll_look(d);
+	roll_request_ended(
+	    roll, b->is_new_version, r->kind, answer_of(d, r, b, outcome));
+	disp_roll_update_if_changed(d);
 }
 
 bool
-disp_roll_is_trial(const struct disp *d, const struct pick_backend *b)
+disp_roll_is_canary(const struct disp *d, const struct pick_backend *b)
 {
-	const struct roll *roll = d->params.roll;
+	const struct roll *roll = d->params.rollout;
 
-	return roll != NULL && b->is_new && !roll_counts_on(roll, true);
+	return roll != NULL && b->is_new_version &&
+	    !roll_counts_as_capacity(roll, true);
 }
 
 unsigned
-disp_old_inflight(const struct disp *d)
+disp_old_version_inflight(const struct disp *d)
 {
 	const struct pick_backend *b;
 	unsigned n = 0;
@@ -171,7 +178,7 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		n += b->is_new ? 0 : (unsigned)b->inflight;
+		n += b->is_new_version ? 0 : (unsigned)b->inflight;
 	}
 	return n;
 }
--- a/disp_set.c
+++ b/disp_set.c
@@ -21,10 +21,10 @@
 enum { FAR_FACTOR = 4 };
 
 struct pick_set
-disp_set_of(const struct disp *d)
+disp_pick_set(const struct disp *d)
 {
 	struct pick_set set = {(struct pick_backend **)d->backends->pdata,
-	    d->backends->len, d->params.bulk_percent, d->mean_pace};
+	    d->backends->len, d->params.bulk_percent, d->mean_latency_factor};
 
 	return set;
 }
@@ -32,9 +32,9 @@
 static void
 backend_free(struct disp *d, struct pick_backend *b)
 {
-	disp_doubt_settle(d, b, false);
-	if (d->emptied == b)
-		d->emptied = NULL;
+	disp_crash_resolve(d, b, false);
+	if (d->trial_reserved == b)
+		d->trial_reserved = NULL;
 	d->ops.release(d->ops.ctx, b);
 	str_free(&b->name);
 	str_free(&b->address);
@@ -42,7 +42,7 @@
 }
 
 void
-disp_set_free(struct disp *d)
+disp_free_backends(struct disp *d)
 {
 	guint i;
 
@@ -52,14 +52,14 @@
 }
 
 struct pick_backend *
-disp_find(const struct disp *d, struct str name)
+disp_find_backend(const struct disp *d, struct str name)
 {
 	struct pick_backend *b;
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (!b->gone && str_eq(b->name, name))
+		if (!b->removed && str_eq(b->name, name))
 			return b;
 	}
 	return NULL;
@@ -70,49 +70,49 @@
  * nothing of what was there, and none of what we know of it holds.
  */
 static bool
-is_another(const struct pick_backend *b, const struct disp_backend *conf)
+is_another(const struct pick_backend *b, const struct disp_backend_conf *conf)
 {
 	return !str_eq(b->address, conf->address) ||
-	    (b->born_ms != 0 && conf->born_ms != 0 &&
-		b->born_ms != conf->born_ms);
+	    (b->started_ms != 0 && conf->started_ms != 0 &&
+		b->started_ms != conf->started_ms);
 }
 
 /* Go by what it said before, to this box or another. */
 static void
 recall(struct disp *d, struct pick_backend *b)
 {
-	const struct word *w = d->params.words == NULL
+	const struct backend_report *w = d->params.reports == NULL
 	    ? NULL
-	    : words_find(d->params.words, b->name, b->born_ms);
+	    : reports_find(d->params.reports, b->name, b->started_ms);
 
 	if (w == NULL)
 		return;
-	b->leaves = b->leaves || w->leaves;
-	b->rest_until = MAX(b->rest_until, w->rest_until);
-	quota_told(&b->quota, w->rate, w->heard, clk_ns(d->clk));
+	b->leaving = b->leaving || w->leaving;
+	b->pause_until = MAX(b->pause_until, w->pause_until);
+	quota_update(&b->quota, w->rate, w->reported_at, clk_ns(d->clk));
 }
 
 void
-disp_words_told(struct disp *d)
+disp_apply_reports(struct disp *d)
 {
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++)
 		recall(d, g_ptr_array_index(d->backends, i));
-	disp_serve(d);
+	disp_serve_queues(d);
 }
 
 /*
  * Known ones have served before we learned of them, and are warm.
  */
 static void
-update(struct disp *d, const struct disp_backend *conf, bool known)
+update(struct disp *d, const struct disp_backend_conf *conf, bool known)
 {
-	struct pick_backend *b = disp_find(d, conf->name);
+	struct pick_backend *b = disp_find_backend(d, conf->name);
 	bool fresh;
 
 	if (b != NULL && is_another(b, conf)) {
-		b->gone = true;
+		b->removed = true;
 		b = NULL;
 	}
 	fresh = b == NULL;
@@ -123,26 +123,26 @@
 		b->state = (enum pick_state)chart_start(d->params.chart);
 		if (known)
 			b->state = PICK_UP;
-		b->heard_at = clk_ns(d->clk);
-		b->cold_bound = &d->params.cold;
-		disp_cold_suspect(d, b, conf->warm_ns);
+		b->last_answer_at = clk_ns(d->clk);
+		b->cold_limit = &d->params.cold;
+		disp_cold_suspect(d, b, conf->slow_start_ns);
 		g_ptr_array_add(d->backends, b);
 	}
 	b->slots = conf->slots;
-	b->is_new = conf->is_new;
-	b->born_ms = conf->born_ms;
+	b->is_new_version = conf->is_new_version;
+	b->started_ms = conf->started_ms;
 	if (fresh)
 		recall(d, b);
 	if (b->evacuated && !conf->evacuated)
-		disp_cold_suspect(d, b, conf->warm_ns);
-	pick_evacuate(b, d->params.chart, conf->evacuated);
-	if (b->drain_told != conf->drain)
-		pick_drain(b, d->params.chart, conf->drain);
-	b->drain_told = conf->drain;
+		disp_cold_suspect(d, b, conf->slow_start_ns);
+	pick_set_evacuated(b, d->params.chart, conf->evacuated);
+	if (b->drain_configured != conf->drain)
+		pick_set_drain(b, d->params.chart, conf->drain);
+	b->drain_configured = conf->drain;
 }
 
 static bool
-listed(const struct disp_backend *v, unsigned n, struct str name)
+listed(const struct disp_backend_conf *v, unsigned n, struct str name)
 {
 	unsigned i;
 
@@ -158,36 +158,36 @@
  * while all that came in an outage waits.
  */
 void
-disp_backends(struct disp *d, const struct disp_backend *v, unsigned n)
+disp_set_backends(struct disp *d, const struct disp_backend_conf *v, unsigned n)
 {
-	bool first = d->backends->len == 0 && d->params.policy->paced;
+	bool first = d->backends->len == 0 && d->params.policy->latency_aware;
 	struct pick_backend *b;
 	unsigned i;
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
 		if (!listed(v, n, b->name))
-			b->gone = true;
+			b->removed = true;
 	}
 	for (i = 0; i < n; i++)
 		update(d, &v[i], first);
-	disp_roll_mark(d);
-	disp_sweep(d);
-	disp_conc_set(d, clk_ns(d->clk));
-	disp_cold_ask(d, clk_ns(d->clk));
-	disp_serve(d);
+	disp_roll_update(d);
+	disp_free_removed(d);
+	disp_conc_update_limits(d, clk_ns(d->clk));
+	disp_cold_query(d, clk_ns(d->clk));
+	disp_serve_queues(d);
 }
 
 /* Free the backend servers that are gone and have answered all. */
 void
-disp_sweep(struct disp *d)
+disp_free_removed(struct disp *d)
 {
 	struct pick_backend *b;
 	guint i;
 
 	for (i = d->backends->len; i-- > 0;) {
 		b = g_ptr_array_index(d->backends, i);
-		if (!b->gone || b->inflight > 0)
+		if (!b->removed || b->inflight > 0)
 			continue;
 		g_ptr_array_remove_index_fast(d->backends, i);
 		backend_free(d, b);
@@ -199,7 +199,7 @@
  * for those that are far slower than the fastest.
  */
 int64_t
-disp_usual(const struct disp *d)
+disp_usual_latency(const struct disp *d)
 {
 	const struct pick_backend *b;
 	int64_t sum = 0, least = 0;
@@ -207,17 +207,19 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (b->usual > 0 && (least == 0 || b->usual < least))
-			least = b->usual;
+		if (b->usual_latency > 0 &&
+		    (least == 0 || b->usual_latency < least))
+			least = b->usual_latency;
 	}
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (b->usual == 0 || b->usual > least * FAR_FACTOR)
+		if (b->usual_latency == 0 ||
+		    b->usual_latency > least * FAR_FACTOR)
 			continue;
-		sum += b->usual;
+		sum += b->usual_latency;
 		n++;
 	}
-	return n == 0 ? USUAL_UNKNOWN_NS : sum / n;
+	return n == 0 ? DEFAULT_LATENCY_NS : sum / n;
 }
 
 /*
@@ -225,82 +227,83 @@
  * server told itself is, as what it answers to a probe is its word, too.
  */
 void
-disp_health(struct disp *d, struct str backend, bool down, bool drain)
+disp_probe_result(struct disp *d, struct str backend, bool down, bool drain)
 {
-	struct pick_backend *b = disp_find(d, backend);
+	struct pick_backend *b = disp_find_backend(d, backend);
 
 	if (b == NULL)
 		return;
 	b->probe_down = down;
 	if (drain)
-		pick_drain(b, d->params.chart, true);
-	else if (!down && !b->drain_told && b->state == PICK_DRAINING)
-		pick_drain(b, d->params.chart, false);
+		pick_set_drain(b, d->params.chart, true);
+	else if (!down && !b->drain_configured && b->state == PICK_DRAINING)
+		pick_set_drain(b, d->params.chart, false);
 	if (!drain && !down)
-		b->leaves = false;
-	disp_serve(d);
+		b->leaving = false;
+	disp_serve_queues(d);
 }
 
 void
-disp_load_told(
+disp_load_reported(
     struct disp *d, struct pick_backend *b, int running, int waiting, int pace)
 {
-	disp_work_told(d, pace);
-	b->told_running = running;
-	b->told_waiting = waiting;
-	b->told_pace = pace;
-	b->told_at = clk_ns(d->clk);
+	disp_work_load_reported(d, pace);
+	b->reported_running = running;
+	b->reported_waiting = waiting;
+	b->reported_latency_percent = pace;
+	b->reported_at = clk_ns(d->clk);
 }
 
 /* Two questions in a row without an answer speak against a backend server. */
 void
-disp_peeked(struct disp *d, struct str backend, bool answered, int running,
-    int waiting, int pace)
+disp_load_query_done(struct disp *d, struct str backend, bool answered,
+    int running, int waiting, int pace)
 {
-	struct pick_backend *b = disp_find(d, backend);
+	struct pick_backend *b = disp_find_backend(d, backend);
 
 	if (b == NULL)
 		return;
-	b->peeking = false;
+	b->query_pending = false;
 	if (answered) {
-		b->silent = 0;
-		b->heard_at = clk_ns(d->clk);
-		b->mute = pace == 0;
+		b->unanswered_queries = 0;
+		b->last_answer_at = clk_ns(d->clk);
+		b->reports_no_load = pace == 0;
 	}
-	if (answered && !b->mute) {
-		disp_load_told(d, b, running, waiting, pace);
+	if (answered && !b->reports_no_load) {
+		disp_load_reported(d, b, running, waiting, pace);
 	} else if (!answered) {
-		b->silent++;
+		b->unanswered_queries++;
 		disp_cold_suspect(d, b, 0);
 	}
-	disp_doubt_peeked(d, b, answered);
-	disp_cold_ask(d, clk_ns(d->clk));
-	if (d->params.policy->paced)
-		disp_move(d, clk_ns(d->clk));
-	disp_serve(d);
+	disp_crash_query_done(d, b, answered);
+	disp_cold_query(d, clk_ns(d->clk));
+	if (d->params.policy->latency_aware)
+		disp_reassign_slow(d, clk_ns(d->clk));
+	disp_serve_queues(d);
 }
 
 void
-disp_reached(struct disp *d, struct str backend)
+disp_load_query_connected(struct disp *d, struct str backend)
 {
-	struct pick_backend *b = disp_find(d, backend);
+	struct pick_backend *b = disp_find_backend(d, backend);
 
 	if (b != NULL)
-		b->reached = true;
+		b->query_connected = true;
 }
 
 bool
-disp_cold_told(struct disp *d, struct str backend, int64_t ns)
+disp_cold_reported(struct disp *d, struct str backend, int64_t ns)
 {
-	struct pick_backend *b = disp_find(d, backend);
+	struct pick_backend *b = disp_find_backend(d, backend);
 	int64_t now = clk_ns(d->clk);
 	bool knew;
 
 	if (b == NULL || d->params.cold.rate <= 0)
 		return false;
-	knew = cold_is(&b->cold, now) && !cold_in_doubt(&b->cold, now);
-	cold_told(&b->cold, ns, now);
-	return cold_is(&b->cold, now) != knew;
+	knew =
+	    cold_is_cold(&b->cold, now) && !cold_is_unconfirmed(&b->cold, now);
+	cold_set_reported(&b->cold, ns, now);
+	return cold_is_cold(&b->cold, now) != knew;
 }
 
 /*
@@ -308,33 +311,33 @@
  * written: it holds for as long as it lives.
  */
 bool
-disp_leaves_told(struct pick_backend *b)
+disp_leaving_reported(struct pick_backend *b)
 {
-	bool news = !b->leaves;
+	bool news = !b->leaving;
 
-	b->leaves = true;
+	b->leaving = true;
 	return news;
 }
 
 bool
-disp_rest_told(struct disp *d, struct pick_backend *b, int64_t ns)
+disp_pause_reported(struct disp *d, struct pick_backend *b, int64_t ns)
 {
 	int64_t now = clk_ns(d->clk);
-	bool news = ns > 0 && b->rest_until <= now;
+	bool news = ns > 0 && b->pause_until <= now;
 
-	b->rest_until = MAX(b->rest_until, now + ns);
+	b->pause_until = MAX(b->pause_until, now + ns);
 	return news;
 }
 
 bool
-disp_quota_told(
+disp_quota_reported(
     struct disp *d, struct pick_backend *b, double rate, int64_t sent)
 {
-	return quota_told(&b->quota, rate, sent, clk_ns(d->clk));
+	return quota_update(&b->quota, rate, sent, clk_ns(d->clk));
 }
 
 double
-disp_slots(const struct disp *d)
+disp_usable_slots(const struct disp *d)
 {
 	int64_t now = clk_ns(d->clk);
 	const struct pick_backend *b;
@@ -343,36 +346,37 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (b->uncounted || !pick_usable(b, now))
+		if (b->capacity_uncounted || !pick_is_usable(b, now))
 			continue;
 		if (b->quota.rate > 0)
-			bound += disp_word_slots(d, b);
+			bound += disp_report_slots(d, b);
 		else
-			slots += disp_word_slots(d, b);
+			slots += disp_report_slots(d, b);
 	}
 	return ceil(slots) + bound;
 }
 
-struct disp_room
-disp_room_of(const struct disp *d)
+struct disp_capacity
+disp_capacity_of(const struct disp *d)
 {
 	int64_t now = clk_ns(d->clk);
 	const struct pick_backend *b;
-	struct disp_room room = {
-	    .slots = ceil(disp_slots(d) * SLOT_TENTHS) / SLOT_TENTHS};
+	struct disp_capacity room = {
+	    .slots = ceil(disp_usable_slots(d) * SLOT_TENTHS) / SLOT_TENTHS};
 	guint i;
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		room.free += b->uncounted ? 0 : pick_free(b, now);
+		room.free_slots +=
+		    b->capacity_uncounted ? 0 : pick_free_slots(b, now);
 	}
-	for (i = 0; i < QUEUES; i++)
-		room.waiting += (int)d->queues[i].n;
+	for (i = 0; i < QUEUE_COUNT; i++)
+		room.queued += (int)d->queues[i].n;
 	return room;
 }
 
 unsigned
-disp_usable(const struct disp *d)
+disp_usable_backends(const struct disp *d)
 {
 	int64_t now = clk_ns(d->clk);
 	const struct pick_backend *b;
@@ -381,13 +385,13 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		n += !b->uncounted && pick_usable(b, now);
+		n += !b->capacity_uncounted && pick_is_usable(b, now);
 	}
 	return n;
 }
 
 void
-disp_each(const struct disp *d, disp_visit_fn *visit, void *ctx)
+disp_foreach_backend(const struct disp *d, disp_backend_fn *visit, void *ctx)
 {
 	guint i;
 
--- a/disp_stop.c
+++ b/disp_stop.c
@@ -12,7 +12,7 @@
 
 /*
  * Tries that are far too slow, under the policies that hold and do not go by
- * pace; disp_move.c has those of the policy that does.
+ * pace; disp_reassign_slow.c has those of the policy that does.
  */
 
 /* A try is stopped after so many times its usual length, and no sooner. */
@@ -28,14 +28,15 @@
 static bool
 is_stuck(struct disp *d, const struct disp_req *r, int64_t now)
 {
-	const struct pick_backend *b = r->at;
-	struct pick_set set = disp_set_of(d);
-	struct pick_want want = {r->cls, b, r->work};
-	int64_t limit = MAX(disp_usual(d) * STOP_FACTOR, STOP_MIN_NS);
+	const struct pick_backend *b = r->backend;
+	struct pick_set set = disp_pick_set(d);
+	struct pick_criteria want = {r->cls, b, r->service_time};
+	int64_t limit = MAX(disp_usual_latency(d) * STOP_FACTOR, STOP_MIN_NS);
 	int at;
 
-	if (now - r->sent <= limit || r->stopped || r->trial ||
-	    r->cls != CLASS_INTERACTIVE || !disp_retryable(d, r, DISP_SLOW))
+	if (now - r->sent_at <= limit || r->stopped || r->in_trial ||
+	    r->cls != CLASS_INTERACTIVE ||
+	    !disp_can_retry(d, r, DISP_STOPPED_SLOW))
 		return false;
 	at = d->params.policy->choose(&set, &want, now, d->rnd);
 	return at != PICK_NONE && set.v[at] != b;
@@ -47,9 +48,9 @@
 	struct disp_req *r;
 	GList *at;
 
-	for (at = d->out.head; at != NULL; at = at->next) {
+	for (at = d->inflight.head; at != NULL; at = at->next) {
 		r = at->data;
-		if (now - r->sent <= STOP_MIN_NS)
+		if (now - r->sent_at <= STOP_MIN_NS)
 			return NULL;
 		if (is_stuck(d, r, now))
 			return r;
@@ -59,7 +60,7 @@
 
 /* Each stop changes the list, so it is looked through anew. */
 void
-disp_stop_stuck(struct disp *d, int64_t now)
+disp_stop_slow(struct disp *d, int64_t now)
 {
 	struct disp_req *r;
 
--- a/disp_trial.c
+++ b/disp_trial.c
@@ -37,13 +37,14 @@
 static bool
 is_suspect(const struct disp *d, const struct disp_req *r)
 {
-	return r->doubted != NULL ||
-	    poison_look(d->params.poison, r->print) == POISON_SUSPECT;
+	return r->maybe_crashed != NULL ||
+	    poison_status_of(d->params.poison, r->fingerprint) ==
+	    POISON_SUSPECT;
 }
 
 /* Where a request has to wait for a trial. */
 bool
-disp_trial_holds(const struct disp *d, const struct disp_req *r)
+disp_trial_required(const struct disp *d, const struct disp_req *r)
 {
 	return d->params.poison != NULL && is_suspect(d, r);
 }
@@ -51,14 +52,15 @@
 static bool
 is_proved(const struct disp *d, const struct disp_req *r)
 {
-	return poison_look(d->params.poison, r->print) == POISON_PROVED;
+	return poison_status_of(d->params.poison, r->fingerprint) ==
+	    POISON_PROVED;
 }
 
 static void
 drop_proved(struct disp *d, struct disp_req *r)
 {
-	disp_drop(d, r, ERR_POISON,
-	    poison_until(d->params.poison, r->print) - clk_ns(d->clk));
+	disp_fail(d, r, ERR_POISON,
+	    poison_retry_at(d->params.poison, r->fingerprint) - clk_ns(d->clk));
 }
 
 static uint64_t
@@ -72,18 +74,18 @@
 trial_hall(const struct disp *d, const struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk);
-	uint64_t best_w = weight(d->params.hall, r->print), w;
+	uint64_t best_w = weight(d->params.hall, r->fingerprint), w;
 	struct str best = str_c(NULL);
 	const struct disp_remote_hall *m;
 	guint i;
 
-	if (disp_usable(d) == 0)
+	if (disp_usable_backends(d) == 0)
 		best_w = 0;
-	for (i = 0; i < d->remotes->len; i++) {
-		m = &g_array_index(d->remotes, struct disp_remote_hall, i);
-		if (!disp_pass_may_try(m, r, now))
+	for (i = 0; i < d->remote_halls->len; i++) {
+		m = &g_array_index(d->remote_halls, struct disp_remote_hall, i);
+		if (!disp_forward_can_serve(m, r, now))
 			continue;
-		w = weight(m->hall, r->print);
+		w = weight(m->hall, r->fingerprint);
 		if (w < best_w)
 			continue;
 		best_w = w;
@@ -100,14 +102,15 @@
 	const GList *at;
 	guint i;
 
-	for (at = d->out.head; at != NULL; at = at->next) {
+	for (at = d->inflight.head; at != NULL; at = at->next) {
 		other = at->data;
-		if (other->trial && fprint_same(other->print, r->print))
+		if (other->in_trial &&
+		    fprint_same(other->fingerprint, r->fingerprint))
 			return true;
 	}
 	for (i = 0; i < d->backends->len; i++)
-		if (disp_doubt_waits(
-			g_ptr_array_index(d->backends, i), r->print))
+		if (disp_crash_trial_pending(
+			g_ptr_array_index(d->backends, i), r->fingerprint))
 			return true;
 	return false;
 }
@@ -121,7 +124,8 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		n += b->alone && b->inflight > 0 && b != d->emptied;
+		n += b->reserved_for_trial && b->inflight > 0 &&
+		    b != d->trial_reserved;
 	}
 	return n;
 }
@@ -130,9 +134,9 @@
 static void
 let_go(struct disp *d)
 {
-	if (d->emptied != NULL)
-		d->emptied->alone = false;
-	d->emptied = NULL;
+	if (d->trial_reserved != NULL)
+		d->trial_reserved->reserved_for_trial = false;
+	d->trial_reserved = NULL;
 }
 
 /* Nothing new goes to the one that will be empty first, as far as is known. */
@@ -143,20 +147,21 @@
 	struct pick_backend *b, *best = NULL;
 	guint i;
 
-	if (d->emptied != NULL && pick_usable(d->emptied, now))
+	if (d->trial_reserved != NULL && pick_is_usable(d->trial_reserved, now))
 		return;
 	let_go(d);
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (b->alone || !pick_usable(b, now) || pick_is_silent(b))
+		if (b->reserved_for_trial || !pick_is_usable(b, now) ||
+		    pick_is_unresponsive(b))
 			continue;
 		if (best == NULL || b->inflight < best->inflight)
 			best = b;
 	}
 	if (best == NULL)
 		return;
-	best->alone = true;
-	d->emptied = best;
+	best->reserved_for_trial = true;
+	d->trial_reserved = best;
 }
 
 /* The best of those where nothing runs; NULL if there is none. */
@@ -164,13 +169,13 @@
 choose_empty(struct disp *d, const struct disp_req *r)
 {
 	GPtrArray *empty = g_ptr_array_new();
-	struct pick_set set = disp_set_of(d);
-	struct pick_want want = {r->cls, r->avoid, r->work};
+	struct pick_set set = disp_pick_set(d);
+	struct pick_criteria want = {r->cls, r->avoid, r->service_time};
 	struct pick_backend *b = NULL;
 	guint i;
 	int at;
 
-	if (d->emptied != NULL && d->emptied->inflight == 0)
+	if (d->trial_reserved != NULL && d->trial_reserved->inflight == 0)
 		let_go(d);
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
@@ -191,17 +196,17 @@
 {
 	struct pick_backend *b;
 
-	if (count_trials(d) >= MAX(disp_usable(d) / TRIAL_SHARE, 1))
+	if (count_trials(d) >= MAX(disp_usable_backends(d) / TRIAL_SHARE, 1))
 		return false;
 	b = choose_empty(d, r);
 	if (b == NULL) {
 		empty_one(d);
 		return false;
 	}
-	disp_unhold(d, r);
-	b->alone = true;
-	r->trial = true;
-	disp_begin(d, r, b);
+	disp_dequeue(d, r);
+	b->reserved_for_trial = true;
+	r->in_trial = true;
+	disp_send(d, r, b);
 	return true;
 }
 
@@ -217,22 +222,22 @@
 {
 	struct str hall;
 
-	if (r->doubted != NULL)
+	if (r->maybe_crashed != NULL)
 		return WAITS;
 	if (is_proved(d, r)) {
-		disp_unhold(d, r);
+		disp_dequeue(d, r);
 		drop_proved(d, r);
 		return SERVED;
 	}
 	if (!is_suspect(d, r)) {
-		disp_unhold(d, r);
-		disp_hold(d, r);
+		disp_dequeue(d, r);
+		disp_enqueue(d, r);
 		return SERVED;
 	}
-	hall = r->may_pass ? trial_hall(d, r) : str_c(NULL);
+	hall = r->can_forward ? trial_hall(d, r) : str_c(NULL);
 	if (hall.n > 0) {
-		disp_unhold(d, r);
-		d->ops.pass(d->ops.ctx, r, hall);
+		disp_dequeue(d, r);
+		d->ops.forward(d->ops.ctx, r, hall);
 		return SERVED;
 	}
 	if (is_on_trial(d, r))
@@ -242,7 +247,7 @@
 
 /* Whatever is done may change the queue, so it is looked through anew. */
 void
-disp_trial_serve(struct disp *d)
+disp_trial_serve_queue(struct disp *d)
 {
 	const struct queue *q = &d->queues[QUEUE_TRIAL];
 	bool wanted = false;
@@ -265,8 +270,8 @@
 static int64_t
 trial_wait(const struct disp *d)
 {
-	unsigned places = MAX(disp_usable(d) / TRIAL_SHARE, 1);
-	double one = (double)d->mean_work * d->begin_pace;
+	unsigned places = MAX(disp_usable_backends(d) / TRIAL_SHARE, 1);
+	double one = (double)d->mean_service_time * d->start_latency_factor;
 
 	return (int64_t)((double)(d->queues[QUEUE_TRIAL].n + 1) * one / places);
 }
@@ -276,11 +281,11 @@
  * suspect waits for its trial, or is refused if that would come too late.
  */
 bool
-disp_trial_arrive(struct disp *d, struct disp_req *r)
+disp_trial_submit(struct disp *d, struct disp_req *r)
 {
 	int64_t now = clk_ns(d->clk), end;
 
-	r->doubted = NULL;
+	r->maybe_crashed = NULL;
 	if (d->params.poison == NULL)
 		return false;
 	if (is_proved(d, r)) {
@@ -289,45 +294,45 @@
 	}
 	if (!is_suspect(d, r))
 		return false;
-	r->work = disp_work_of(d, r->kind);
-	r->judged = true;
-	end = now + trial_wait(d) + r->work;
+	r->service_time = disp_work_estimate(d, r->kind);
+	r->wait_decided = true;
+	end = now + trial_wait(d) + r->service_time;
 	if (end > r->deadline) {
-		disp_drop(d, r, ERR_BUSY, COME_BACK_NS);
+		disp_fail(d, r, ERR_BUSY, RETRY_AFTER_MAX_NS);
 		return true;
 	}
-	disp_hold(d, r);
-	disp_serve(d);
+	disp_enqueue(d, r);
+	disp_serve_queues(d);
 	return true;
 }
 
 /* Some requests that are held have become suspects, or poison. */
 bool
-disp_trial_takes(struct disp *d, struct disp_req *r)
+disp_trial_intercept(struct disp *d, struct disp_req *r)
 {
 	if (d->params.poison == NULL)
 		return false;
 	if (is_proved(d, r)) {
-		disp_unhold(d, r);
+		disp_dequeue(d, r);
 		drop_proved(d, r);
 		return true;
 	}
 	if (!is_suspect(d, r))
 		return false;
-	disp_unhold(d, r);
-	disp_hold(d, r);
+	disp_dequeue(d, r);
+	disp_enqueue(d, r);
 	return true;
 }
 
 /* A try has ended: the backend server of a trial takes others again. */
 void
-disp_trial_done(struct disp *d, struct disp_req *r, struct pick_backend *b,
-    enum disp_outcome outcome)
+disp_trial_attempt_done(struct disp *d, struct disp_req *r,
+    struct pick_backend *b, enum disp_outcome outcome)
 {
 	if (d->params.poison != NULL && outcome == DISP_OK)
-		poison_served(d->params.poison, r->print);
-	disp_doubt_done(d, r, b, outcome);
-	if (r->trial)
-		b->alone = false;
-	r->trial = false;
+		poison_record_success(d->params.poison, r->fingerprint);
+	disp_crash_attempt_done(d, r, b, outcome);
+	if (r->in_trial)
+		b->reserved_for_trial = false;
+	r->in_trial = false;
 }
--- a/disp_word.c
+++ b/disp_word.c
@@ -25,19 +25,19 @@
 static double
 work_s(const struct disp *d)
 {
-	return (double)d->mean_work * d->begin_pace / NS_S;
+	return (double)d->mean_service_time * d->start_latency_factor / NS_S;
 }
 
 double
-disp_word_slots(const struct disp *d, const struct pick_backend *b)
+disp_report_slots(const struct disp *d, const struct pick_backend *b)
 {
 	int64_t now = clk_ns(d->clk);
 
-	if (now < b->rest_until)
+	if (now < b->pause_until)
 		return 0;
 	if (b->quota.rate == 0)
 		return disp_cold_slots(d, b, now);
-	return MIN(b->quota.rate * work_s(d), pick_slots(b));
+	return MIN(b->quota.rate * work_s(d), pick_slot_limit(b));
 }
 
 static bool
@@ -50,7 +50,7 @@
 static bool
 is_bound(const struct pick_backend *b, int64_t now)
 {
-	return is_limited(b, now) || now < b->rest_until;
+	return is_limited(b, now) || now < b->pause_until;
 }
 
 /* Are there some that may be used, and is each of them so? */
@@ -64,7 +64,7 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (!pick_usable(b, now))
+		if (!pick_is_usable(b, now))
 			continue;
 		if (!is(b, now))
 			return false;
@@ -78,15 +78,16 @@
 takes_by(const struct disp *d, const struct pick_backend *b, int64_t now,
     int64_t then)
 {
-	int64_t from = MAX(now, b->rest_until);
+	int64_t from = MAX(now, b->pause_until);
 
 	if (then < from)
 		return 0;
 	if (b->quota.rate > 0)
-		return quota_by(&b->quota, from, then);
+		return quota_available_by(&b->quota, from, then);
 	if (work_s(d) <= 0)
-		return pick_slots(b);
-	return pick_slots(b) * (1 + (double)(then - from) / NS_S / work_s(d));
+		return pick_slot_limit(b);
+	return pick_slot_limit(b) *
+	    (1 + (double)(then - from) / NS_S / work_s(d));
 }
 
 /* The same of all that may be used. */
@@ -99,14 +100,14 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (pick_usable(b, now))
+		if (pick_is_usable(b, now))
 			n += takes_by(d, b, now, then);
 	}
 	return n;
 }
 
 bool
-disp_word_wait(const struct disp *d, size_t ahead, int64_t *wait)
+disp_report_wait(const struct disp *d, size_t ahead, int64_t *wait)
 {
 	int64_t now = clk_ns(d->clk), least = 0, most = WAIT_MAX_NS, half;
 
@@ -128,13 +129,13 @@
  * deadline; after a rest it may still be served.
  */
 bool
-disp_word_refuses_late(const struct disp *d, const struct disp_req *r)
+disp_report_refuses_late(const struct disp *d, const struct disp_req *r)
 {
 	size_t ahead = d->queues[CLASS_INTERACTIVE].n + d->queues[QUEUE_LATE].n;
 	int64_t now = clk_ns(d->clk), wait;
 
-	if (!disp_word_wait(d, ahead, &wait))
+	if (!disp_report_wait(d, ahead, &wait))
 		return false;
 	return all_are(d, now, is_limited) ||
-	    now + wait + r->work > r->deadline;
+	    now + wait + r->service_time > r->deadline;
 }
--- a/disp_work.c
+++ b/disp_work.c
@@ -30,14 +30,15 @@
 /* A backend server's own factor stays within these. */
 static const double FACTOR_MIN = 0.5, FACTOR_MAX = 8;
 
-static struct disp_work *
+static struct disp_service_times *
 find(const struct disp *d, unsigned kind)
 {
-	struct disp_work *w;
+	struct disp_service_times *w;
 	guint i;
 
-	for (i = 0; i < d->works->len; i++) {
-		w = &g_array_index(d->works, struct disp_work, i);
+	for (i = 0; i < d->service_times->len; i++) {
+		w = &g_array_index(
+		    d->service_times, struct disp_service_times, i);
 		if (w->kind == kind)
 			return w;
 	}
@@ -46,29 +47,32 @@
 
 /* 0 where nothing is known of the kind. */
 int64_t
-disp_work_of(const struct disp *d, unsigned kind)
+disp_work_estimate(const struct disp *d, unsigned kind)
 {
-	const struct disp_work *w = find(d, kind);
+	const struct disp_service_times *w = find(d, kind);
 
-	return w == NULL ? 0 : (int64_t)conc_usual(&w->times);
+	return w == NULL ? 0 : (int64_t)conc_base_time(&w->times);
 }
 
 void
-disp_work_begin(struct disp *d, struct disp_req *r)
+disp_work_attempt_sent(struct disp *d, struct disp_req *r)
 {
-	r->work = disp_work_of(d, r->kind);
-	r->pace = pace_now(r->at, d->mean_pace, r->sent);
-	r->told = pace_is_fresh(r->at, r->sent);
-	d->begin_pace += (r->pace - d->begin_pace) / PACE_WEIGHT;
+	r->service_time = disp_work_estimate(d, r->kind);
+	r->latency_factor =
+	    pace_latency_factor(r->backend, d->mean_latency_factor, r->sent_at);
+	r->load_report_fresh = pace_report_is_fresh(r->backend, r->sent_at);
+	d->start_latency_factor +=
+	    (r->latency_factor - d->start_latency_factor) / PACE_WEIGHT;
 }
 
 void
-disp_work_told(struct disp *d, int pace)
+disp_work_load_reported(struct disp *d, int pace)
 {
 	double p = (double)pace / PERCENT;
 
 	if (pace > SLOW_PACE)
-		d->slow_pace += (p - d->slow_pace) / PACE_WEIGHT;
+		d->slow_latency_factor +=
+		    (p - d->slow_latency_factor) / PACE_WEIGHT;
 }
 
 /*
@@ -77,7 +81,7 @@
  * are asked again and again.
  */
 void
-disp_work_mean_pace(struct disp *d)
+disp_work_update_mean(struct disp *d)
 {
 	const struct pick_backend *b;
 	double sum = 0;
@@ -85,32 +89,35 @@
 
 	for (i = 0; i < d->backends->len; i++) {
 		b = g_ptr_array_index(d->backends, i);
-		if (b->told_at == 0)
+		if (b->reported_at == 0)
 			continue;
-		sum += (double)b->told_pace / PERCENT;
+		sum += (double)b->reported_latency_percent / PERCENT;
 		n++;
 	}
 	if (n > 0)
-		d->mean_pace += (sum / n - d->mean_pace) / MEAN_PACE_WEIGHT;
+		d->mean_latency_factor +=
+		    (sum / n - d->mean_latency_factor) / MEAN_PACE_WEIGHT;
 }
 
 static void
 learn_factor(struct pick_backend *b, double ratio)
 {
-	if (b->factor == 0)
-		b->factor = 1;
-	b->factor += (ratio - b->factor) / FACTOR_WEIGHT;
-	b->factor = CLAMP(b->factor, FACTOR_MIN, FACTOR_MAX);
+	if (b->service_time_ratio == 0)
+		b->service_time_ratio = 1;
+	b->service_time_ratio +=
+	    (ratio - b->service_time_ratio) / FACTOR_WEIGHT;
+	b->service_time_ratio =
+	    CLAMP(b->service_time_ratio, FACTOR_MIN, FACTOR_MAX);
 }
 
-static struct disp_work *
+static struct disp_service_times *
 find_or_add(struct disp *d, unsigned kind)
 {
-	struct disp_work add = {.kind = kind}, *w = find(d, kind);
+	struct disp_service_times add = {.kind = kind}, *w = find(d, kind);
 
 	if (w != NULL)
 		return w;
-	g_array_append_val(d->works, add);
+	g_array_append_val(d->service_times, add);
 	return find(d, kind);
 }
 
@@ -129,19 +136,21 @@
  * learned from each other, both would drift apart without end.
  */
 void
-disp_work_done(struct disp *d, const struct disp_req *r, struct pick_backend *b,
-    int64_t now)
+disp_work_learn(struct disp *d, const struct disp_req *r,
+    struct pick_backend *b, int64_t now)
 {
-	struct disp_work *w = find_or_add(d, r->kind);
-	double usual = conc_usual(&w->times),
-	       own = b->factor > 0 ? b->factor : 1;
-	double ns = (double)(now - r->sent) / (r->told ? r->pace : 1);
+	struct disp_service_times *w = find_or_add(d, r->kind);
+	double usual = conc_base_time(&w->times),
+	       own = b->service_time_ratio > 0 ? b->service_time_ratio : 1;
+	double ns = (double)(now - r->sent_at) /
+	    (r->load_report_fresh ? r->latency_factor : 1);
 
 	/* One that tells nothing is known by its answers alone. */
-	if (usual > 0 && (r->told || b->mute))
+	if (usual > 0 && (r->load_report_fresh || b->reports_no_load))
 		learn_factor(b, ns / (usual * r->slowdown));
-	if (usual > 0 && !r->told && ns > ODD * own * usual * r->slowdown)
+	if (usual > 0 && !r->load_report_fresh &&
+	    ns > ODD * own * usual * r->slowdown)
 		return;
-	conc_learn(&w->times, r->beside, b->slots, ns, now);
-	learn_mean(&d->mean_work, ns);
+	conc_add_sample(&w->times, r->concurrent, b->slots, ns, now);
+	learn_mean(&d->mean_service_time, ns);
 }
--- a/fernagent.c
+++ b/fernagent.c
@@ -37,8 +37,9 @@
 	struct agent *a = ctx;
 
 	agent_start(a);
-	agent_on_signals(a);
-	reload_open(&a->reload, a->loop, &a->tmr, a->file, on_reload, a);
+	agent_handle_signals(a);
+	reload_open(
+	    &a->reload, a->loop, &a->tmr, a->settings_file, on_reload, a);
 	uv_run(a->loop, UV_RUN_DEFAULT);
 }
 
--- a/fernbox.c
+++ b/fernbox.c
@@ -58,8 +58,8 @@
 
 	gate_start(&b->gate);
 	agent_start(&b->agent);
-	reload_open(&b->gate.reload, b->gate.loop, &b->gate.tmr, b->gate.file,
-	    on_reload, b);
+	reload_open(&b->gate.reload, b->gate.loop, &b->gate.tmr,
+	    b->gate.settings_file, on_reload, b);
 	uv_run(b->gate.loop, UV_RUN_DEFAULT);
 }
 
--- a/ferngate.c
+++ b/ferngate.c
@@ -37,7 +37,8 @@
 	struct gate *g = ctx;
 
 	gate_start(g);
-	reload_open(&g->reload, g->loop, &g->tmr, g->file, on_reload, g);
+	reload_open(
+	    &g->reload, g->loop, &g->tmr, g->settings_file, on_reload, g);
 	uv_run(g->loop, UV_RUN_DEFAULT);
 }
 
--- a/gate_admit.c
+++ b/gate_admit.c
@@ -63,11 +63,11 @@
 {
 	unsigned long long caller_ms;
 
-	if (str_u64(
-		hsrv_header(r->req, r->gate->dial->deadline.p), &caller_ms) &&
+	if (str_u64(hsrv_header(r->req, r->gate->dialect->deadline.p),
+		&caller_ms) &&
 	    (int64_t)caller_ms < limit_ms)
 		limit_ms = MAX((int64_t)caller_ms, DEADLINE_MIN_MS);
-	return r->began + limit_ms * NS_MS;
+	return r->arrived_at + limit_ms * NS_MS;
 }
 
 static int64_t
@@ -89,41 +89,42 @@
 admit_forwarded(struct gate_req *r)
 {
 	struct gate *g = r->gate;
-	struct gate_pass forward;
+	struct gate_forward forward;
 	const struct route_service *service;
 
-	if (!gate_pass_read(hsrv_header(r->req, GATE_PASS_HEADER), &forward)) {
-		gate_answer(r, ERR_BAD_REQUEST, RAN_NO, 0);
+	if (!gate_forward_read(
+		hsrv_header(r->req, GATE_FORWARD_HEADER), &forward)) {
+		gate_respond(r, ERR_BAD_REQUEST, RAN_NO, 0);
 		return;
 	}
 	service = route_service(g->routes, forward.service);
 	if (service == NULL) {
-		gate_answer(r, ERR_NO_SERVICE, RAN_NO, 0);
+		gate_respond(r, ERR_NO_SERVICE, RAN_NO, 0);
 		return;
 	}
 	r->hops = (int)MIN(forward.hops, HOPS_MAX);
 	r->service = str_dup(service->name);
-	r->hall = str_dup(forward.hall);
-	r->regions = r->d.regions = str_dup(forward.regions);
+	r->hall = str_dup(forward.target_hall);
+	r->regions = r->disp.allowed_regions = str_dup(forward.regions);
 	r->customer = str_dup(forward.customer);
-	r->d.cls = forward.bulk ? CLASS_BULK : CLASS_INTERACTIVE;
-	r->d.repeatable = forward.repeatable;
-	r->d.may_retry = true;
-	r->d.retried = forward.retried;
-	r->d.tries = (int)forward.tries;
-	r->d.paid = forward.paid;
-	r->left_ms = forward.left_ms;
+	r->disp.cls = forward.bulk ? CLASS_BULK : CLASS_INTERACTIVE;
+	r->disp.repeatable = forward.repeatable;
+	r->disp.can_retry = true;
+	r->disp.is_retry = forward.retried;
+	r->disp.attempt_count = (int)forward.tries;
+	r->disp.budget_charged = forward.within_retry_budget;
+	r->caller_deadline_ms = forward.caller_deadline_ms;
 	r->waited_ms = forward.waited_ms;
-	r->d.attempts = (int)forward.attempts;
-	r->d.rank = (int)forward.rank;
-	r->d.kind = forward.kind;
-	r->d.print = forward.print;
+	r->disp.max_attempts = (int)forward.max_attempts;
+	r->disp.rank = (int)forward.rank;
+	r->disp.kind = forward.kind;
+	r->disp.fingerprint = forward.fingerprint;
 	if (forward.suspect)
-		poison_accuse(g->poison, forward.print);
+		poison_mark_suspect(g->poison, forward.fingerprint);
 	r->maybe_ran = forward.retried;
 	if (forward.target_ms > 0)
-		r->d.target = r->began + forward.target_ms * NS_MS;
-	r->d.deadline = deadline_from_limit(r, service->obj->deadline_ms);
+		r->disp.target = r->arrived_at + forward.target_ms * NS_MS;
+	r->disp.deadline = deadline_from_limit(r, service->obj->deadline_ms);
 	gate_req_set_deadline(r);
 	gate_req_route(r);
 }
@@ -142,7 +143,7 @@
 		l = g_new0(struct limit, 1);
 		g_hash_table_insert(g->rule_limits, g_strdup(rule->name.p), l);
 	}
-	return !limit_take(l, (double)rule->obj->rate * share, r->began);
+	return !limit_allow(l, (double)rule->obj->rate * share, r->arrived_at);
 }
 
 /* Returns the address that a request comes from; it points into *sa. */
@@ -221,9 +222,9 @@
 	n = (size_t)snprintf(key, sizeof(key), "%.*s ", STR_ARG(rule->name));
 	caller.n = MIN(caller.n, sizeof(key) - n);
 	memcpy(key + n, caller.p, caller.n);
-	return !limit_table_take(r->gate->caller_limits,
+	return !limit_table_allow(r->gate->caller_limits,
 	    str_n(key, n + caller.n), (double)rule->obj->caller_rate * share,
-	    r->began);
+	    r->arrived_at);
 }
 
 /*
@@ -233,7 +234,7 @@
 static bool
 over_limit(struct gate_req *r, const struct route_rule *rule)
 {
-	double share = 1.0 / MAX(r->gate->boxes, 1u);
+	double share = 1.0 / MAX(r->gate->live_boxes, 1u);
 
 	return is_over_rule_rate(r, rule, share) ||
 	    is_over_caller_rate(r, rule, share);
@@ -249,7 +250,7 @@
 	if (kind == ERR_NONE)
 		gate_req_route(r);
 	else
-		gate_answer(
+		gate_respond(
 		    r, kind, kind == ERR_DUPLICATE ? RAN_UNKNOWN : RAN_NO, 0);
 }
 
@@ -267,24 +268,25 @@
     const struct customer **found)
 {
 	const struct customers *customers = route_customers(r->gate->routes);
-	const struct dial *dial = r->gate->dial;
+	const struct dialect *dialect = r->gate->dialect;
 
 	*found = NULL;
-	if (dial->key.n == 0 || customers_count(customers) == 0)
+	if (dialect->customer_key.n == 0 || customers_count(customers) == 0)
 		return true;
-	*found = customers_find(customers, hsrv_header(r->req, dial->key.p));
+	*found = customers_find(
+	    customers, hsrv_header(r->req, dialect->customer_key.p));
 	if (*found == NULL)
-		return rule->obj->open;
+		return rule->obj->is_public;
 	r->customer = str_dup((*found)->name);
 	return true;
 }
 
 void
-gate_admit_go(struct gate_req *r)
+gate_admit_continue(struct gate_req *r)
 {
 	struct str key = hsrv_header(r->req, "idempotency-key");
 
-	if (!r->keyed) {
+	if (!r->has_idempotency_key) {
 		gate_req_route(r);
 		return;
 	}
@@ -305,62 +307,65 @@
 	const struct customer *customer;
 	struct str key = hsrv_header(r->req, "idempotency-key");
 	struct str method = str_n(r->req->method.base, r->req->method.len);
-	const struct route_service *service = route_choose(rule, g->rnd);
+	const struct route_service *service =
+	    route_choose_service(rule, g->rnd);
 	unsigned long long caller_limit_ms = 0;
 
 	if (!identify_customer(r, rule, &customer)) {
 		cnt_add(g->cnt, GC_NO_KEY, 1);
-		gate_answer(r, ERR_NO_KEY, RAN_NO, 0);
+		gate_respond(r, ERR_NO_KEY, RAN_NO, 0);
 		return;
 	}
 	if (service == NULL) {
-		gate_answer(r, ERR_NO_SERVICE, RAN_NO, 0);
+		gate_respond(r, ERR_NO_SERVICE, RAN_NO, 0);
 		return;
 	}
 	(void)str_u64(
-	    hsrv_header(r->req, g->dial->deadline.p), &caller_limit_ms);
+	    hsrv_header(r->req, g->dialect->deadline.p), &caller_limit_ms);
 	r->rule = str_dup(rule->name);
-	r->d.print = fingerprint_of(r, rule);
+	r->disp.fingerprint = fingerprint_of(r, rule);
 	r->service = str_dup(service->name);
-	r->regions = r->d.regions = str_dup(rule->obj->regions);
-	r->keyed = key.n > 0;
+	r->regions = r->disp.allowed_regions = str_dup(rule->obj->regions);
+	r->has_idempotency_key = key.n > 0;
 	r->allow_outage = rule->obj->on_outage == OUTAGE_ALLOW;
-	r->d.cls = (enum obj_class)rule->obj->cls;
-	r->d.repeatable = route_repeatable(rule->obj, method, r->keyed);
-	r->d.may_retry = true;
-	r->d.retried = hsrv_header(r->req, "fern-retried").n > 0;
-	r->d.attempts = (int)rule->obj->attempts;
-	r->d.rank = (int)rule->obj->rank;
+	r->disp.cls = (enum obj_class)rule->obj->request_class;
+	r->disp.repeatable =
+	    route_is_repeatable(rule->obj, method, r->has_idempotency_key);
+	r->disp.can_retry = true;
+	r->disp.is_retry = hsrv_header(r->req, "fern-retried").n > 0;
+	r->disp.max_attempts = (int)rule->obj->attempts;
+	r->disp.rank = (int)rule->obj->rank;
 	if (customer != NULL)
-		r->d.rank += (int)customer->obj->rank * CUSTOMER_RANK_WEIGHT;
-	r->d.kind = (unsigned)rule->obj->target_ms;
-	r->left_ms = (int64_t)caller_limit_ms;
+		r->disp.rank += (int)customer->obj->rank * CUSTOMER_RANK_WEIGHT;
+	r->disp.kind = (unsigned)rule->obj->target_ms;
+	r->caller_deadline_ms = (int64_t)caller_limit_ms;
 	if (rule->obj->target_ms > 0)
-		r->d.target = r->began + rule->obj->target_ms * NS_MS;
-	r->d.deadline = deadline_of(r, rule, service);
+		r->disp.target = r->arrived_at + rule->obj->target_ms * NS_MS;
+	r->disp.deadline = deadline_of(r, rule, service);
 	gate_req_set_deadline(r);
 	if (over_limit(r, rule)) {
-		gate_answer(r, ERR_OVER_LIMIT, RAN_NO, 0);
+		gate_respond(r, ERR_OVER_LIMIT, RAN_NO, 0);
 		return;
 	}
 	if (customer != NULL && customer->obj->rate > 0)
-		gate_rate_ask(r);
+		gate_rate_query(r);
 	else
-		gate_admit_go(r);
+		gate_admit_continue(r);
 }
 
 static struct callers *
 callers_of_kind(struct gate_req *r)
 {
-	char *key = g_strdup_printf("%.*s/%u", STR_ARG(r->service), r->d.kind);
-	struct callers *c = g_hash_table_lookup(r->gate->callers_of, key);
+	char *key =
+	    g_strdup_printf("%.*s/%u", STR_ARG(r->service), r->disp.kind);
+	struct callers *c = g_hash_table_lookup(r->gate->callers_by_kind, key);
 
 	if (c != NULL) {
 		g_free(key);
 		return c;
 	}
 	c = g_new0(struct callers, 1);
-	g_hash_table_insert(r->gate->callers_of, key, c);
+	g_hash_table_insert(r->gate->callers_by_kind, key, c);
 	return c;
 }
 
@@ -377,13 +382,16 @@
 time_waited(struct gate_req *r)
 {
 	struct returns *returns = r->gate->returns;
-	int64_t first_sent = returns_take(returns, r->d.print, r->began);
-	int64_t mean_ms = returns_usual(returns, r->began) / NS_MS, waited = 0;
-
-	if (r->left_ms > 0)
-		waited = callers_waited(callers_of_kind(r), r->left_ms);
+	int64_t first_sent =
+	    returns_consume(returns, r->disp.fingerprint, r->arrived_at);
+	int64_t mean_ms = returns_mean_wait(returns, r->arrived_at) / NS_MS,
+		waited = 0;
+
+	if (r->caller_deadline_ms > 0)
+		waited = callers_elapsed_ms(
+		    callers_of_kind(r), r->caller_deadline_ms);
 	if (first_sent > 0)
-		return MAX((r->began - first_sent) / NS_MS, 1);
+		return MAX((r->arrived_at - first_sent) / NS_MS, 1);
 	return mean_ms > 0 ? MIN(waited, mean_ms) : waited;
 }
 
@@ -393,14 +401,14 @@
  * have determined the time already.
  */
 void
-gate_admit_waited(struct gate_req *r)
+gate_admit_set_waited(struct gate_req *r)
 {
 	if (r->waited_ms == 0) {
 		r->waited_ms = time_waited(r);
-		if (r->d.target > 0)
-			r->d.target -= r->waited_ms * NS_MS;
+		if (r->disp.target > 0)
+			r->disp.target -= r->waited_ms * NS_MS;
 	}
-	r->d.came_back = r->waited_ms > 0;
+	r->disp.previously_refused = r->waited_ms > 0;
 }
 
 /*
@@ -409,14 +417,14 @@
  * connection.
  */
 bool
-gate_admit_beside(void *ctx, const h2o_req_t *req)
+gate_admit_pipelined(void *ctx, const h2o_req_t *req)
 {
 	struct str method =
 	    str_n(req->input.method.base, req->input.method.len);
 	const struct route_rule *rule = match_rule(ctx, req);
 
 	return rule != NULL && hsrv_header(req, "idempotency-key").n == 0 &&
-	    route_repeatable(rule->obj, method, false);
+	    route_is_repeatable(rule->obj, method, false);
 }
 
 /* Admits a request by the routes that are in force now. */
@@ -425,14 +433,14 @@
 {
 	const struct route_rule *rule;
 
-	r->conf = route_version(r->gate->routes);
-	if (r->passed) {
+	r->conf_version = route_version(r->gate->routes);
+	if (r->forwarded) {
 		admit_forwarded(r);
 		return;
 	}
 	rule = match_rule(r->gate, r->req);
 	if (rule == NULL)
-		gate_answer(r, ERR_NO_RULE, RAN_NO, 0);
+		gate_respond(r, ERR_NO_RULE, RAN_NO, 0);
 	else
 		admit(r, rule);
 }
--- a/gate_answer.c
+++ b/gate_answer.c
@@ -38,7 +38,7 @@
 
 	if (after <= 0)
 		return;
-	if (r->gate->dial->fractions)
+	if (r->gate->dialect->fractional_retry_after)
 		snprintf(num, sizeof(num), "%.3f", (double)after / NS_S);
 	else
 		snprintf(num, sizeof(num), "%lld",
@@ -51,11 +51,11 @@
  * of error and whether the request ran.
  */
 void
-gate_answer(struct gate_req *r, enum err_kind kind, enum err_ran ran,
+gate_respond(struct gate_req *r, enum err_kind kind, enum err_ran ran,
     int64_t retry_after)
 {
 	const struct err_row *row = err_answer(kind);
-	const struct dial *dial = r->gate->dial;
+	const struct dialect *dialect = r->gate->dialect;
 	h2o_req_t *req = r->req;
 	int status = row->status;
 	char body[160];
@@ -64,15 +64,15 @@
 	if (r->state == REQ_DONE)
 		return;
 	gate_req_event(r, REQ_EV_END);
-	r->early = false;
+	r->waits_for_conf = false;
 	tmr_clear(&r->gate->tmr, &r->timer);
-	gate_rate_forget(r);
+	gate_rate_cancel(r);
 	if (ran == RAN_NO && r->shard != NULL)
-		returns_refused(r->gate->returns, r->d.print,
-		    r->began - r->waited_ms * NS_MS, clk_ns(r->gate->clk));
-	gate_req_settle(r, ran == RAN_NO);
+		returns_record_refusal(r->gate->returns, r->disp.fingerprint,
+		    r->arrived_at - r->waited_ms * NS_MS, clk_ns(r->gate->clk));
+	gate_req_settle_claim(r, ran == RAN_NO);
 	cnt_add(r->gate->cnt, GC_REFUSED, 1);
-	if (dial->status_promises)
+	if (dialect->status_means_not_run)
 		status = err_promise_status(kind, ran);
 	slog_decision(SLOG_ROUTE, "refused",
 	    "id=%.*s print=" FPRINT_FMT
@@ -80,13 +80,14 @@
 	    "retry_after_ms=%lld rule=%.*s service=%.*s customer=%.*s "
 	    "conf=%llu "
 	    "conf_age_ms=%lld conf_held_ms=%lld conf_from=%.*s",
-	    STR_ARG(r->name), FPRINT_ARG(r->d.print), row->name,
+	    STR_ARG(r->request_id), FPRINT_ARG(r->disp.fingerprint), row->name,
 	    err_ran_name(ran), status,
-	    (long long)((clk_ns(r->gate->clk) - r->began) / NS_MS), r->d.tries,
-	    (long long)(retry_after / NS_MS), STR_ARG(r->rule),
-	    STR_ARG(r->service), STR_ARG(r->customer),
-	    (unsigned long long)r->conf, (long long)sync_age_ms(&r->gate->sync),
-	    gate_conf_held_ms(r->gate), STR_ARG(r->gate->rules_from));
+	    (long long)((clk_ns(r->gate->clk) - r->arrived_at) / NS_MS),
+	    r->disp.attempt_count, (long long)(retry_after / NS_MS),
+	    STR_ARG(r->rule), STR_ARG(r->service), STR_ARG(r->customer),
+	    (unsigned long long)r->conf_version,
+	    (long long)sync_age_ms(&r->gate->sync),
+	    gate_conf_in_force_ms(r->gate), STR_ARG(r->gate->rules_source));
 	if (req == NULL)
 		return;
 	add_header(req, "fern-error", row->name);
@@ -96,5 +97,6 @@
 	n = snprintf(body, sizeof(body),
 	    "{\"error\":\"%s\",\"ran\":\"%s\",\"text\":\"%s\"}\n", row->name,
 	    err_ran_name(ran), row->sentence);
-	hsrv_answer(req, status, "application/json", str_n(body, (size_t)n));
+	hsrv_send_response(
+	    req, status, "application/json", str_n(body, (size_t)n));
 }
--- a/gate_box.c
+++ b/gate_box.c
@@ -80,12 +80,12 @@
 	case BOX_LEAVING:
 		slog(SLOG_GATE, "leaves", "requests=%u", gate_req_count(g));
 		g->leaving_since = clk_ns(g->clk);
-		hsrv_shutdown(g->callers);
+		hsrv_shutdown(g->caller_server);
 		break;
 	case BOX_CLOSING:
-		hsrv_stop(g->callers);
-		hsrv_stop(g->pass);
-		hsrv_shutdown(g->callers);
+		hsrv_stop_accepting(g->caller_server);
+		hsrv_stop_accepting(g->forward_server);
+		hsrv_shutdown(g->caller_server);
 		break;
 	case BOX_GONE:
 		slog(SLOG_GATE, "ends", "why=%s requests_cut=%u",
@@ -125,12 +125,12 @@
 static int64_t
 shutdown_limit(const struct gate *g)
 {
-	int64_t ms = g->set.leave_wait_ms + g->set.grace_ms;
+	int64_t ms = g->settings.leave_wait_ms + g->settings.grace_ms;
 
-	if (g->bounds.grace_ms > 0)
-		ms = MAX(g->bounds.grace_ms -
-			g->bounds.grace_ms / GRACE_RESERVE_DIVISOR,
-		    g->set.leave_wait_ms);
+	if (g->bounds.stop_grace_ms > 0)
+		ms = MAX(g->bounds.stop_grace_ms -
+			g->bounds.stop_grace_ms / GRACE_RESERVE_DIVISOR,
+		    g->settings.leave_wait_ms);
 	return ms * NS_MS;
 }
 
@@ -145,20 +145,20 @@
 	int64_t elapsed = now - g->leaving_since;
 	int64_t limit = shutdown_limit(g);
 
-	if (!gate_box_leaving(g) || elapsed < g->set.leave_wait_ms * NS_MS)
+	if (!gate_box_leaving(g) || elapsed < g->settings.leave_wait_ms * NS_MS)
 		return;
 	/*
 	 * Other gates may still forward requests; callers have had their time.
 	 */
-	hsrv_stop(g->callers);
-	hsrv_close_idle(g->callers, IDLE_LEAVING_MS);
+	hsrv_stop_accepting(g->caller_server);
+	hsrv_close_idle(g->caller_server, IDLE_LEAVING_MS);
 	if (elapsed > limit - FINAL_RESPONSE_NS)
 		gate_req_end_all(g);
 	if (elapsed > limit) {
 		step(g, BOX_EV_ENDED, "grace period expired");
 		return;
 	}
-	if (now - g->last_pass < PASS_QUIET_MS * NS_MS)
+	if (now - g->last_forwarded_in < PASS_QUIET_MS * NS_MS)
 		return;
 	step(g, BOX_EV_WAITED, "");
 	if (gate_req_count(g) == 0)
