--- a/gate_claim.c
+++ b/gate_claim.c
@@ -69,7 +69,7 @@
 	snprintf(c->name, sizeof(c->name), "%016llx%016llx",
 	    (unsigned long long)h.high64, (unsigned long long)h.low64);
 	snprintf(c->id, sizeof(c->id), "%.*s-%llu-%llu",
-	    (int)MIN(g->set.box.n, 32), g->set.box.p,
+	    (int)MIN(g->settings.box.n, 32), g->settings.box.p,
 	    (unsigned long long)g->boot, (unsigned long long)++g->seq);
 	c->gate = g;
 	c->allow_outage = allow_outage;
@@ -176,7 +176,7 @@
 			? ERR_NONE
 			: ERR_DUPLICATE);
 		break;
-	case PLAT_UNSURE:
+	case PLAT_UNKNOWN:
 		c->maybe_there = true;
 		c->phase = PHASE_READ;
 		create_or_read(c);
@@ -196,7 +196,7 @@
 	c->calls++;
 	if (result == PLAT_OK) {
 		finish(c, is_own_claim(c, body) ? ERR_NONE : ERR_DUPLICATE);
-	} else if (result == PLAT_NONE && c->calls < CALLS_MAX) {
+	} else if (result == PLAT_NOT_FOUND && c->calls < CALLS_MAX) {
 		c->phase = PHASE_CREATE;
 		create_or_read(c);
 	} else {
@@ -276,7 +276,7 @@
 		delete_claim(c);
 		return;
 	}
-	if (result == PLAT_DOWN || result == PLAT_UNSURE)
+	if (result == PLAT_UNAVAILABLE || result == PLAT_UNKNOWN)
 		retry_release(c);
 	else
 		claim_free(c);
--- a/gate_conf.c
+++ b/gate_conf.c
@@ -46,14 +46,14 @@
 	(void)err;
 	if (g->conf == NULL)
 		g->conf = conf_new(NULL, NULL);
-	conf_listen(g->conf, on_changed, g);
+	conf_add_listener(g->conf, on_changed, g);
 	g->sync.conf = g->conf;
 	g->sync.send = send_to;
 	g->sync.clk = g->clk;
 	g->sync.ctx = g;
 	g->routes = route_build(g->conf);
-	g->unrouted = g_ptr_array_new_with_free_func(change_free);
-	g->versions =
+	g->pending_changes = g_ptr_array_new_with_free_func(change_free);
+	g->rule_versions =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g->shards =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, shard_free);
@@ -109,14 +109,14 @@
 static void
 check_for_revert(struct gate *g, const struct conf_entry *e)
 {
-	uint64_t *last = g_hash_table_lookup(g->versions, e->key.p);
+	uint64_t *last = g_hash_table_lookup(g->rule_versions, e->key.p);
 
 	if (last == NULL) {
 		last = g_new0(uint64_t, 1);
-		g_hash_table_insert(g->versions, g_strdup(e->key.p), last);
+		g_hash_table_insert(g->rule_versions, g_strdup(e->key.p), last);
 	}
 	if (e->version < *last) {
-		cnt_add(g->cnt, GC_REVERTS, 1);
+		cnt_add(g->cnt, GC_VERSIONS_REVERTED, 1);
 		slog_warn(SLOG_CONF, "a version went back",
 		    "key=%.*s version=%llu before=%llu from=%.*s",
 		    STR_ARG(e->key), (unsigned long long)e->version,
@@ -132,8 +132,8 @@
 
 	if (e->kind != OBJ_BACKEND)
 		check_for_revert(g, e);
-	g_ptr_array_add(g->unrouted, change_new(e));
-	if (!g->rebuild.set)
+	g_ptr_array_add(g->pending_changes, change_new(e));
+	if (!g->rebuild.armed)
 		tmr_set(&g->tmr, &g->rebuild, clk_ns(g->clk) + REBUILD_DELAY_NS,
 		    on_rebuild, g);
 }
@@ -144,9 +144,9 @@
 {
 	const struct obj_listener *l = route_listener(g->routes);
 
-	if (l != NULL && g->callers != NULL)
-		hsrv_limits(g->callers,
-		    (size_t)MIN(l->body_max, g->set.body_max),
+	if (l != NULL && g->caller_server != NULL)
+		hsrv_set_limits(g->caller_server,
+		    (size_t)MIN(l->body_max, g->settings.body_max),
 		    (uint64_t)l->idle_ms);
 }
 
@@ -156,8 +156,8 @@
 static void
 set_rules_source(struct gate *g, struct str from)
 {
-	str_free(&g->rules_from);
-	g->rules_from = str_dup(from);
+	str_free(&g->rules_source);
+	g->rules_source = str_dup(from);
 	g->rules_since = clk_ns(g->clk);
 }
 
@@ -166,7 +166,7 @@
  * none.
  */
 long long
-gate_conf_held_ms(const struct gate *g)
+gate_conf_in_force_ms(const struct gate *g)
 {
 	if (g->rules_since == 0)
 		return -1;
@@ -183,15 +183,15 @@
 	const struct change *change;
 	guint i;
 
-	for (i = 0; i < g->unrouted->len; i++) {
-		change = g_ptr_array_index(g->unrouted, i);
+	for (i = 0; i < g->pending_changes->len; i++) {
+		change = g_ptr_array_index(g->pending_changes, i);
 		slog(SLOG_CONF,
 		    change->deleted ? "deletion is in force" : "in force", "%s",
 		    change->fields);
 		if (change->from.n > 0)
 			set_rules_source(g, change->from);
 	}
-	g_ptr_array_set_size(g->unrouted, 0);
+	g_ptr_array_set_size(g->pending_changes, 0);
 }
 
 static void
@@ -203,10 +203,10 @@
 	g->routes = route_build(g->conf);
 	g_hash_table_foreach_remove(g->shards, refresh_shard, g);
 	apply_listener(g);
-	gate_conf_homes(g);
+	gate_conf_update_owners(g);
 	log_in_force(g);
 	cnt_set(g->cnt, GC_OBJECTS, conf_count(g->conf));
-	cnt_set(g->cnt, GC_EVACUATED, route_evacuations(g->routes));
+	cnt_set(g->cnt, GC_EVACUATED, route_count_evacuations(g->routes));
 	gate_conf_report(g);
 }
 
@@ -214,7 +214,7 @@
 static void
 rebuild_now(struct gate *g)
 {
-	if (!g->rebuild.set)
+	if (!g->rebuild.armed)
 		return;
 	tmr_clear(&g->tmr, &g->rebuild);
 	on_rebuild(g);
@@ -236,9 +236,9 @@
 		shard_update(g, s, svc);
 		return FALSE;
 	}
-	disp_backends(s->disp, NULL, 0);
+	disp_set_backends(s->disp, NULL, 0);
 	return disp_inflight(s->disp) == 0 &&
-	    disp_room_of(s->disp).waiting == 0;
+	    disp_capacity_of(s->disp).queued == 0;
 }
 
 /*
@@ -248,14 +248,15 @@
 static void
 use_all_halls(struct gate_shard *s, const struct route_service *svc)
 {
-	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct disp_backend));
+	GArray *all =
+	    g_array_new(FALSE, FALSE, sizeof(struct disp_backend_conf));
 	unsigned i;
 
 	for (i = 0; i < svc->nhalls; i++)
 		g_array_append_vals(
 		    all, svc->halls[i].backends, svc->halls[i].n);
-	disp_backends(
-	    s->disp, (const struct disp_backend *)all->data, all->len);
+	disp_set_backends(
+	    s->disp, (const struct disp_backend_conf *)all->data, all->len);
 	g_array_free(all, TRUE);
 }
 
@@ -265,17 +266,17 @@
  * gives no limits, the limit is what the service sets, with a burst of one
  * second's worth.
  */
-static struct cold_bound
+static struct cold_limit
 cold_limit_of(const struct gate *g, const struct obj_service *svc)
 {
-	struct cold_bound bound = {.rate = svc->cold_rate,
+	struct cold_limit bound = {.rate = svc->cold_rate,
 	    .burst = svc->cold_rate,
-	    .lasts = svc->cold_ms * NS_MS};
+	    .duration = svc->cold_ms * NS_MS};
 
-	if (g->bounds.cold_over > 0)
-		bound.rate *= g->bounds.cold_over;
-	if (g->bounds.cold_slack > 0)
-		bound.burst = g->bounds.cold_slack * COLD_SLACK_SHARE;
+	if (g->bounds.cold_rate_factor > 0)
+		bound.rate *= g->bounds.cold_rate_factor;
+	if (g->bounds.cold_rate_slack > 0)
+		bound.burst = g->bounds.cold_rate_slack * COLD_SLACK_SHARE;
 	bound.burst = MAX(bound.burst, 1);
 	return bound;
 }
@@ -286,31 +287,31 @@
 {
 	const struct route_hall *hall = route_hall(svc, s->hall);
 	struct disp_params p = {
-	    .policy = pick_by_name(g->set.policy),
+	    .policy = pick_by_name(g->settings.policy),
 	    .chart = g->chart_backend,
-	    .queue_max = svc->obj->queue,
+	    .queue_max = svc->obj->queue_max,
 	    .bulk_percent = (int)svc->obj->bulk_percent,
 	    .retry_percent = svc->obj->retry_percent,
 	    .cold = cold_limit_of(g, svc->obj),
 	    .poison = g->poison,
-	    .words = g->words,
+	    .reports = g->reports,
 	    .hall = s->hall,
 	};
 	struct str other;
 	unsigned i;
 
 	gate_roll_update(g, s, svc);
-	p.roll = s->roll;
+	p.rollout = s->roll;
 	if (g->bounds.retry_slack > 0) {
 		p.retry_percent =
 		    (int64_t)(g->bounds.retry_ratio * RETRY_SHARE * 100);
-		p.retry_max = (double)g->bounds.retry_slack * RETRY_SHARE /
-		    MAX(svc->nhalls, 1u);
+		p.retry_budget_max = (double)g->bounds.retry_slack *
+		    RETRY_SHARE / MAX(svc->nhalls, 1u);
 	}
 	if (hall != NULL && svc->slots > 0)
 		p.rate = (double)svc->obj->rate * hall->slots / svc->slots;
 	else if (s->hall.n == 0)
-		p.rate = (double)svc->obj->rate / MAX(g->boxes, 1u);
+		p.rate = (double)svc->obj->rate / MAX(g->live_boxes, 1u);
 	disp_configure(s->disp, &p);
 	if (s->hall.n == 0) {
 		use_all_halls(s, svc);
@@ -320,12 +321,12 @@
 		other = svc->halls[i].hall;
 		if (str_eq(other, s->hall))
 			continue;
-		disp_hall(s->disp, other, svc->halls[i].slots);
-		disp_hall_region(s->disp, other,
-		    region_of(g->set.regions, other),
-		    region_is_near(g->set.regions, s->hall, other));
+		disp_set_hall_slots(s->disp, other, svc->halls[i].slots);
+		disp_set_hall_region(s->disp, other,
+		    region_of(g->settings.regions, other),
+		    region_is_same(g->settings.regions, s->hall, other));
 	}
-	disp_backends(s->disp, hall == NULL ? NULL : hall->backends,
+	disp_set_backends(s->disp, hall == NULL ? NULL : hall->backends,
 	    hall == NULL ? 0 : hall->n);
 }
 
@@ -388,9 +389,9 @@
 	bool self;
 
 	for (i = 0; i < svc->nhalls; i++) {
-		gate_home(g, svc->name, svc->halls[i].hall, &self);
+		gate_owner(g, svc->name, svc->halls[i].hall, &self);
 		if (self)
-			gate_conf_shard(g, svc, svc->halls[i].hall)->home =
+			gate_conf_shard(g, svc, svc->halls[i].hall)->is_owner =
 			    true;
 	}
 }
@@ -399,17 +400,17 @@
  * Boxes or services have changed: determines anew which shards this gate owns.
  */
 void
-gate_conf_homes(struct gate *g)
+gate_conf_update_owners(struct gate *g)
 {
 	GHashTableIter it;
 	gpointer value;
 
-	gate_home_deal(g);
+	gate_owner_assign(g);
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		((struct gate_shard *)value)->home = false;
+		((struct gate_shard *)value)->is_owner = false;
 	route_each(g->routes, open_owned_shards, g);
-	gate_rate_homes(g);
+	gate_rate_update_owned(g);
 }
 
 /*
@@ -419,7 +420,7 @@
 void
 gate_conf_report(struct gate *g)
 {
-	gate_conf_doubt(g, str_c(NULL));
+	gate_conf_report_suspect(g, str_c(NULL));
 }
 
 /*
@@ -427,24 +428,24 @@
  * name for none.
  */
 void
-gate_conf_doubt(struct gate *g, struct str box)
+gate_conf_report_suspect(struct gate *g, struct str box)
 {
-	struct msg m = {.kind = MSG_GATE};
-
-	m.u.gate.box = g->set.box;
-	m.u.gate.boot = g->boot;
-	m.u.gate.holds = sync_holds(&g->sync);
-	m.u.gate.objects = conf_count(g->conf);
-	m.u.gate.leaving = gate_box_leaving(g);
-	m.u.gate.ready = g->state != BOX_EMPTY;
-	m.u.gate.doubted = box;
-	wire_send(g->wire, g->set.agent, &m);
+	struct msg m = {.kind = MSG_GATE_STATUS};
+
+	m.u.gate_status.box = g->settings.box;
+	m.u.gate_status.started_ms = g->boot;
+	m.u.gate_status.conf_summary = sync_conf_summary(&g->sync);
+	m.u.gate_status.object_count = conf_count(g->conf);
+	m.u.gate_status.leaving = gate_box_leaving(g);
+	m.u.gate_status.ready = g->state != BOX_EMPTY;
+	m.u.gate_status.suspect_box = box;
+	wire_send(g->wire, g->settings.agent, &m);
 }
 
 static void
 apply_health(struct gate *g, const struct msg_health *health)
 {
-	const struct msg_state_of *st = health->states.items;
+	const struct msg_backend_health *st = health->states.items;
 	struct gate_shard *s;
 	GHashTableIter it;
 	gpointer value;
@@ -454,71 +455,73 @@
 		g_hash_table_iter_init(&it, g->shards);
 		while (g_hash_table_iter_next(&it, NULL, &value)) {
 			s = value;
-			disp_health(s->disp, st[i].backend,
-			    st[i].state == STATE_DOWN,
-			    st[i].state == STATE_DRAINING);
+			disp_probe_result(s->disp, st[i].backend,
+			    st[i].state == HEALTH_DOWN,
+			    st[i].state == HEALTH_DRAINING);
 		}
 	}
 }
 
 /* Handles a message from the agent or from another gate. */
 void
-gate_conf_take(void *ctx, const struct msg *m)
+gate_conf_on_message(void *ctx, const struct msg *m)
 {
 	struct gate *g = ctx;
 
 	switch (m->kind) {
-	case MSG_HELLO:
-		g->sync.partial = m->u.hello.holds.partial;
-		sync_hear(&g->sync, &m->u.hello.holds);
-		sync_compare(&g->sync, m->from, &m->u.hello.holds);
-		if (sync_equal(&g->sync, &m->u.hello.holds) &&
-		    m->u.hello.self.ready) {
+	case MSG_ANNOUNCEMENT:
+		g->sync.rules_only = m->u.announcement.conf_summary.rules_only;
+		sync_confirm_from_peer(
+		    &g->sync, &m->u.announcement.conf_summary);
+		sync_compare(
+		    &g->sync, m->from, &m->u.announcement.conf_summary);
+		if (sync_is_equal(&g->sync, &m->u.announcement.conf_summary) &&
+		    m->u.announcement.self.ready) {
 			rebuild_now(g);
 			/* Without a rule each request would get a 404. */
-			if (!g->form->waits_for_rules ||
-			    route_rules(g->routes) > 0)
+			if (!g->form->requires_rules ||
+			    route_count_rules(g->routes) > 0)
 				gate_box_configured(g);
 		}
 		gate_conf_report(g);
 		break;
 	case MSG_MEMBERS:
-		gate_home_members(g, &m->u.members);
-		gate_conf_homes(g);
+		gate_owner_set_members(g, &m->u.members);
+		gate_conf_update_owners(g);
 		break;
 	case MSG_HEALTH:
 		apply_health(g, &m->u.health);
 		break;
-	case MSG_SUMMARY:
-		gate_home_heard(g, m->from);
-		gate_home_summary(g, &m->u.summary);
+	case MSG_CAPACITY:
+		gate_owner_mark_alive(g, m->from);
+		gate_owner_on_summary(g, &m->u.capacity);
 		break;
 	case MSG_SUSPECTS:
-		gate_home_heard(g, m->from);
-		gate_poison_take(g, &m->u.suspects);
+		gate_owner_mark_alive(g, m->from);
+		gate_poison_merge(g, &m->u.suspects);
 		break;
-	case MSG_WORDS:
-		gate_home_heard(g, m->from);
-		gate_words_take(g, &m->u.words);
+	case MSG_REPORTS:
+		gate_owner_mark_alive(g, m->from);
+		gate_reports_merge(g, &m->u.reports);
 		break;
-	case MSG_ROLL:
-		gate_home_heard(g, m->from);
-		gate_roll_take(g, &m->u.roll);
+	case MSG_ROLLOUT:
+		gate_owner_mark_alive(g, m->from);
+		gate_roll_merge(g, &m->u.rollout);
 		break;
-	case MSG_ASK:
-		gate_rate_answer(g, m->from, &m->u.ask);
+	case MSG_RATE_QUERY:
+		gate_rate_answer(g, m->from, &m->u.rate_query);
 		break;
-	case MSG_GRANT:
-		gate_home_heard(g, m->from);
-		gate_rate_granted(g, &m->u.grant);
+	case MSG_RATE_GRANT:
+		gate_owner_mark_alive(g, m->from);
+		gate_rate_granted(g, &m->u.rate_grant);
 		break;
 	case MSG_PING:
 	case MSG_PONG:
-		gate_home_heard(g, m->from);
-		gate_home_ping(g, m);
+		gate_owner_mark_alive(g, m->from);
+		gate_owner_on_ping(g, m);
 		break;
 	default:
-		sync_take(&g->sync, m);
+		sync_on_message(&g->sync, m);
 		break;
 	}
 }
--- a/gate_early.c
+++ b/gate_early.c
@@ -23,8 +23,8 @@
 {
 	struct gate_req *r = ctx;
 
-	r->early = false;
-	gate_answer(r, ERR_NOT_READY, RAN_NO, EARLY_RETRY_AFTER_NS);
+	r->waits_for_conf = false;
+	gate_respond(r, ERR_NOT_READY, RAN_NO, EARLY_RETRY_AFTER_NS);
 }
 
 void
@@ -32,13 +32,13 @@
 {
 	struct gate *g = r->gate;
 
-	if (g->set.early_ms == 0) {
-		gate_answer(r, ERR_NOT_READY, RAN_NO, 0);
+	if (g->settings.early_ms == 0) {
+		gate_respond(r, ERR_NOT_READY, RAN_NO, 0);
 		return;
 	}
-	r->early = true;
-	tmr_set(&g->tmr, &r->timer, r->began + g->set.early_ms * NS_MS,
-	    on_wait_timeout, r);
+	r->waits_for_conf = true;
+	tmr_set(&g->tmr, &r->timer,
+	    r->arrived_at + g->settings.early_ms * NS_MS, on_wait_timeout, r);
 }
 
 /* Admits the queued requests once the first configuration is in force. */
@@ -52,12 +52,12 @@
 
 	for (link = g->reqs.head; link != NULL; link = link->next) {
 		r = link->data;
-		if (r->early)
+		if (r->waits_for_conf)
 			g_ptr_array_add(early, r);
 	}
 	for (i = 0; i < early->len; i++) {
 		r = g_ptr_array_index(early, i);
-		r->early = false;
+		r->waits_for_conf = false;
 		gate_admit(r);
 	}
 	g_ptr_array_free(early, TRUE);
--- a/gate_flow.c
+++ b/gate_flow.c
@@ -54,28 +54,29 @@
  * gate itself.
  */
 static bool
-is_hop_by_hop_header(const h2o_iovec_t *name, const struct dial *dial)
+is_hop_by_hop_header(const h2o_iovec_t *name, const struct dialect *dialect)
 {
 	static const char *const names[] = {"connection", "keep-alive", "te",
 	    "trailer", "transfer-encoding", "upgrade", "content-length", "host",
 	    "proxy-connection", "http2-settings", "date", "server", "expect",
-	    "fern-retried", GATE_PASS_HEADER};
+	    "fern-retried", GATE_FORWARD_HEADER};
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(names); i++)
 		if (names_match(name, str_c(names[i])))
 			return true;
-	return names_match(name, dial->deadline) ||
-	    (dial->instance.n > 0 && names_match(name, dial->instance)) ||
-	    (dial->key.n > 0 && names_match(name, dial->key)) ||
-	    (dial->customer.n > 0 && names_match(name, dial->customer));
+	return names_match(name, dialect->deadline) ||
+	    (dialect->instance.n > 0 && names_match(name, dialect->instance)) ||
+	    (dialect->customer_key.n > 0 &&
+		names_match(name, dialect->customer_key)) ||
+	    (dialect->customer.n > 0 && names_match(name, dialect->customer));
 }
 
 /* Headers that the gate adds, with the buffers that they point to. */
 struct added_headers {
 	h2o_iovec_t names[ADDED_HEADERS_MAX];
 	char deadline[24];
-	char forward[GATE_PASS_MAX];
+	char forward[GATE_FORWARD_MAX];
 };
 
 static h2o_header_t
@@ -90,31 +91,32 @@
 static struct str
 forward_text(const struct gate_req *r, struct added_headers *added, int64_t now)
 {
-	struct gate_pass forward = {
+	struct gate_forward forward = {
 	    .hops = (unsigned)r->hops + 1,
-	    .bulk = r->d.cls == CLASS_BULK,
-	    .repeatable = r->d.repeatable,
-	    .retried = r->maybe_ran || r->d.retried,
-	    .paid = r->d.paid,
-	    .left_ms = r->left_ms,
+	    .bulk = r->disp.cls == CLASS_BULK,
+	    .repeatable = r->disp.repeatable,
+	    .retried = r->maybe_ran || r->disp.is_retry,
+	    .within_retry_budget = r->disp.budget_charged,
+	    .caller_deadline_ms = r->caller_deadline_ms,
 	    .waited_ms = r->waited_ms,
-	    .tries = (unsigned)r->d.tries,
-	    .attempts = (unsigned)r->d.attempts,
-	    .rank = (unsigned)r->d.rank,
-	    .kind = r->d.kind,
-	    .print = r->d.print,
-	    .suspect =
-		poison_look(r->gate->poison, r->d.print) == POISON_SUSPECT,
-	    .hall = r->hall,
+	    .tries = (unsigned)r->disp.attempt_count,
+	    .max_attempts = (unsigned)r->disp.max_attempts,
+	    .rank = (unsigned)r->disp.rank,
+	    .kind = r->disp.kind,
+	    .fingerprint = r->disp.fingerprint,
+	    .suspect = poison_status_of(r->gate->poison, r->disp.fingerprint) ==
+		POISON_SUSPECT,
+	    .target_hall = r->hall,
 	    .regions = r->regions,
 	    .customer = r->customer,
 	    .service = r->service,
 	};
 
-	if (r->d.target != 0)
-		forward.target_ms = MAX((r->d.target - now) / NS_MS, 1);
+	if (r->disp.target != 0)
+		forward.target_ms = MAX((r->disp.target - now) / NS_MS, 1);
 	return str_n(added->forward,
-	    gate_pass_write(&forward, added->forward, sizeof(added->forward)));
+	    gate_forward_write(
+		&forward, added->forward, sizeof(added->forward)));
 }
 
 /*
@@ -126,39 +128,42 @@
 request_headers(
     struct gate_req *r, h2o_header_t *out, struct added_headers *added)
 {
-	const struct dial *dial = r->gate->dial;
+	const struct dialect *dialect = r->gate->dialect;
 	const h2o_headers_t *in = &r->req->headers;
 	int64_t now = clk_ns(r->gate->clk);
-	int64_t left_ms = (r->d.deadline - now) / NS_MS;
+	int64_t left_ms = (r->disp.deadline - now) / NS_MS;
 	struct str forward;
 	size_t i, n = 0;
 
 	for (i = 0; i < in->size && n < HEADERS_MAX - ADDED_HEADERS_MAX; i++)
-		if (!is_hop_by_hop_header(in->entries[i].name, dial))
+		if (!is_hop_by_hop_header(in->entries[i].name, dialect))
 			out[n++] = in->entries[i];
-	if (r->peer != NULL)
+	if (r->owner != NULL)
 		left_ms -= FORWARD_MARGIN_MS;
 	snprintf(added->deadline, sizeof(added->deadline), "%lld",
 	    (long long)MAX(left_ms, 1));
-	out[n] = added_header(added, 0, dial->deadline, str_c(added->deadline));
+	out[n] =
+	    added_header(added, 0, dialect->deadline, str_c(added->deadline));
 	n++;
-	if (r->peer != NULL) {
+	if (r->owner != NULL) {
 		forward = forward_text(r, added, now);
-		out[n] =
-		    added_header(added, 1, STR_LIT(GATE_PASS_HEADER), forward);
+		out[n] = added_header(
+		    added, 1, STR_LIT(GATE_FORWARD_HEADER), forward);
 		n++;
 		return n;
 	}
-	if (dial->retried.n > 0 && (r->maybe_ran || r->d.retried)) {
-		out[n] = added_header(added, 2, dial->retried, STR_LIT("yes"));
+	if (dialect->retried.n > 0 && (r->maybe_ran || r->disp.is_retry)) {
+		out[n] =
+		    added_header(added, 2, dialect->retried, STR_LIT("yes"));
 		n++;
 	}
-	if (dial->instance.n > 0 && r->d.at != NULL) {
-		out[n] = added_header(added, 3, dial->instance, r->d.at->name);
+	if (dialect->instance.n > 0 && r->disp.backend != NULL) {
+		out[n] = added_header(
+		    added, 3, dialect->instance, r->disp.backend->name);
 		n++;
 	}
-	if (dial->customer.n > 0 && r->customer.n > 0) {
-		out[n] = added_header(added, 4, dial->customer, r->customer);
+	if (dialect->customer.n > 0 && r->customer.n > 0) {
+		out[n] = added_header(added, 4, dialect->customer, r->customer);
 		n++;
 	}
 	return n;
@@ -177,7 +182,7 @@
 	    .host = str_n(req->authority.base, req->authority.len),
 	    .headers = headers,
 	    .body = str_n(req->entity.base, req->entity.len),
-	    .fresh = fresh,
+	    .new_connection = fresh,
 	};
 
 	up_req.nheaders = request_headers(r, headers, &added);
@@ -199,8 +204,8 @@
 gate_flow_dispose(struct gate_req *r)
 {
 	gate_flow_stop(r);
-	h2o_doublebuffer_dispose(&r->sending);
-	h2o_buffer_dispose(&r->rest);
+	h2o_doublebuffer_dispose(&r->send_buffer);
+	h2o_buffer_dispose(&r->unsent_body);
 }
 
 static void
@@ -246,7 +251,7 @@
 			name.base, name.len, H2O_STRLIT("content-length")) &&
 		    str_u64(str_n(value.base, value.len), &len))
 			req->res.content_length = (size_t)len;
-		if (is_hop_by_hop_header(&name, r->gate->dial))
+		if (is_hop_by_hop_header(&name, r->gate->dialect))
 			continue;
 		name = h2o_strdup(&req->pool, name.base, name.len);
 		value = h2o_strdup(&req->pool, value.base, value.len);
@@ -264,15 +269,15 @@
 is_own_response(
     const struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
-	const struct dial *dial = r->gate->dial;
+	const struct dialect *dialect = r->gate->dialect;
 	struct str id;
 
-	if (dial->id.n == 0 || r->name.n == 0)
+	if (dialect->request_id.n == 0 || r->request_id.n == 0)
 		return true;
-	id = dial_header(headers, n, dial->id);
+	id = dial_find_header(headers, n, dialect->request_id);
 	if (id.n == 0)
 		return status >= 300;
-	return str_eq(id, r->name);
+	return str_eq(id, r->request_id);
 }
 
 static void
@@ -283,7 +288,7 @@
 	h2o_req_t *req = r->req;
 	struct gate *g = r->gate;
 
-	if (r->peer == NULL && !is_own_response(r, status, headers, n)) {
+	if (r->owner == NULL && !is_own_response(r, status, headers, n)) {
 		gate_flow_stop(r);
 		on_fail(r, NULL, ERR_CUT);
 		return;
@@ -300,7 +305,7 @@
 	r->call = call;
 	gate_req_event(r, REQ_EV_HEAD);
 	restart_silence_timer(r);
-	cnt_sample(g->cnt, GC_LATENCY, clk_ns(g->clk) - r->began);
+	cnt_sample(g->cnt, GC_LATENCY, clk_ns(g->clk) - r->arrived_at);
 	req->res.status = status;
 	req->res.reason = status < 400 ? "OK" : "Error";
 	copy_response_headers(r, headers, n);
@@ -308,8 +313,8 @@
 		req->http1_is_persistent = 0;
 	r->gen.proceed = gate_flow_proceed;
 	r->gen.stop = on_stop;
-	r->started = true;
-	r->d.may_retry = false;
+	r->response_started = true;
+	r->disp.can_retry = false;
 	h2o_start_response(req, &r->gen);
 }
 
@@ -317,7 +322,7 @@
 static bool
 meets_target(const struct gate_req *r)
 {
-	return r->d.target == 0 || clk_ns(r->gate->clk) <= r->d.target;
+	return r->disp.target == 0 || clk_ns(r->gate->clk) <= r->disp.target;
 }
 
 /*
@@ -327,31 +332,36 @@
 static void
 send_more(struct gate_req *r)
 {
-	h2o_buffer_t **src = r->call == NULL ? &r->rest : up_body(r->call);
+	h2o_buffer_t **src =
+	    r->call == NULL ? &r->unsent_body : up_body(r->call);
 	h2o_send_state_t state = H2O_SEND_STATE_IN_PROGRESS;
 	h2o_iovec_t vec;
 
-	if (r->req == NULL || r->final || r->sending.bytes_inflight > 0)
+	if (r->req == NULL || r->final_sent ||
+	    r->send_buffer.bytes_inflight > 0)
 		return;
 	vec = h2o_doublebuffer_prepare(
-	    &r->sending, src, r->req->preferred_chunk_size);
-	if (r->ended && r->sending.buf->size == r->sending.bytes_inflight &&
+	    &r->send_buffer, src, r->req->preferred_chunk_size);
+	if (r->body_ended &&
+	    r->send_buffer.buf->size == r->send_buffer.bytes_inflight &&
 	    (*src)->size == 0) {
-		state = r->cut ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
-		r->final = true;
+		state =
+		    r->body_cut ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
+		r->final_sent = true;
 		gate_req_event(r, REQ_EV_END);
-		gate_req_settle(r, r->refused && !r->cut);
-		cnt_add(r->gate->cnt, r->cut ? GC_CUT : GC_ANSWERED, 1);
+		gate_req_settle_claim(r, r->response_not_run && !r->body_cut);
+		cnt_add(r->gate->cnt,
+		    r->body_cut ? GC_RESPONSES_CUT : GC_RESPONSES_COMPLETE, 1);
 		slog_decision(SLOG_ROUTE, "answered",
 		    "id=%.*s service=%.*s status=%d whole=%d in_time=%d "
 		    "ms=%lld tries=%d",
-		    STR_ARG(r->name), STR_ARG(r->service), r->req->res.status,
-		    !r->cut, meets_target(r),
-		    (long long)((clk_ns(r->gate->clk) - r->began) / NS_MS),
-		    r->d.tries);
+		    STR_ARG(r->request_id), STR_ARG(r->service),
+		    r->req->res.status, !r->body_cut, meets_target(r),
+		    (long long)((clk_ns(r->gate->clk) - r->arrived_at) / NS_MS),
+		    r->disp.attempt_count);
 		tmr_clear(&r->gate->tmr, &r->timer);
 	}
-	if (vec.len > 0 || r->final)
+	if (vec.len > 0 || r->final_sent)
 		h2o_send(r->req, &vec, vec.len > 0, state);
 }
 
@@ -362,8 +372,8 @@
 	    (struct gate_req *)((char *)gen - offsetof(struct gate_req, gen));
 
 	(void)req;
-	if (r->sending.bytes_inflight > 0)
-		h2o_doublebuffer_consume(&r->sending);
+	if (r->send_buffer.bytes_inflight > 0)
+		h2o_doublebuffer_consume(&r->send_buffer);
 	if (r->call != NULL &&
 	    (*up_body(r->call))->size < BODY_BUFFER_MAX / 2) {
 		up_resume(r->call);
@@ -380,7 +390,7 @@
 	    (struct gate_req *)((char *)gen - offsetof(struct gate_req, gen));
 
 	(void)req;
-	gate_try_abandon(r, DISP_GONE);
+	gate_try_abandon(r, DISP_CANCELED);
 }
 
 static void
@@ -399,12 +409,12 @@
 static void
 detach_body(struct gate_req *r, struct up_call *call)
 {
-	h2o_buffer_t **body = up_body(call), *spare = r->rest;
+	h2o_buffer_t **body = up_body(call), *spare = r->unsent_body;
 
-	r->rest = *body;
+	r->unsent_body = *body;
 	*body = spare;
 	r->call = NULL;
-	r->ended = true;
+	r->body_ended = true;
 }
 
 static void
@@ -423,16 +433,16 @@
 	struct gate_req *r = ctx;
 
 	r->call = NULL;
-	if (!r->started) {
+	if (!r->response_started) {
 		gate_try_failed(r, kind);
 		return;
 	}
 	if (call != NULL)
 		detach_body(r, call);
-	r->ended = true;
-	r->cut = true;
+	r->body_ended = true;
+	r->body_cut = true;
 	slog_decision(SLOG_GATE, "answer was cut", "id=%.*s why=%s",
-	    STR_ARG(r->name), err_answer(kind)->name);
+	    STR_ARG(r->request_id), err_answer(kind)->name);
 	gate_try_failed(r, kind);
 	send_more(r);
 }
--- a/gate_home.c
+++ b/gate_home.c
@@ -70,7 +70,7 @@
 	if (tier == TIER_ANY)
 		return true;
 	if (tier == TIER_REGION)
-		return region_is_near(g->set.regions, box_hall, hall);
+		return region_is_same(g->settings.regions, box_hall, hall);
 	return str_eq(box_hall, hall);
 }
 
@@ -78,17 +78,17 @@
 is_in_tier(const struct gate *g, const struct memb_info *info, struct str hall,
     enum tier tier)
 {
-	if (info->leaving || info->pass.n == 0 ||
+	if (info->leaving || info->forward_address.n == 0 ||
 	    !is_in_range(g, info->hall, hall, tier))
 		return false;
-	return tier == TIER_STARTING ? g->set.early_ms > 0 : info->ready;
+	return tier == TIER_STARTING ? g->settings.early_ms > 0 : info->ready;
 }
 
 static bool
 self_is_in_tier(const struct gate *g, struct str hall, enum tier tier)
 {
-	return g->hub && !gate_box_leaving(g) &&
-	    is_in_range(g, g->set.hall, hall, tier);
+	return g->is_hub && !gate_box_leaving(g) &&
+	    is_in_range(g, g->settings.hall, hall, tier);
 }
 
 /*
@@ -99,7 +99,7 @@
 gates_in_tier(struct gate *g, struct str hall, enum tier tier)
 {
 	GArray *gates = g_array_new(FALSE, TRUE, sizeof(struct home_gate));
-	struct home_gate gate = {.box = g->set.box};
+	struct home_gate gate = {.box = g->settings.box};
 	struct gate_peer *p;
 	guint i;
 
@@ -165,13 +165,13 @@
 	guint i;
 
 	route_each(g->routes, add_service, services);
-	home_deal(hall, (struct home_service *)services->data, services->len,
+	home_assign(hall, (struct home_service *)services->data, services->len,
 	    (struct home_gate *)gates->data, gates->len);
 	for (i = 0; i < services->len; i++) {
 		s = &g_array_index(services, struct home_service, i);
 		owner = g_new0(struct shard_owner, 1);
 		owner->peer = s->gate == NULL ? NULL : s->gate->data;
-		g_hash_table_insert(g->homes, shard_key(s->name, hall), owner);
+		g_hash_table_insert(g->owners, shard_key(s->name, hall), owner);
 	}
 	g_array_free(gates, TRUE);
 	g_array_free(services, TRUE);
@@ -194,7 +194,7 @@
 
 /* Gates or services have changed: assigns the owners of all shards anew. */
 void
-gate_home_deal(struct gate *g)
+gate_owner_assign(struct gate *g)
 {
 	GHashTable *halls =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -203,8 +203,8 @@
 	gpointer key;
 	guint i;
 
-	g_hash_table_remove_all(g->homes);
-	add_hall(halls, g->set.hall);
+	g_hash_table_remove_all(g->owners);
+	add_hall(halls, g->settings.hall);
 	for (i = 0; i < g->peers->len; i++) {
 		p = g_ptr_array_index(g->peers, i);
 		add_hall(halls, p->info.hall);
@@ -250,11 +250,11 @@
  * owner acts as the owner.
  */
 struct gate_peer *
-gate_home(struct gate *g, struct str service, struct str hall, bool *self)
+gate_owner(struct gate *g, struct str service, struct str hall, bool *self)
 {
 	int64_t now = clk_ns(g->clk);
 	char *key = shard_key(service, hall);
-	const struct shard_owner *owner = g_hash_table_lookup(g->homes, key);
+	const struct shard_owner *owner = g_hash_table_lookup(g->owners, key);
 	struct gate_peer *p = owner == NULL ? NULL : owner->peer;
 	bool usable = p == NULL ? owner != NULL && !gate_box_leaving(g)
 				: now >= p->suspect_until;
@@ -273,13 +273,15 @@
  * goes from here to the hall itself.
  */
 struct gate_peer *
-gate_home_for(struct gate *g, struct str service, struct str hall,
+gate_owner_in_regions(struct gate *g, struct str service, struct str hall,
     struct str regions, bool *self)
 {
-	struct gate_peer *p = gate_home(g, service, hall, self);
+	struct gate_peer *p = gate_owner(g, service, hall, self);
 
-	if (p == NULL || region_is_near(g->set.regions, p->info.hall, hall) ||
-	    region_allows(regions, region_of(g->set.regions, p->info.hall)))
+	if (p == NULL ||
+	    region_is_same(g->settings.regions, p->info.hall, hall) ||
+	    region_allows(
+		regions, region_of(g->settings.regions, p->info.hall)))
 		return p;
 	*self = true;
 	return NULL;
@@ -299,9 +301,9 @@
 }
 
 struct gate_peer *
-gate_home_by_name(struct gate *g, struct str name, unsigned nth, bool *self)
+gate_owner_by_name(struct gate *g, struct str name, unsigned nth, bool *self)
 {
-	GArray *gates = gates_in_tier(g, g->set.hall, TIER_ANY);
+	GArray *gates = gates_in_tier(g, g->settings.hall, TIER_ANY);
 	GArray *order = g_array_new(FALSE, FALSE, sizeof(struct ranked));
 	int64_t now = clk_ns(g->clk);
 	const struct home_gate *gate;
@@ -330,9 +332,9 @@
  * Returns a hash of the gates that may be owners, independent of their order.
  */
 uint64_t
-gate_home_hubs(struct gate *g)
+gate_owner_hash_hubs(struct gate *g)
 {
-	GArray *gates = gates_in_tier(g, g->set.hall, TIER_ANY);
+	GArray *gates = gates_in_tier(g, g->settings.hall, TIER_ANY);
 	const struct home_gate *gate;
 	const struct gate_peer *p;
 	uint64_t sum = 0;
@@ -342,7 +344,7 @@
 		gate = &g_array_index(gates, struct home_gate, i);
 		p = gate->data;
 		sum += home_weight(gate->box, str_c(""), gate->box) *
-		    (p == NULL ? 1 : p->info.boot | 1);
+		    (p == NULL ? 1 : p->info.started_ms | 1);
 	}
 	g_array_free(gates, TRUE);
 	return sum;
@@ -356,7 +358,7 @@
 update_member(struct gate *g, const struct memb_info *info)
 {
 	struct gate_peer *p = find_peer(g, info->box);
-	bool started = p == NULL || p->info.boot != info->boot;
+	bool started = p == NULL || p->info.started_ms != info->started_ms;
 
 	if (p == NULL) {
 		p = g_new0(struct gate_peer, 1);
@@ -395,12 +397,12 @@
 static void
 send_state_to(struct gate *g, const struct gate_peer *p)
 {
-	gate_poison_greet(g, p);
-	gate_words_greet(g, p);
+	gate_poison_send_to(g, p);
+	gate_reports_send_to(g, p);
 }
 
 void
-gate_home_members(struct gate *g, const struct msg_members *msg)
+gate_owner_set_members(struct gate *g, const struct msg_members *msg)
 {
 	const struct memb_info *v = msg->members.items;
 	struct gate_peer *p;
@@ -411,32 +413,33 @@
 		p = g_ptr_array_index(g->peers, i);
 		p->listed = false;
 	}
-	g->hub = msg->hub;
-	g->boxes = (unsigned)MAX(msg->fleet, 1);
+	g->is_hub = msg->is_hub;
+	g->live_boxes = (unsigned)MAX(msg->serving_gates, 1);
 	for (j = 0; j < msg->members.n; j++)
-		if (!str_eq(v[j].box, g->set.box) && update_member(g, &v[j]))
+		if (!str_eq(v[j].box, g->settings.box) &&
+		    update_member(g, &v[j]))
 			send_state_to(g, find_peer(g, v[j].box));
 	remove_unlisted(g);
 }
 
 void
-gate_home_suspect(struct gate *g, struct gate_peer *p, const char *why)
+gate_owner_suspect(struct gate *g, struct gate_peer *p, const char *why)
 {
 	int64_t now = clk_ns(g->clk);
 
-	p->pinged = 0;
+	p->ping_sent = 0;
 	if (now < p->suspect_until)
 		return;
 	p->suspect_until = now + rnd_jitter(g->rnd, SUSPECT_NS);
-	cnt_add(g->cnt, GC_SUSPECTS, 1);
+	cnt_add(g->cnt, GC_OWNERS_SUSPECTED, 1);
 	slog(SLOG_ROUTE, "a home is left", "box=%.*s why=%s outstanding=%u",
 	    STR_ARG(p->info.box), slog_quote(why), p->outstanding);
-	gate_conf_doubt(g, p->info.box);
-	gate_req_home_lost(g, p);
+	gate_conf_report_suspect(g, p->info.box);
+	gate_req_owner_lost(g, p);
 }
 
 void
-gate_home_heard(struct gate *g, struct str inbox)
+gate_owner_mark_alive(struct gate *g, struct str inbox)
 {
 	struct gate_peer *p;
 	guint i;
@@ -445,13 +448,13 @@
 		p = g_ptr_array_index(g->peers, i);
 		if (!str_eq(p->info.gate_inbox, inbox))
 			continue;
-		p->heard = clk_ns(g->clk);
-		p->pinged = 0;
+		p->last_seen = clk_ns(g->clk);
+		p->ping_sent = 0;
 	}
 }
 
 void
-gate_home_ping(struct gate *g, const struct msg *m)
+gate_owner_on_ping(struct gate *g, const struct msg *m)
 {
 	struct msg pong = {.kind = MSG_PONG};
 
@@ -466,7 +469,7 @@
  * may include this gate.
  */
 void
-gate_home_tell(struct gate *g, const struct gate_shard *s,
+gate_owner_send_others(struct gate *g, const struct gate_shard *s,
     const struct route_service *svc, struct msg *m)
 {
 	struct gate_peer *p;
@@ -476,9 +479,9 @@
 	for (i = 0; i < svc->nhalls; i++) {
 		if (str_eq(svc->halls[i].hall, s->hall))
 			continue;
-		p = gate_home(g, s->service, svc->halls[i].hall, &self);
+		p = gate_owner(g, s->service, svc->halls[i].hall, &self);
 		if (self)
-			gate_conf_take(g, m);
+			gate_conf_on_message(g, m);
 		else
 			wire_send(g->wire, p->info.gate_inbox, m);
 	}
@@ -492,32 +495,33 @@
 send_capacity(struct gate *g, struct gate_shard *s, int64_t now)
 {
 	const struct route_service *svc = route_service(g->routes, s->service);
-	struct msg m = {.kind = MSG_SUMMARY};
-	struct disp_room capacity;
+	struct msg m = {.kind = MSG_CAPACITY};
+	struct disp_capacity capacity;
 
-	if (svc == NULL || svc->nhalls < 2 || !s->home ||
-	    now - s->told_at < g->set.summary_ms * NS_MS)
+	if (svc == NULL || svc->nhalls < 2 || !s->is_owner ||
+	    now - s->capacity_sent_at < g->settings.summary_ms * NS_MS)
 		return;
-	capacity = disp_room_of(s->disp);
-	if (memcmp(&capacity, &s->told, sizeof(capacity)) == 0 &&
-	    now - s->told_at < CAPACITY_RESEND_NS)
+	capacity = disp_capacity_of(s->disp);
+	if (memcmp(&capacity, &s->sent_capacity, sizeof(capacity)) == 0 &&
+	    now - s->capacity_sent_at < CAPACITY_RESEND_NS)
 		return;
-	s->told = capacity;
-	s->told_at = now;
-	m.u.summary.service = s->service;
-	m.u.summary.hall = s->hall;
-	m.u.summary.slot_tenths =
+	s->sent_capacity = capacity;
+	s->capacity_sent_at = now;
+	m.u.capacity.service = s->service;
+	m.u.capacity.hall = s->hall;
+	m.u.capacity.slot_tenths =
 	    (uint64_t)lround(capacity.slots * SLOT_TENTHS);
-	m.u.summary.free = (uint64_t)capacity.free;
-	m.u.summary.waiting = (uint64_t)capacity.waiting;
-	gate_home_tell(g, s, svc, &m);
+	m.u.capacity.free_slots = (uint64_t)capacity.free_slots;
+	m.u.capacity.queued = (uint64_t)capacity.queued;
+	gate_owner_send_others(g, s, svc, &m);
 }
 
 void
-gate_home_summary(struct gate *g, const struct msg_summary *summary)
+gate_owner_on_summary(struct gate *g, const struct msg_capacity *summary)
 {
-	struct disp_room capacity = {(double)summary->slot_tenths / SLOT_TENTHS,
-	    (int)summary->free, (int)summary->waiting};
+	struct disp_capacity capacity = {
+	    (double)summary->slot_tenths / SLOT_TENTHS,
+	    (int)summary->free_slots, (int)summary->queued};
 	struct gate_shard *s;
 	GHashTableIter it;
 	gpointer value;
@@ -527,7 +531,8 @@
 		s = value;
 		if (str_eq(s->service, summary->service) &&
 		    !str_eq(s->hall, summary->hall))
-			disp_remote(s->disp, summary->hall, &capacity);
+			disp_set_hall_capacity(
+			    s->disp, summary->hall, &capacity);
 	}
 }
 
@@ -537,22 +542,24 @@
 	struct msg m = {.kind = MSG_PING};
 
 	if (p->outstanding == 0 || now < p->suspect_until) {
-		p->pinged = 0;
+		p->ping_sent = 0;
 		return;
 	}
-	if (p->pinged != 0 && now - p->pinged > g->set.ping_wait_ms * NS_MS) {
-		gate_home_suspect(g, p, "it does not answer");
+	if (p->ping_sent != 0 &&
+	    now - p->ping_sent > g->settings.ping_wait_ms * NS_MS) {
+		gate_owner_suspect(g, p, "it does not answer");
 		return;
 	}
-	if (p->pinged != 0 || now - p->heard < g->set.silent_ms * NS_MS)
+	if (p->ping_sent != 0 ||
+	    now - p->last_seen < g->settings.silent_ms * NS_MS)
 		return;
-	p->pinged = now;
+	p->ping_sent = now;
 	m.u.ping.nonce = (uint64_t)now;
 	wire_send(g->wire, p->info.gate_inbox, &m);
 }
 
 void
-gate_home_tick(struct gate *g, int64_t now)
+gate_owner_tick(struct gate *g, int64_t now)
 {
 	GHashTableIter it;
 	gpointer value;
--- a/gate_open.c
+++ b/gate_open.c
@@ -32,7 +32,7 @@
 static void on_tick(void *);
 static bool open_charts(struct gate *, GError **);
 
-#define F(member) offsetof(struct gate_set, member)
+#define F(member) offsetof(struct gate_settings, member)
 
 static const char *const route_names[] = {"home", "alone", NULL};
 
@@ -121,7 +121,7 @@
     {.name = "bounds", .type = FIELD_STR, .offset = F(bounds), .text_dflt = ""},
     {.name = "platform_form",
 	.type = FIELD_NAME,
-	.offset = F(form),
+	.offset = F(platform_form),
 	.text_dflt = "fern"},
     {.name = "summary_ms",
 	.type = FIELD_INT,
@@ -135,7 +135,7 @@
 open_chart(struct gate *g, const struct chart_names *names, GError **err)
 {
 	char *path =
-	    g_strdup_printf("%s/%s.toml", g->set.charts.p, names->name);
+	    g_strdup_printf("%s/%s.toml", g->settings.charts.p, names->name);
 	struct chart *chart = chart_load(path, names, err);
 
 	g_free(path);
@@ -165,48 +165,48 @@
 void
 gate_reload(struct gate *g)
 {
-	struct gate_set set = {0};
+	struct gate_settings set = {0};
 	GError *err = NULL;
 
-	if (!set_load(g->file, g->section, fields, G_N_ELEMENTS(fields), &set,
-		&err)) {
+	if (!set_load(g->settings_file, g->settings_section, fields,
+		G_N_ELEMENTS(fields), &set, &err)) {
 		slog(SLOG_GATE, "settings are kept, the new ones are not valid",
 		    "why=%s", slog_quote(err->message));
 		g_error_free(err);
 		return;
 	}
-	g->set.leave_wait_ms = set.leave_wait_ms;
-	g->set.grace_ms = set.grace_ms;
-	g->set.summary_ms = set.summary_ms;
-	g->set.silent_ms = set.silent_ms;
-	g->set.ping_wait_ms = set.ping_wait_ms;
-	if (g->form->bounds != NULL)
-		g->form->bounds(set.bounds, &g->bounds);
+	g->settings.leave_wait_ms = set.leave_wait_ms;
+	g->settings.grace_ms = set.grace_ms;
+	g->settings.summary_ms = set.summary_ms;
+	g->settings.silent_ms = set.silent_ms;
+	g->settings.ping_wait_ms = set.ping_wait_ms;
+	if (g->form->parse_bounds != NULL)
+		g->form->parse_bounds(set.bounds, &g->bounds);
 	field_free(fields, G_N_ELEMENTS(fields), &set);
-	slog(SLOG_GATE, "settings are read anew", "file=%s", g->file);
+	slog(SLOG_GATE, "settings are read anew", "file=%s", g->settings_file);
 }
 
 bool
 gate_load(struct gate *g, const char *file, const char *section, GError **err)
 {
-	g->file = g_strdup(file);
-	g->section = section;
+	g->settings_file = g_strdup(file);
+	g->settings_section = section;
 	if (!set_load(
-		file, section, fields, G_N_ELEMENTS(fields), &g->set, err))
+		file, section, fields, G_N_ELEMENTS(fields), &g->settings, err))
 		return false;
-	if (pick_by_name(g->set.policy) == NULL)
+	if (pick_by_name(g->settings.policy) == NULL)
 		return err_set(err, ERR_SETTINGS,
 		    "%s: policy: found \"%s\"; allowed is fern, pace or naive",
-		    file, g->set.policy.p);
-	g->form = plat_form_by_name(g->set.form);
+		    file, g->settings.policy.p);
+	g->form = plat_adapter_by_name(g->settings.platform_form);
 	if (g->form == NULL)
 		return err_set(err, ERR_SETTINGS,
 		    "%s: platform_form: found \"%s\"; allowed is fern or "
 		    "objects",
-		    file, g->set.form.p);
-	g->dial = g->form->dial;
-	if (g->form->bounds != NULL)
-		g->form->bounds(g->set.bounds, &g->bounds);
+		    file, g->settings.platform_form.p);
+	g->dialect = g->form->dialect;
+	if (g->form->parse_bounds != NULL)
+		g->form->parse_bounds(g->settings.bounds, &g->bounds);
 	slog(SLOG_GATE, "bounds", "retry_ratio=%.2f retry_slack=%lld",
 	    g->bounds.retry_ratio, (long long)g->bounds.retry_slack);
 	return open_charts(g, err);
@@ -216,23 +216,24 @@
 static bool
 open_listeners(struct gate *g, GError **err)
 {
-	size_t body = (size_t)g->set.body_max;
+	size_t body = (size_t)g->settings.body_max;
 
-	g->wire = wire_open(g->loop, g->set.inbox, gate_conf_take, g, err);
+	g->wire =
+	    wire_open(g->loop, g->settings.inbox, gate_conf_on_message, g, err);
 	if (g->wire == NULL)
 		return err_at(err, "inbox");
-	g->callers =
-	    hsrv_open(g->loop, g->set.listen, body, gate_req_caller, g, err);
-	if (g->callers == NULL)
+	g->caller_server = hsrv_open(
+	    g->loop, g->settings.listen, body, gate_req_from_caller, g, err);
+	if (g->caller_server == NULL)
 		return err_at(err, "listen");
-	hsrv_side_by_side(g->callers, gate_admit_beside);
-	g->pass = hsrv_open(
-	    g->loop, g->set.pass_listen, body, gate_req_passed, g, err);
-	if (g->pass == NULL)
+	hsrv_allow_concurrent(g->caller_server, gate_admit_pipelined);
+	g->forward_server = hsrv_open(
+	    g->loop, g->settings.pass_listen, body, gate_req_from_gate, g, err);
+	if (g->forward_server == NULL)
 		return err_at(err, "pass_listen");
-	g->admin = hsrv_open(g->loop, g->set.admin_listen, ADMIN_BODY_MAX,
-	    gate_stat_page, g, err);
-	return g->admin != NULL || err_at(err, "admin_listen");
+	g->admin_server = hsrv_open(g->loop, g->settings.admin_listen,
+	    ADMIN_BODY_MAX, gate_stat_page, g, err);
+	return g->admin_server != NULL || err_at(err, "admin_listen");
 }
 
 bool
@@ -240,19 +241,19 @@
 {
 	g->loop = uv_default_loop();
 	g->boot = (uint64_t)clk_wall_ms(g->clk);
-	g->boxes = 1;
+	g->live_boxes = 1;
 	tmr_open(&g->tmr, g->loop, g->clk);
 	g->up = up_open(g->loop, &g->tmr, g->clk);
 	g->plat = plat_http_open(
-	    g->up, &g->tmr, g->clk, g->set.platform, g->form->codec);
+	    g->up, &g->tmr, g->clk, g->settings.platform, g->form->codec);
 	g->cnt = gate_stat_open();
 	g->peers = g_ptr_array_new();
-	g->homes =
+	g->owners =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	/* Until the agent sends a member list, this gate owns all shards. */
-	g->hub = true;
+	g->is_hub = true;
 	gate_poison_open(g);
-	g->words = words_new();
+	g->reports = reports_new();
 	gate_rate_open(g);
 	return gate_conf_open(g, err) && gate_req_open(g, err) &&
 	    open_listeners(g, err);
@@ -268,8 +269,8 @@
 	slog(SLOG_GATE, "was paused", "gap_ms=%lld", (long long)(gap / NS_MS));
 	for (i = 0; i < g->peers->len; i++) {
 		p = g_ptr_array_index(g->peers, i);
-		p->heard = now;
-		p->pinged = 0;
+		p->last_seen = now;
+		p->ping_sent = 0;
 	}
 }
 
@@ -290,7 +291,7 @@
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		s = value;
-		if (disp_room_of(s->disp).waiting > 0)
+		if (disp_capacity_of(s->disp).queued > 0)
 			return TICK_QUEUED_NS;
 	}
 	return TICK_BUSY_NS;
@@ -313,12 +314,12 @@
 		s = value;
 		disp_tick(s->disp);
 	}
-	gate_home_tick(g, now);
+	gate_owner_tick(g, now);
 	gate_poison_tick(g, now);
-	gate_words_tick(g, now);
+	gate_reports_tick(g, now);
 	gate_roll_tick(g, now);
-	if (now - g->reported >= REPORT_NS) {
-		g->reported = now;
+	if (now - g->last_report >= REPORT_NS) {
+		g->last_report = now;
 		gate_conf_report(g);
 	}
 	gate_box_tick(g, now);
@@ -332,7 +333,7 @@
 {
 	int64_t at = clk_ns(g->clk) + TICK_QUEUED_NS;
 
-	if (g->tick.set && g->tick.item.deadline > at)
+	if (g->tick.armed && g->tick.item.deadline > at)
 		tmr_set(&g->tmr, &g->tick, at, on_tick, g);
 }
 
@@ -342,7 +343,7 @@
 	tmr_set(&g->tmr, &g->tick, clk_ns(g->clk), on_tick, g);
 	gate_box_open(g);
 	slog(SLOG_GATE, "started", "box=%s hall=%s listen=%s policy=%s form=%s",
-	    g->set.box.p, g->set.hall.p, g->set.listen.p, g->set.policy.p,
-	    g->form->name);
+	    g->settings.box.p, g->settings.hall.p, g->settings.listen.p,
+	    g->settings.policy.p, g->form->name);
 	gate_conf_report(g);
 }
--- a/gate_pass.c
+++ b/gate_pass.c
@@ -43,9 +43,9 @@
  * customer and the service.
  */
 bool
-gate_pass_read(struct str text, struct gate_pass *out)
+gate_forward_read(struct str text, struct gate_forward *out)
 {
-	char copy[GATE_PASS_MAX];
+	char copy[GATE_FORWARD_MAX];
 	unsigned bulk, repeatable, retried, paid, suspect;
 	unsigned long long hi, lo, caller;
 	long long target, left, waited;
@@ -58,21 +58,21 @@
 	n = sscanf(copy,
 	    "%u %u %u %u %u %u %u %u %u %lld %lld %lld %llx %llx %llx %u %n",
 	    &out->hops, &bulk, &repeatable, &retried, &paid, &out->tries,
-	    &out->attempts, &out->rank, &out->kind, &target, &left, &waited,
+	    &out->max_attempts, &out->rank, &out->kind, &target, &left, &waited,
 	    &hi, &lo, &caller, &suspect, &at);
 	if (n != NUMBERS || at == 0)
 		return false;
 	out->bulk = bulk != 0;
 	out->repeatable = repeatable != 0;
 	out->retried = retried != 0;
-	out->paid = paid != 0;
+	out->within_retry_budget = paid != 0;
 	out->suspect = suspect != 0;
 	out->target_ms = target;
-	out->left_ms = left;
+	out->caller_deadline_ms = left;
 	out->waited_ms = waited;
-	out->print = (struct fprint){hi, lo, caller};
+	out->fingerprint = (struct fprint){hi, lo, caller};
 	out->service = str_n(text.p + at, text.n - (size_t)at);
-	if (!next_field(&out->service, &out->hall) ||
+	if (!next_field(&out->service, &out->target_hall) ||
 	    !next_field(&out->service, &out->regions) ||
 	    !next_field(&out->service, &out->customer) ||
 	    out->customer.n == 0 || out->customer.p[0] != CUSTOMER_PREFIX)
@@ -80,11 +80,11 @@
 	out->customer = str_n(out->customer.p + 1, out->customer.n - 1);
 	if (str_eq(out->regions, str_c(ANY_REGION)))
 		out->regions = str_c(NULL);
-	return out->hall.n > 0 && out->service.n > 0;
+	return out->target_hall.n > 0 && out->service.n > 0;
 }
 
 size_t
-gate_pass_write(const struct gate_pass *forward, char *out, size_t size)
+gate_forward_write(const struct gate_forward *forward, char *out, size_t size)
 {
 	struct str regions =
 	    forward->regions.n > 0 ? forward->regions : str_c(ANY_REGION);
@@ -92,13 +92,14 @@
 	    "%u %u %u %u %u %u %u %u %u %lld %lld %lld %llx %llx %llx %u "
 	    "%.*s %.*s %c%.*s %.*s",
 	    forward->hops, forward->bulk, forward->repeatable, forward->retried,
-	    forward->paid, forward->tries, forward->attempts, forward->rank,
-	    forward->kind, (long long)forward->target_ms,
-	    (long long)forward->left_ms, (long long)forward->waited_ms,
-	    (unsigned long long)forward->print.hi,
-	    (unsigned long long)forward->print.lo,
-	    (unsigned long long)forward->print.caller, forward->suspect,
-	    STR_ARG(forward->hall), STR_ARG(regions), CUSTOMER_PREFIX,
+	    forward->within_retry_budget, forward->tries, forward->max_attempts,
+	    forward->rank, forward->kind, (long long)forward->target_ms,
+	    (long long)forward->caller_deadline_ms,
+	    (long long)forward->waited_ms,
+	    (unsigned long long)forward->fingerprint.hi,
+	    (unsigned long long)forward->fingerprint.lo,
+	    (unsigned long long)forward->fingerprint.caller, forward->suspect,
+	    STR_ARG(forward->target_hall), STR_ARG(regions), CUSTOMER_PREFIX,
 	    STR_ARG(forward->customer), STR_ARG(forward->service));
 
 	return MIN((size_t)n, size - 1);
--- a/gate_peek.c
+++ b/gate_peek.c
@@ -28,7 +28,7 @@
 	int64_t born_ms; /* start time of the process that is queried */
 	struct up_call *call;
 	struct tmr_item timer;
-	struct dial_word word; /* load.pace 0: no load is reported */
+	struct dial_report word; /* load.pace 0: no load is reported */
 };
 
 static void on_connected(void *, struct up_call *);
@@ -47,7 +47,7 @@
  * having been noticed.
  */
 void
-gate_peek_start(struct gate_shard *s, const struct pick_backend *b)
+gate_load_query_start(struct gate_shard *s, const struct pick_backend *b)
 {
 	struct gate *g = s->gate;
 	const struct route_service *svc = route_service(g->routes, s->service);
@@ -56,16 +56,16 @@
 	    .method = STR_LIT("GET"),
 	    .path = svc == NULL ? STR_LIT("/health") : svc->obj->probe_path,
 	    .host = b->address,
-	    .fresh = b->doubts != NULL,
-	    .connect_ns = TIMEOUT_NS};
+	    .new_connection = b->crash_suspects != NULL,
+	    .connect_timeout_ns = TIMEOUT_NS};
 
 	q->gate = g;
 	q->service = str_dup(s->service);
 	q->hall = str_dup(s->hall);
 	q->backend = str_dup(b->name);
 	q->address = str_dup(b->address);
-	q->born_ms = b->born_ms;
-	cnt_add(g->cnt, GC_PEEKS, 1);
+	q->born_ms = b->started_ms;
+	cnt_add(g->cnt, GC_LOAD_QUERIES, 1);
 	tmr_set(&g->tmr, &q->timer, clk_ns(g->clk) + TIMEOUT_NS, on_timeout, q);
 	q->call = up_start(g->up, &request, &load_query_ops, q);
 }
@@ -77,11 +77,11 @@
 static void
 apply_report(const struct load_query *q, struct gate_shard *s)
 {
-	struct pick_backend *b = disp_find(s->disp, q->backend);
+	struct pick_backend *b = disp_find_backend(s->disp, q->backend);
 
-	if (b != NULL && b->born_ms == q->born_ms &&
+	if (b != NULL && b->started_ms == q->born_ms &&
 	    str_eq(b->address, q->address))
-		gate_word_peeked(s, b, &q->word);
+		gate_report_from_query(s, b, &q->word);
 }
 
 /* Ends the query.  The shard and the backend server may be gone by now. */
@@ -93,12 +93,13 @@
 
 	tmr_clear(&g->tmr, &q->timer);
 	if (!answered)
-		cnt_add(g->cnt, GC_PEEKS_LOST, 1);
+		cnt_add(g->cnt, GC_LOAD_QUERIES_LOST, 1);
 	if (s != NULL && answered)
 		apply_report(q, s);
 	if (s != NULL)
-		disp_peeked(s->disp, q->backend, answered, q->word.load.running,
-		    q->word.load.waiting, q->word.load.pace);
+		disp_load_query_done(s->disp, q->backend, answered,
+		    q->word.load.running, q->word.load.waiting,
+		    q->word.load.latency_percent);
 	str_free(&q->service);
 	str_free(&q->hall);
 	str_free(&q->backend);
@@ -115,7 +116,7 @@
 
 	(void)call;
 	if (s != NULL)
-		disp_reached(s->disp, q->backend);
+		disp_load_query_connected(s->disp, q->backend);
 }
 
 static void
@@ -125,9 +126,9 @@
 	struct load_query *q = ctx;
 
 	(void)call;
-	q->gate->dial->word(status, headers, n, &q->word);
-	if (!q->word.tells_load)
-		q->word.load.pace = 0;
+	q->gate->dialect->parse_report(status, headers, n, &q->word);
+	if (!q->word.has_load)
+		q->word.load.latency_percent = 0;
 }
 
 static void
--- a/gate_poison.c
+++ b/gate_poison.c
@@ -20,8 +20,8 @@
  * periodically, as a list to one hub at random: with n hubs each of them
  * receives it within a second or two, so restarted hubs do too.
  *
- * A list has at most POISON_WORDS records, 2 KB, so a hub sends 4 KB a second
- * at worst, and nothing while no request is suspected.
+ * A list has at most POISON_MSG_RECORDS_MAX records, 2 KB, so a hub sends 4 KB
+ * a second at worst, and nothing while no request is suspected.
  */
 #define LIST_INTERVAL_NS (500 * NS_MS)
 
@@ -32,9 +32,9 @@
 static void
 send_list(struct gate *g, const struct gate_peer *to)
 {
-	struct msg_suspect items[POISON_WORDS];
+	struct msg_suspect items[POISON_MSG_RECORDS_MAX];
 	struct msg m = {.kind = MSG_SUSPECTS};
-	unsigned i, n = poison_msg_write(g->poison, clk_ns(g->clk), items);
+	unsigned i, n = poison_msg_encode(g->poison, clk_ns(g->clk), items);
 	const struct gate_peer *p;
 
 	if (n == 0)
@@ -46,11 +46,11 @@
 			wire_send(g->wire, p->info.gate_inbox, &m);
 	}
 	if (to == NULL)
-		wire_send(g->wire, g->set.agent, &m);
+		wire_send(g->wire, g->settings.agent, &m);
 }
 
 static void
-on_changed(void *ctx, struct fprint fingerprint, enum poison_verdict verdict)
+on_changed(void *ctx, struct fprint fingerprint, enum poison_status verdict)
 {
 	static const char *const messages[] = {
 	    [POISON_NONE] = "a request is cleared, it was answered",
@@ -75,12 +75,12 @@
 {
 	unsigned index;
 
-	if (poison_has_news(g->poison))
+	if (poison_has_unsent_trial(g->poison))
 		send_list(g, NULL);
-	if (now - g->poison_told < LIST_INTERVAL_NS)
+	if (now - g->poison_sent_at < LIST_INTERVAL_NS)
 		return;
-	g->poison_told = now;
-	poison_tick(g->poison);
+	g->poison_sent_at = now;
+	poison_expire(g->poison);
 	if (g->peers->len == 0)
 		return;
 	index = (unsigned)rnd_below(g->rnd, g->peers->len);
@@ -88,13 +88,13 @@
 }
 
 void
-gate_poison_take(struct gate *g, const struct msg_suspects *m)
+gate_poison_merge(struct gate *g, const struct msg_suspects *m)
 {
-	poison_msg_take(g->poison, clk_ns(g->clk), m);
+	poison_msg_merge(g->poison, clk_ns(g->clk), m);
 }
 
 void
-gate_poison_greet(struct gate *g, const struct gate_peer *p)
+gate_poison_send_to(struct gate *g, const struct gate_peer *p)
 {
 	send_list(g, p);
 }
--- a/gate_rate.c
+++ b/gate_rate.c
@@ -46,9 +46,9 @@
 void
 gate_rate_open(struct gate *g)
 {
-	g->rates =
+	g->customer_buckets =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
+	g->rate_queries = g_hash_table_new(g_int64_hash, g_int64_equal);
 }
 
 static gboolean
@@ -58,16 +58,16 @@
 	bool self;
 
 	(void)value;
-	gate_home_by_name(g, str_c(key), 0, &self);
+	gate_owner_by_name(g, str_c(key), 0, &self);
 	return !self ||
-	    customers_named(route_customers(g->routes), str_c(key)) == NULL;
+	    customers_by_name(route_customers(g->routes), str_c(key)) == NULL;
 }
 
 static struct bucket *
 bucket_of(struct gate *g, struct str customer)
 {
 	char *name = g_strndup(customer.p, customer.n);
-	struct bucket *b = g_hash_table_lookup(g->rates, name);
+	struct bucket *b = g_hash_table_lookup(g->customer_buckets, name);
 
 	if (b != NULL) {
 		g_free(name);
@@ -75,7 +75,7 @@
 	}
 	b = g_new0(struct bucket, 1);
 	*b = (struct bucket){1, clk_ns(g->clk)};
-	g_hash_table_insert(g->rates, name, b);
+	g_hash_table_insert(g->customer_buckets, name, b);
 	return b;
 }
 
@@ -86,7 +86,7 @@
 
 	if (c->obj->rate <= 0)
 		return;
-	gate_home_by_name(ctx, c->name, 0, &self);
+	gate_owner_by_name(ctx, c->name, 0, &self);
 	if (self)
 		bucket_of(ctx, c->name);
 }
@@ -96,26 +96,26 @@
  * own any more, and starts those that it owns now.
  */
 void
-gate_rate_homes(struct gate *g)
+gate_rate_update_owned(struct gate *g)
 {
-	uint64_t hash = gate_home_hubs(g) ^ route_version(g->routes);
+	uint64_t hash = gate_owner_hash_hubs(g) ^ route_version(g->routes);
 
-	if (hash == g->rates_seen)
+	if (hash == g->rate_owners_hash)
 		return;
-	g->rates_seen = hash;
-	g_hash_table_foreach_remove(g->rates, is_not_owned, g);
+	g->rate_owners_hash = hash;
+	g_hash_table_foreach_remove(g->customer_buckets, is_not_owned, g);
 	customers_each(route_customers(g->routes), start_bucket, g);
 }
 
 /*
  * Takes a token of the customer's bucket and returns whether that was possible.
- * *wait is as bucket_lend() sets it.
+ * *wait is as bucket_reserve() sets it.
  */
 static bool
 take_token(struct gate *g, struct str name, int64_t *wait)
 {
 	const struct customer *c =
-	    customers_named(route_customers(g->routes), name);
+	    customers_by_name(route_customers(g->routes), name);
 
 	*wait = RETRY_AFTER_NS;
 	if (c == NULL)
@@ -123,7 +123,7 @@
 	*wait = 0;
 	if (c->obj->rate <= 0)
 		return true;
-	return bucket_lend(bucket_of(g, name), c->obj->rate,
+	return bucket_reserve(bucket_of(g, name), c->obj->rate,
 	    MAX(c->obj->burst, 1), TOKEN_WAIT_MAX_NS, clk_ns(g->clk), wait);
 }
 
@@ -135,51 +135,53 @@
  * would allow twice the rate.
  */
 static bool
-forward_query(struct gate *g, struct str sender, const struct msg_ask *query)
+forward_query(
+    struct gate *g, struct str sender, const struct msg_rate_query *query)
 {
-	struct msg m = {.kind = MSG_ASK, .u.ask = *query};
+	struct msg m = {.kind = MSG_RATE_QUERY, .u.rate_query = *query};
 	struct gate_peer *p;
 	bool self;
 
-	if (query->again || query->asker.n > 0)
+	if (query->is_retry || query->requester.n > 0)
 		return false;
-	p = gate_home_by_name(g, query->customer, 0, &self);
+	p = gate_owner_by_name(g, query->customer, 0, &self);
 	if (self)
 		return false;
-	m.u.ask.asker = sender;
+	m.u.rate_query.requester = sender;
 	wire_send(g->wire, p->info.gate_inbox, &m);
 	return true;
 }
 
 void
-gate_rate_answer(struct gate *g, struct str sender, const struct msg_ask *query)
+gate_rate_answer(
+    struct gate *g, struct str sender, const struct msg_rate_query *query)
 {
-	struct msg m = {.kind = MSG_GRANT};
+	struct msg m = {.kind = MSG_RATE_GRANT};
 	int64_t wait;
 
 	if (forward_query(g, sender, query))
 		return;
-	if (query->asker.n > 0)
-		sender = query->asker;
-	m.u.grant.seq = query->seq;
-	m.u.grant.granted = take_token(g, query->customer, &wait);
-	m.u.grant.wait_us = (uint64_t)(wait / NS_US);
+	if (query->requester.n > 0)
+		sender = query->requester;
+	m.u.rate_grant.seq = query->seq;
+	m.u.rate_grant.granted = take_token(g, query->customer, &wait);
+	m.u.rate_grant.wait_us = (uint64_t)(wait / NS_US);
 	wire_send(g->wire, sender, &m);
 }
 
 void
-gate_rate_forget(struct gate_req *r)
+gate_rate_cancel(struct gate_req *r)
 {
-	tmr_clear(&r->gate->tmr, &r->ask_timer);
-	if (r->ask != 0)
-		g_hash_table_remove(r->gate->asks, &r->ask);
-	r->ask = 0;
+	tmr_clear(&r->gate->tmr, &r->rate_timer);
+	if (r->rate_query != 0)
+		g_hash_table_remove(r->gate->rate_queries, &r->rate_query);
+	r->rate_query = 0;
 }
 
 static void
 on_token(void *ctx)
 {
-	gate_admit_go(ctx);
+	gate_admit_continue(ctx);
 }
 
 static void
@@ -187,22 +189,22 @@
 {
 	struct gate *g = r->gate;
 
-	gate_rate_forget(r);
+	gate_rate_cancel(r);
 	if (!granted) {
 		cnt_add(g->cnt, GC_OVER_RATE, 1);
-		gate_answer(r, ERR_OVER_LIMIT, RAN_NO, wait);
+		gate_respond(r, ERR_OVER_LIMIT, RAN_NO, wait);
 	} else if (wait > 0) {
-		tmr_set(
-		    &g->tmr, &r->ask_timer, clk_ns(g->clk) + wait, on_token, r);
+		tmr_set(&g->tmr, &r->rate_timer, clk_ns(g->clk) + wait,
+		    on_token, r);
 	} else {
-		gate_admit_go(r);
+		gate_admit_continue(r);
 	}
 }
 
 void
-gate_rate_granted(struct gate *g, const struct msg_grant *m)
+gate_rate_granted(struct gate *g, const struct msg_rate_grant *m)
 {
-	struct gate_req *r = g_hash_table_lookup(g->asks, &m->seq);
+	struct gate_req *r = g_hash_table_lookup(g->rate_queries, &m->seq);
 	uint64_t max_us = (uint64_t)(G_MAXINT64 / NS_US);
 
 	if (r != NULL)
@@ -215,22 +217,22 @@
 {
 	struct gate_req *r = ctx;
 
-	cnt_add(r->gate->cnt, GC_ASKS_LOST, 1);
-	gate_rate_forget(r);
-	if (r->asks < OWNERS_MAX)
+	cnt_add(r->gate->cnt, GC_RATE_QUERIES_LOST, 1);
+	gate_rate_cancel(r);
+	if (r->rate_owners_tried < OWNERS_MAX)
 		query_owner(r);
 	else
-		gate_answer(r, ERR_BUSY, RAN_NO, RETRY_AFTER_NS);
+		gate_respond(r, ERR_BUSY, RAN_NO, RETRY_AFTER_NS);
 }
 
 static void
 query_owner(struct gate_req *r)
 {
 	struct gate *g = r->gate;
-	struct msg m = {.kind = MSG_ASK};
-	bool self, is_retry = r->asks > 0, granted;
+	struct msg m = {.kind = MSG_RATE_QUERY};
+	bool self, is_retry = r->rate_owners_tried > 0, granted;
 	struct gate_peer *p =
-	    gate_home_by_name(g, r->customer, r->asks++, &self);
+	    gate_owner_by_name(g, r->customer, r->rate_owners_tried++, &self);
 	int64_t wait;
 
 	if (self) {
@@ -238,19 +240,19 @@
 		finish_query(r, granted, wait);
 		return;
 	}
-	cnt_add(g->cnt, GC_ASKS, 1);
-	r->ask = ++g->seq;
-	g_hash_table_insert(g->asks, &r->ask, r);
-	m.u.ask.seq = r->ask;
-	m.u.ask.customer = r->customer;
-	m.u.ask.again = is_retry;
+	cnt_add(g->cnt, GC_RATE_QUERIES, 1);
+	r->rate_query = ++g->seq;
+	g_hash_table_insert(g->rate_queries, &r->rate_query, r);
+	m.u.rate_query.seq = r->rate_query;
+	m.u.rate_query.customer = r->customer;
+	m.u.rate_query.is_retry = is_retry;
 	wire_send(g->wire, p->info.gate_inbox, &m);
-	tmr_set(&g->tmr, &r->ask_timer, clk_ns(g->clk) + QUERY_TIMEOUT_NS,
+	tmr_set(&g->tmr, &r->rate_timer, clk_ns(g->clk) + QUERY_TIMEOUT_NS,
 	    on_query_timeout, r);
 }
 
 void
-gate_rate_ask(struct gate_req *r)
+gate_rate_query(struct gate_req *r)
 {
 	gate_req_event(r, REQ_EV_CLAIM);
 	query_owner(r);
--- a/gate_req.c
+++ b/gate_req.c
@@ -52,7 +52,7 @@
 	    r->gate->chart_request, (int)r->state, (int)event);
 	if (r->state == REQ_BROKEN && old != REQ_BROKEN)
 		slog(SLOG_GATE, "a state met an event that it must not meet",
-		    "id=%.*s event=%s state=%s", STR_ARG(r->name),
+		    "id=%.*s event=%s state=%s", STR_ARG(r->request_id),
 		    event_names[event], state_names[old]);
 }
 
@@ -75,8 +75,8 @@
 	struct str name = str_c(NULL);
 	char number[24];
 
-	if (g->dial->id.n > 0)
-		name = hsrv_header(req, g->dial->id.p);
+	if (g->dialect->request_id.n > 0)
+		name = hsrv_header(req, g->dialect->request_id.p);
 	if (name.n > 0)
 		return str_dup(name);
 	snprintf(number, sizeof(number), "%llu", (unsigned long long)seq);
@@ -94,15 +94,15 @@
 	pool_guard->r = r;
 	r->gate = g;
 	r->req = req;
-	r->id = ++g->seq;
-	r->name = request_id_of(g, req, r->id);
-	r->began = clk_ns(g->clk);
+	r->seq = ++g->seq;
+	r->request_id = request_id_of(g, req, r->seq);
+	r->arrived_at = clk_ns(g->clk);
 	r->state = (enum req_state)chart_start(g->chart_request);
 	r->link.data = r;
 	g_queue_push_tail_link(&g->reqs, &r->link);
 	gate_tick_soon(g);
-	h2o_doublebuffer_init(&r->sending, &h2o_socket_buffer_prototype);
-	h2o_buffer_init(&r->rest, &h2o_socket_buffer_prototype);
+	h2o_doublebuffer_init(&r->send_buffer, &h2o_socket_buffer_prototype);
+	h2o_buffer_init(&r->unsent_body, &h2o_socket_buffer_prototype);
 	return r;
 }
 
@@ -111,8 +111,8 @@
 {
 	struct gate_req *r = req_new(g, req);
 
-	r->passed = passed;
-	cnt_add(g->cnt, passed ? GC_PASSED_IN : GC_REQUESTS, 1);
+	r->forwarded = passed;
+	cnt_add(g->cnt, passed ? GC_FORWARDED_IN : GC_REQUESTS, 1);
 	if (gate_box_leaving(g))
 		req->http1_is_persistent = 0;
 	if (g->state != BOX_EMPTY)
@@ -122,17 +122,17 @@
 }
 
 void
-gate_req_caller(void *ctx, h2o_req_t *req)
+gate_req_from_caller(void *ctx, h2o_req_t *req)
 {
 	arrive(ctx, req, false);
 }
 
 void
-gate_req_passed(void *ctx, h2o_req_t *req)
+gate_req_from_gate(void *ctx, h2o_req_t *req)
 {
 	struct gate *g = ctx;
 
-	g->last_pass = clk_ns(g->clk);
+	g->last_forwarded_in = clk_ns(g->clk);
 	arrive(ctx, req, true);
 }
 
@@ -154,13 +154,13 @@
 static struct str
 hall_for(struct gate_req *r, const struct route_service *svc)
 {
-	if (r->gate->set.route == ROUTE_ALONE)
+	if (r->gate->settings.route == ROUTE_ALONE)
 		return str_c(NULL);
 	if (r->hops > 0 && r->hall.n > 0)
 		return r->hall;
 	gate_req_set_hall(r,
-	    region_choose_hall(r->gate->set.regions, r->gate->set.hall, svc,
-		r->regions, r->gate->rnd));
+	    region_choose_hall(r->gate->settings.regions,
+		r->gate->settings.hall, svc, r->regions, r->gate->rnd));
 	return r->hall;
 }
 
@@ -175,27 +175,29 @@
 
 	gate_req_event(r, REQ_EV_HOLD);
 	if (svc == NULL) {
-		gate_answer(r, ERR_NO_SERVICE, gate_req_ran(r), 0);
+		gate_respond(r, ERR_NO_SERVICE, gate_req_ran(r), 0);
 		return;
 	}
 	hall = hall_for(r, svc);
-	if (hall.n == 0 && g->set.route == ROUTE_HOME) {
-		gate_answer(r, ERR_NO_BACKEND, gate_req_ran(r), 0);
+	if (hall.n == 0 && g->settings.route == ROUTE_HOME) {
+		gate_respond(r, ERR_NO_BACKEND, gate_req_ran(r), 0);
 		return;
 	}
-	if (r->hops > 0 || g->set.route == ROUTE_ALONE)
+	if (r->hops > 0 || g->settings.route == ROUTE_ALONE)
 		self = true;
 	else
-		r->peer = gate_home_for(g, svc->name, hall, r->regions, &self);
-	if (!self && r->passes < HOPS_MAX + 1) {
-		gate_try_home(r);
+		r->owner = gate_owner_in_regions(
+		    g, svc->name, hall, r->regions, &self);
+	if (!self && r->forwards < HOPS_MAX + 1) {
+		gate_try_owner(r);
 		return;
 	}
-	r->peer = NULL;
+	r->owner = NULL;
 	r->shard = gate_conf_shard(g, svc, hall);
-	r->d.may_pass = r->hops < HOPS_MAX && g->set.route == ROUTE_HOME;
-	gate_admit_waited(r);
-	disp_arrive(r->shard->disp, &r->d);
+	r->disp.can_forward =
+	    r->hops < HOPS_MAX && g->settings.route == ROUTE_HOME;
+	gate_admit_set_waited(r);
+	disp_submit(r->shard->disp, &r->disp);
 }
 
 /*
@@ -203,7 +205,7 @@
  * whether the request ran.
  */
 void
-gate_req_settle(struct gate_req *r, bool not_run)
+gate_req_settle_claim(struct gate_req *r, bool not_run)
 {
 	struct gate_claim *claim = r->claim;
 
@@ -222,8 +224,8 @@
 	struct gate_req *r = ctx;
 	enum err_ran ran = gate_req_ran(r);
 
-	gate_try_abandon(r, DISP_LATE);
-	gate_answer(r, ERR_DEADLINE, ran, 0);
+	gate_try_abandon(r, DISP_TIMED_OUT);
+	gate_respond(r, ERR_DEADLINE, ran, 0);
 }
 
 /*
@@ -233,7 +235,7 @@
 void
 gate_req_set_deadline(struct gate_req *r)
 {
-	tmr_set(&r->gate->tmr, &r->timer, r->d.deadline, on_deadline, r);
+	tmr_set(&r->gate->tmr, &r->timer, r->disp.deadline, on_deadline, r);
 }
 
 /* h2o disposes of the request: its response was sent, or its caller is gone. */
@@ -247,17 +249,18 @@
 
 	r->req = NULL;
 	tmr_clear(&g->tmr, &r->timer);
-	gate_rate_forget(r);
+	gate_rate_cancel(r);
 	if (r->state != REQ_DONE) {
-		cnt_add(g->cnt, GC_GONE, 1);
+		cnt_add(g->cnt, GC_CALLERS_GONE, 1);
 		slog_decision(SLOG_ROUTE, "its caller went away",
-		    "id=%.*s why=gone age_ms=%lld state=%s", STR_ARG(r->name),
-		    (long long)((clk_ns(g->clk) - r->began) / NS_MS),
+		    "id=%.*s why=gone age_ms=%lld state=%s",
+		    STR_ARG(r->request_id),
+		    (long long)((clk_ns(g->clk) - r->arrived_at) / NS_MS),
 		    state_names[r->state]);
-		gate_try_abandon(r, DISP_GONE);
+		gate_try_abandon(r, DISP_CANCELED);
 		gate_req_event(r, REQ_EV_END);
 	}
-	gate_req_settle(r, not_run);
+	gate_req_settle_claim(r, not_run);
 	g_queue_unlink(&g->reqs, &r->link);
 	gate_flow_dispose(r);
 	str_free(&r->rule);
@@ -265,7 +268,7 @@
 	str_free(&r->hall);
 	str_free(&r->regions);
 	str_free(&r->customer);
-	str_free(&r->name);
+	str_free(&r->request_id);
 	g_free(r);
 }
 
@@ -277,8 +280,8 @@
 static bool
 should_end(const struct gate_req *r)
 {
-	return r->state != REQ_DONE && !r->started && r->req != NULL &&
-	    (!r->passed || gate_req_ran(r) == RAN_NO);
+	return r->state != REQ_DONE && !r->response_started && r->req != NULL &&
+	    (!r->forwarded || gate_req_ran(r) == RAN_NO);
 }
 
 static void
@@ -291,11 +294,11 @@
 	for (link = g->reqs.head; link != NULL; link = next) {
 		next = link->next;
 		r = link->data;
-		if (!should_end(r) || r->d.held != queued)
+		if (!should_end(r) || r->disp.queued != queued)
 			continue;
 		ran = gate_req_ran(r);
-		gate_try_abandon(r, DISP_GONE);
-		gate_answer(r, ERR_LEAVING, ran, 0);
+		gate_try_abandon(r, DISP_CANCELED);
+		gate_respond(r, ERR_LEAVING, ran, 0);
 	}
 }
 
@@ -323,7 +326,7 @@
 	g_queue_init(&g->reqs);
 	g->caller_limits = limit_table_new(10000);
 	g->returns = returns_new(RETURNS_MAX);
-	g->callers_of =
+	g->callers_by_kind =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g->rule_limits =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
--- a/gate_roll.c
+++ b/gate_roll.c
@@ -36,8 +36,8 @@
 static double
 first_share(const struct gate *g)
 {
-	if (g->bounds.expose_share > 0)
-		return g->bounds.expose_share * EXPOSED_PART;
+	if (g->bounds.unproven_share > 0)
+		return g->bounds.unproven_share * EXPOSED_PART;
 	return DEFAULT_SHARE;
 }
 
@@ -58,37 +58,39 @@
 {
 	const struct obj_rollout *spec = svc->rollout;
 
-	if (s->roll != NULL && (spec == NULL || !roll_is(s->roll, spec)))
+	if (s->roll != NULL && (spec == NULL || !roll_matches(s->roll, spec)))
 		gate_roll_close(s);
 	if (spec == NULL)
 		return;
 	if (s->roll == NULL) {
 		s->roll = roll_new(
 		    spec, g->chart_roll, first_share(g), clk_ns(g->clk));
-		s->roll_seen = ROLL_WAITING;
+		s->roll_logged_state = ROLL_WAITING;
 	}
-	roll_settle(s->roll, (enum obj_rolled)spec->state);
+	roll_set_platform_state(s->roll, (enum obj_rollout_state)spec->state);
 }
 
 static void
 log_state_change(struct gate_shard *s, int64_t now)
 {
 	enum roll_state state = roll_state(s->roll);
-	struct roll_word report;
+	struct roll_report report;
 	const char *why;
 
-	if (state == s->roll_seen)
+	if (state == s->roll_logged_state)
 		return;
-	s->roll_seen = state;
-	report = roll_word_of(s->roll, disp_old_inflight(s->disp), now);
-	why = roll_why(s->roll);
+	s->roll_logged_state = state;
+	report =
+	    roll_make_report(s->roll, disp_old_version_inflight(s->disp), now);
+	why = roll_reason(s->roll);
 	slog(SLOG_PICK, "a roll-out goes on",
 	    "service=%.*s hall=%.*s state=%s age_ms=%lld answers=%llu "
 	    "bad=%llu old_out=%u why=%s",
 	    STR_ARG(s->service), STR_ARG(s->hall),
 	    roll_chart_names.states[state], (long long)(report.age / NS_MS),
-	    (unsigned long long)report.answers, (unsigned long long)report.bad,
-	    report.old_out, slog_quote(why != NULL ? why : ""));
+	    (unsigned long long)report.answers,
+	    (unsigned long long)report.failures, report.old_in_flight,
+	    slog_quote(why != NULL ? why : ""));
 }
 
 /*
@@ -99,21 +101,21 @@
 send_report(struct gate *g, struct gate_shard *s,
     const struct route_service *svc, int64_t now)
 {
-	struct roll_word report =
-	    roll_word_of(s->roll, disp_old_inflight(s->disp), now);
-	struct msg m = {.kind = MSG_ROLL};
+	struct roll_report report =
+	    roll_make_report(s->roll, disp_old_version_inflight(s->disp), now);
+	struct msg m = {.kind = MSG_ROLLOUT};
 
-	s->roll_told = now;
-	m.u.roll = (struct msg_roll){.service = s->service,
+	s->roll_sent_at = now;
+	m.u.rollout = (struct msg_rollout){.service = s->service,
 	    .hall = s->hall,
-	    .box = g->set.box,
+	    .box = g->settings.box,
 	    .version = svc->rollout->version,
 	    .age_ms = (uint64_t)(report.age / NS_MS),
 	    .state = (uint64_t)report.state,
 	    .answers = report.answers,
-	    .bad = report.bad,
-	    .old_out = report.old_out};
-	gate_home_tell(g, s, svc, &m);
+	    .failures = report.failures,
+	    .old_in_flight = report.old_in_flight};
+	gate_owner_send_others(g, s, svc, &m);
 }
 
 /*
@@ -121,16 +123,16 @@
  * other halls.
  */
 void
-gate_roll_take(struct gate *g, const struct msg_roll *m)
+gate_roll_merge(struct gate *g, const struct msg_rollout *m)
 {
 	const struct route_service *svc = route_service(g->routes, m->service);
 	int64_t now = clk_ns(g->clk);
-	struct roll_word report = {
+	struct roll_report report = {
 	    .age = (int64_t)MIN(m->age_ms, (uint64_t)(now / NS_MS)) * NS_MS,
-	    .state = (enum roll_state)MIN(m->state, ROLL_BACK),
+	    .state = (enum roll_state)MIN(m->state, ROLL_ROLLED_BACK),
 	    .answers = m->answers,
-	    .bad = m->bad,
-	    .old_out = (unsigned)MIN(m->old_out, G_MAXUINT)};
+	    .failures = m->failures,
+	    .old_in_flight = (unsigned)MIN(m->old_in_flight, G_MAXUINT)};
 	struct gate_shard *s;
 	GHashTableIter it;
 	gpointer value;
@@ -144,7 +146,7 @@
 		if (s->roll == NULL || !str_eq(s->service, m->service) ||
 		    str_eq(s->hall, m->hall))
 			continue;
-		roll_told(s->roll, m->box, m->hall, &report, now);
+		roll_merge_report(s->roll, m->box, m->hall, &report, now);
 	}
 }
 
@@ -168,11 +170,11 @@
 
 static void
 write_state(struct gate *g, struct gate_shard *s,
-    const struct route_service *svc, enum obj_rolled state, int64_t now)
+    const struct route_service *svc, enum obj_rollout_state state, int64_t now)
 {
 	char *key = g_strdup_printf("rollout/%.*s", STR_ARG(s->service));
 	const struct conf_entry *e = conf_get(g->conf, str_c(key));
-	struct plat_request rq = {.op = PLAT_STATUS,
+	struct plat_request rq = {.op = PLAT_UPDATE_STATUS,
 	    .kind = rollout_kind,
 	    .name = s->service,
 	    .version = MAX(e == NULL ? 0 : e->version, s->roll_version),
@@ -180,10 +182,10 @@
 	json_t *value;
 
 	g_free(key);
-	value = json_pack("{s:s, s:s%}", "state", obj_rolled_name(state),
+	value = json_pack("{s:s, s:s%}", "state", obj_rollout_state_name(state),
 	    "version", svc->rollout->version.p, svc->rollout->version.n);
 	rq.value = value;
-	s->roll_written = now;
+	s->roll_written_at = now;
 	s->roll_call = plat_start(g->plat, &rq, on_written, s);
 	json_decref(value);
 }
@@ -208,19 +210,20 @@
     const struct route_service *svc, int64_t now)
 {
 	struct str *halls = g_new0(struct str, svc->nhalls);
-	enum obj_rolled state;
+	enum obj_rollout_state state;
 	unsigned i, n = 0;
 
 	for (i = 0; i < svc->nhalls; i++)
 		if (!str_eq(svc->halls[i].hall, s->hall))
 			halls[n++] = svc->halls[i].hall;
-	state = roll_wants(s->roll, halls, n, disp_old_inflight(s->disp), now);
+	state = roll_state_to_write(
+	    s->roll, halls, n, disp_old_version_inflight(s->disp), now);
 	g_free(halls);
 	if ((int)state == svc->rollout->state || s->roll_call != NULL ||
-	    (state == s->roll_state &&
-		now - s->roll_written < WRITE_INTERVAL_NS))
+	    (state == s->roll_written_state &&
+		now - s->roll_written_at < WRITE_INTERVAL_NS))
 		return;
-	s->roll_state = state;
+	s->roll_written_state = state;
 	write_state(g, s, svc, state, now);
 }
 
@@ -231,12 +234,12 @@
 static bool
 is_report_due(const struct gate_shard *s, int64_t now)
 {
-	if (!s->home && disp_old_inflight(s->disp) == 0)
+	if (!s->is_owner && disp_old_version_inflight(s->disp) == 0)
 		return false;
 	if (roll_state(s->roll) == ROLL_COMPLETED)
 		return false;
-	return now - s->roll_told >= REPORT_INTERVAL_NS ||
-	    roll_state(s->roll) != s->roll_seen;
+	return now - s->roll_sent_at >= REPORT_INTERVAL_NS ||
+	    roll_state(s->roll) != s->roll_logged_state;
 }
 
 static void
@@ -246,12 +249,12 @@
 
 	if (s->roll == NULL || svc == NULL || svc->rollout == NULL)
 		return;
-	if (s->home)
-		roll_tick(s->roll, svc->has_new, now);
+	if (s->is_owner)
+		roll_tick(s->roll, svc->has_new_version, now);
 	if (is_report_due(s, now))
 		send_report(g, s, svc, now);
 	log_state_change(s, now);
-	if (s->home && str_eq(s->hall, first_hall(svc)))
+	if (s->is_owner && str_eq(s->hall, first_hall(svc)))
 		write_if_changed(g, s, svc, now);
 }
 
--- a/gate_stat.c
+++ b/gate_stat.c
@@ -23,29 +23,29 @@
 static const struct cnt_desc descs[GC_MAX] = {
     [GC_REQUESTS] = {"fern_requests_total",
 	"Requests that callers sent to this box.", CNT_COUNTER},
-    [GC_PASSED_IN] = {"fern_passed_in_total",
+    [GC_FORWARDED_IN] = {"fern_passed_in_total",
 	"Requests that other boxes passed to this one.", CNT_COUNTER},
-    [GC_PASSED_OUT] = {"fern_passed_out_total",
+    [GC_FORWARDED_OUT] = {"fern_passed_out_total",
 	"Requests passed to other boxes.", CNT_COUNTER},
-    [GC_ANSWERED] = {"fern_answered_total",
+    [GC_RESPONSES_COMPLETE] = {"fern_answered_total",
 	"Requests whose answer was complete.", CNT_COUNTER},
     [GC_REFUSED] = {"fern_refused_total",
 	"Requests answered by this box with an error.", CNT_COUNTER},
     [GC_RETRIES] = {"fern_retries_total", "Tries after the first.",
 	CNT_COUNTER},
-    [GC_STOPPED] = {"fern_stopped_total",
+    [GC_ATTEMPTS_STOPPED] = {"fern_stopped_total",
 	"Tries stopped as far too slow and begun elsewhere.", CNT_COUNTER},
-    [GC_BROKEN] = {"fern_tries_broken_total",
+    [GC_ATTEMPTS_BROKEN] = {"fern_tries_broken_total",
 	"Tries whose connection to a backend server broke or never stood.",
 	CNT_COUNTER},
-    [GC_ENDED] = {"fern_servers_ended_total",
+    [GC_SERVERS_CRASHED] = {"fern_servers_ended_total",
 	"Backend servers that ended with requests there.", CNT_COUNTER},
-    [GC_AGAINST] = {"fern_against_word_total",
+    [GC_REPORT_OVERRIDDEN] = {"fern_against_word_total",
 	"Requests sent to a backend server against what it says of itself.",
 	CNT_COUNTER},
-    [GC_RESTS] = {"fern_rests_total",
+    [GC_RETRY_AFTER_PAUSES] = {"fern_rests_total",
 	"Times that a backend server asked for a rest.", CNT_COUNTER},
-    [GC_MALFORMED] = {"fern_malformed_words_total",
+    [GC_MALFORMED_REPORTS] = {"fern_malformed_words_total",
 	"Answers in which a backend server says what cannot be read.",
 	CNT_COUNTER},
     [GC_POISON] = {"fern_poison",
@@ -55,20 +55,20 @@
 	"Requests refused for want of a customer's key.", CNT_COUNTER},
     [GC_OVER_RATE] = {"fern_over_rate_total",
 	"Requests refused as their customer's rate was used up.", CNT_COUNTER},
-    [GC_ASKS] = {"fern_rate_asks_total",
+    [GC_RATE_QUERIES] = {"fern_rate_asks_total",
 	"Questions whether a customer may make a request.", CNT_COUNTER},
-    [GC_ASKS_LOST] = {"fern_rate_asks_lost_total",
+    [GC_RATE_QUERIES_LOST] = {"fern_rate_asks_lost_total",
 	"Such questions that were not answered in time.", CNT_COUNTER},
-    [GC_CUT] = {"fern_cut_total",
+    [GC_RESPONSES_CUT] = {"fern_cut_total",
 	"Answers that broke off and were told as broken.", CNT_COUNTER},
-    [GC_GONE] = {"fern_callers_gone_total", "Requests whose caller went away.",
-	CNT_COUNTER},
+    [GC_CALLERS_GONE] = {"fern_callers_gone_total",
+	"Requests whose caller went away.", CNT_COUNTER},
     [GC_CLAIMS] = {"fern_claims_total", "Requests with a key.", CNT_COUNTER},
     [GC_CLAIM_CALLS] = {"fern_claim_calls_total",
 	"Calls to the platform for claims.", CNT_COUNTER},
     [GC_DUPLICATES] = {"fern_duplicates_total",
 	"Requests refused because their key was taken.", CNT_COUNTER},
-    [GC_SUSPECTS] = {"fern_homes_left_total",
+    [GC_OWNERS_SUSPECTED] = {"fern_homes_left_total",
 	"Homes left because they did not answer.", CNT_COUNTER},
     [GC_BOXES] = {"fern_boxes", "Gates that serve, this one among them.",
 	CNT_GAUGE},
@@ -81,15 +81,15 @@
 	"Bytes of messages from other processes.", CNT_COUNTER},
     [GC_CONTROL_OUT] = {"fern_control_out_bytes_total",
 	"Bytes of messages to other processes.", CNT_COUNTER},
-    [GC_PEEKS] = {"fern_peeks_total",
+    [GC_LOAD_QUERIES] = {"fern_peeks_total",
 	"Questions for the load of a backend server.", CNT_COUNTER},
-    [GC_PEEKS_LOST] = {"fern_peeks_lost_total",
+    [GC_LOAD_QUERIES_LOST] = {"fern_peeks_lost_total",
 	"Questions for the load that were not answered.", CNT_COUNTER},
     [GC_EVACUATED] = {"fern_halls_evacuated",
 	"Halls whose backend servers get nothing new.", CNT_GAUGE},
     [GC_CONF_AGE] = {"fern_conf_age_ms",
 	"Time since the rules here were confirmed by the platform.", CNT_GAUGE},
-    [GC_REVERTS] = {"fern_conf_reverts_total",
+    [GC_VERSIONS_REVERTED] = {"fern_conf_reverts_total",
 	"Rules that came into force in an older version.", CNT_COUNTER},
     [GC_LATENCY] = {"fern_answer_seconds",
 	"Time from a request's arrival to its answer's head.", CNT_HISTOGRAM},
@@ -118,15 +118,15 @@
 {
 	GString *out = g_string_new(NULL);
 
-	cnt_set(g->cnt, GC_BOXES, g->boxes);
-	cnt_set(g->cnt, GC_POISON, poison_proved(g->poison));
+	cnt_set(g->cnt, GC_BOXES, g->live_boxes);
+	cnt_set(g->cnt, GC_POISON, poison_count_proved(g->poison));
 	cnt_set(g->cnt, GC_INFLIGHT, gate_req_count(g));
 	cnt_set(g->cnt, GC_CONF_AGE, (uint64_t)MAX(sync_age_ms(&g->sync), 0));
 	cnt_set(g->cnt, GC_LOG_DROPPED, slog_dropped());
-	cnt_set(g->cnt, GC_CONTROL_IN, wire_counts(g->wire)->bytes_in);
-	cnt_set(g->cnt, GC_CONTROL_OUT, wire_counts(g->wire)->bytes_out);
+	cnt_set(g->cnt, GC_CONTROL_IN, wire_get_totals(g->wire)->bytes_in);
+	cnt_set(g->cnt, GC_CONTROL_OUT, wire_get_totals(g->wire)->bytes_out);
 	cnt_print(g->cnt, out);
-	hsrv_answer(
+	hsrv_send_response(
 	    req, 200, "text/plain; version=0.0.4", str_n(out->str, out->len));
 	g_string_free(out, TRUE);
 }
@@ -136,7 +136,7 @@
 {
 	const char *name = chart_state_name(g->chart_box, (int)g->state);
 
-	hsrv_answer(
+	hsrv_send_response(
 	    req, g->state == BOX_READY ? 200 : 503, "text/plain", str_c(name));
 }
 
@@ -152,7 +152,7 @@
 static int64_t
 pause_left(const struct gate_shard *s, const struct pick_backend *b)
 {
-	return MAX(b->rest_until - clk_ns(s->gate->clk), 0);
+	return MAX(b->pause_until - clk_ns(s->gate->clk), 0);
 }
 
 static void
@@ -168,9 +168,10 @@
 		b->name.n, "state",
 		chart_state_name(p->shard->gate->chart_backend, (int)b->state),
 		"inflight", b->inflight, "slots", b->slots, "usual_ms",
-		(double)b->usual / NS_MS, "probe_down", (int)b->probe_down,
-		"takes_a_second", b->quota.rate, "leaves", (int)b->leaves,
-		"rest_ms", (json_int_t)(pause_left(p->shard, b) / NS_MS)));
+		(double)b->usual_latency / NS_MS, "probe_down",
+		(int)b->probe_down, "takes_a_second", b->quota.rate, "leaves",
+		(int)b->leaving, "rest_ms",
+		(json_int_t)(pause_left(p->shard, b) / NS_MS)));
 }
 
 static void
@@ -178,7 +179,7 @@
 {
 	char *text = json_dumps(value, JSON_COMPACT);
 
-	hsrv_answer(req, 200, "application/json", str_c(text));
+	hsrv_send_response(req, 200, "application/json", str_c(text));
 	free(text);
 	json_decref(value);
 }
@@ -193,7 +194,7 @@
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		p.shard = value;
-		disp_each(p.shard->disp, print_backend, &p);
+		disp_foreach_backend(p.shard->disp, print_backend, &p);
 	}
 	answer_json(req, p.list);
 }
@@ -213,9 +214,9 @@
 	bool self;
 
 	for (i = 0; i < svc->nhalls; i++) {
-		p = gate_home(
+		p = gate_owner(
 		    owners->gate, svc->name, svc->halls[i].hall, &self);
-		box = self ? owners->gate->set.box : p->info.box;
+		box = self ? owners->gate->settings.box : p->info.box;
 		json_array_append_new(owners->list,
 		    json_pack("{s:s%, s:s%, s:s%, s:i}", "service", svc->name.p,
 			svc->name.n, "hall", svc->halls[i].hall.p,
@@ -245,6 +246,6 @@
 		pages[i].page(ctx, req);
 		return;
 	}
-	hsrv_answer(req, 404, "text/plain",
+	hsrv_send_response(req, 404, "text/plain",
 	    str_c("pages: /metrics /ready /backends /homes\n"));
 }
--- a/gate_try.c
+++ b/gate_try.c
@@ -35,13 +35,13 @@
 const struct disp_ops gate_req_disp_ops = {op_send, op_forward, op_fail,
     op_stop, op_query_load, op_crashed, op_release, NULL};
 
-static const char *const violation_names[AGAINST_MAX] = {
+static const char *const violation_names[VIOLATION_MAX] = {
     "none", "quota", "rest", "leaving"};
 
 static struct gate_req *
 req_of(struct disp_req *d)
 {
-	return (struct gate_req *)((char *)d - offsetof(struct gate_req, d));
+	return (struct gate_req *)((char *)d - offsetof(struct gate_req, disp));
 }
 
 /* A request that must not be repeated is sent on a new connection. */
@@ -58,18 +58,21 @@
 	    "pace_age_ms=%lld held_us=%lld left_ms=%lld waited_ms=%lld "
 	    "tries=%d conf=%llu "
 	    "conf_age_ms=%lld a_second=%.2f against=%s",
-	    STR_ARG(r->name), FPRINT_ARG(r->d.print), STR_ARG(r->service),
-	    STR_ARG(b->name), b->inflight - 1, pick_slots(b), b->slots,
-	    b->told_pace,
-	    b->told_at == 0 ? -1LL
-			    : (long long)((d->sent - b->told_at) / NS_MS),
-	    (long long)((d->sent - r->began) / NS_US),
-	    (long long)((d->deadline - d->sent) / NS_MS),
-	    (long long)r->waited_ms, d->tries, (unsigned long long)r->conf,
+	    STR_ARG(r->request_id), FPRINT_ARG(r->disp.fingerprint),
+	    STR_ARG(r->service), STR_ARG(b->name), b->inflight - 1,
+	    pick_slot_limit(b), b->slots, b->reported_latency_percent,
+	    b->reported_at == 0
+		? -1LL
+		: (long long)((d->sent_at - b->reported_at) / NS_MS),
+	    (long long)((d->sent_at - r->arrived_at) / NS_US),
+	    (long long)((d->deadline - d->sent_at) / NS_MS),
+	    (long long)r->waited_ms, d->attempt_count,
+	    (unsigned long long)r->conf_version,
 	    (long long)sync_age_ms(&r->gate->sync), b->quota.rate,
-	    violation_names[d->against]);
-	cnt_add(r->gate->cnt, GC_AGAINST, d->against != AGAINST_NOTHING);
-	cnt_sample(r->gate->cnt, GC_HELD, d->sent - r->began);
+	    violation_names[d->violation]);
+	cnt_add(
+	    r->gate->cnt, GC_REPORT_OVERRIDDEN, d->violation != VIOLATION_NONE);
+	cnt_sample(r->gate->cnt, GC_HELD, d->sent_at - r->arrived_at);
 	gate_flow_send(r, b->address, !d->repeatable);
 }
 
@@ -80,16 +83,17 @@
 	bool self;
 
 	(void)ctx;
-	r->d.may_pass = false;
+	r->disp.can_forward = false;
 	gate_req_set_hall(r, hall);
-	r->peer = gate_home_for(r->gate, r->service, hall, r->regions, &self);
+	r->owner =
+	    gate_owner_in_regions(r->gate, r->service, hall, r->regions, &self);
 	if (!self) {
-		gate_try_home(r);
+		gate_try_owner(r);
 		return;
 	}
 	r->shard = gate_conf_shard(
 	    r->gate, route_service(r->gate->routes, r->service), r->hall);
-	disp_arrive(r->shard->disp, &r->d);
+	disp_submit(r->shard->disp, &r->disp);
 }
 
 static void
@@ -98,7 +102,7 @@
 	struct gate_req *r = req_of(d);
 
 	(void)ctx;
-	gate_answer(r, kind, gate_req_ran(r), retry_after);
+	gate_respond(r, kind, gate_req_ran(r), retry_after);
 }
 
 /*
@@ -112,22 +116,22 @@
 	struct gate_shard *s = ctx;
 
 	slog_decision(SLOG_PICK, "moved, it is too slow there",
-	    "id=%.*s backend=%.*s out_ms=%lld work_ms=%lld", STR_ARG(r->name),
-	    STR_ARG(d->at->name),
-	    (long long)((clk_ns(r->gate->clk) - d->sent) / NS_MS),
-	    (long long)(d->work / NS_MS));
+	    "id=%.*s backend=%.*s out_ms=%lld work_ms=%lld",
+	    STR_ARG(r->request_id), STR_ARG(d->backend->name),
+	    (long long)((clk_ns(r->gate->clk) - d->sent_at) / NS_MS),
+	    (long long)(d->service_time / NS_MS));
 	r->maybe_ran = true;
 	gate_flow_stop(r);
 	gate_req_event(r, REQ_EV_RETRY);
-	cnt_add(r->gate->cnt, GC_STOPPED, 1);
-	if (!disp_done(s->disp, d, DISP_SLOW))
-		gate_answer(r, ERR_DEADLINE, RAN_UNKNOWN, 0);
+	cnt_add(r->gate->cnt, GC_ATTEMPTS_STOPPED, 1);
+	if (!disp_attempt_done(s->disp, d, DISP_STOPPED_SLOW))
+		gate_respond(r, ERR_DEADLINE, RAN_UNKNOWN, 0);
 }
 
 static void
 op_query_load(void *ctx, struct pick_backend *b)
 {
-	gate_peek_start(ctx, b);
+	gate_load_query_start(ctx, b);
 }
 
 static void
@@ -135,7 +139,7 @@
 {
 	struct gate_shard *s = ctx;
 
-	cnt_add(s->gate->cnt, GC_ENDED, 1);
+	cnt_add(s->gate->cnt, GC_SERVERS_CRASHED, 1);
 	slog(SLOG_PICK, "a backend server ended with requests there",
 	    "service=%.*s backend=%.*s requests=%u", STR_ARG(s->service),
 	    STR_ARG(b->name), inflight);
@@ -151,50 +155,51 @@
 
 /* Forwards the request to r->peer. */
 void
-gate_try_home(struct gate_req *r)
+gate_try_owner(struct gate_req *r)
 {
-	struct gate_peer *p = r->peer;
+	struct gate_peer *p = r->owner;
 
-	r->passes++;
+	r->forwards++;
 	if (p->outstanding++ == 0)
-		p->heard = clk_ns(r->gate->clk);
-	cnt_add(r->gate->cnt, GC_PASSED_OUT, 1);
+		p->last_seen = clk_ns(r->gate->clk);
+	cnt_add(r->gate->cnt, GC_FORWARDED_OUT, 1);
 	slog_decision(SLOG_ROUTE, "passed to its home",
 	    "id=%.*s rule=%.*s service=%.*s box=%.*s hall=%.*s hops=%d "
 	    "tries=%d conf=%llu conf_age_ms=%lld",
-	    STR_ARG(r->name), STR_ARG(r->rule), STR_ARG(r->service),
-	    STR_ARG(p->info.box), STR_ARG(p->info.hall), r->hops, r->d.tries,
-	    (unsigned long long)r->conf,
+	    STR_ARG(r->request_id), STR_ARG(r->rule), STR_ARG(r->service),
+	    STR_ARG(p->info.box), STR_ARG(p->info.hall), r->hops,
+	    r->disp.attempt_count, (unsigned long long)r->conf_version,
 	    (long long)sync_age_ms(&r->gate->sync));
-	gate_flow_send(r, p->info.pass, false);
+	gate_flow_send(r, p->info.forward_address, false);
 }
 
 static void
 leave_owner(struct gate_req *r)
 {
-	if (r->peer == NULL)
+	if (r->owner == NULL)
 		return;
-	r->peer->outstanding--;
-	r->peer->heard = clk_ns(r->gate->clk);
-	r->peer = NULL;
+	r->owner->outstanding--;
+	r->owner->last_seen = clk_ns(r->gate->clk);
+	r->owner = NULL;
 }
 
 /*
  * A request with a 5xx response may have run, unless the backend server states
  * that it refused the request before running it.  Another gate states that in
- * the dialect dial_fern.
+ * the dialect fern_dialect.
  */
 static enum disp_outcome
 outcome_of(
     const struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
-	const struct dial *dial = r->peer != NULL ? &dial_fern : r->gate->dial;
+	const struct dialect *dialect =
+	    r->owner != NULL ? &fern_dialect : r->gate->dialect;
 
-	if (dial->moved(status, headers, n))
-		return DISP_MOVED;
-	if (dial->refused(status, headers, n))
+	if (dialect->address_reassigned(status, headers, n))
+		return DISP_WRONG_INSTANCE;
+	if (dialect->not_executed(status, headers, n))
 		return DISP_REFUSED;
-	return status >= 500 ? DISP_FAILED : DISP_OK;
+	return status >= 500 ? DISP_SERVER_ERROR : DISP_OK;
 }
 
 /*
@@ -204,7 +209,7 @@
 static enum err_kind
 owner_error(const h2o_header_t *headers, size_t n)
 {
-	struct str name = dial_header(headers, n, STR_LIT("fern-error"));
+	struct str name = dial_find_header(headers, n, STR_LIT("fern-error"));
 
 	return name.n > 0 ? err_by_name(name) : ERR_NONE;
 }
@@ -234,7 +239,7 @@
 is_usable_here_only(const struct gate_req *r, enum err_kind kind)
 {
 	return kind == ERR_NO_BACKEND && r->shard != NULL &&
-	    disp_usable(r->shard->disp) > 0;
+	    disp_usable_backends(r->shard->disp) > 0;
 }
 
 static bool
@@ -254,9 +259,9 @@
 	enum err_kind kind = owner_error(headers, n);
 
 	if ((!owner_declined(kind) && !is_usable_here_only(r, kind)) ||
-	    r->passes > HOPS_MAX) {
+	    r->forwards > HOPS_MAX) {
 		r->maybe_ran = r->maybe_ran || outcome != DISP_REFUSED;
-		r->refused = !r->maybe_ran;
+		r->response_not_run = !r->maybe_ran;
 		return false;
 	}
 	leave_owner(r);
@@ -271,9 +276,9 @@
 end_refused(struct gate_req *r, enum disp_outcome outcome)
 {
 	gate_req_event(r, REQ_EV_RETRY);
-	disp_done(r->shard->disp, &r->d, outcome);
-	gate_answer(r, ERR_REFUSED, gate_req_ran(r),
-	    disp_refused_again(r->shard->disp, &r->d));
+	disp_attempt_done(r->shard->disp, &r->disp, outcome);
+	gate_respond(r, ERR_REFUSED, gate_req_ran(r),
+	    disp_refused_retry_after(r->shard->disp, &r->disp));
 	return true;
 }
 
@@ -283,25 +288,27 @@
 {
 	enum disp_outcome outcome;
 
-	if (r->peer != NULL)
+	if (r->owner != NULL)
 		return head_from_owner(r, status, headers, n);
-	gate_word_answer(r, status, headers, n);
+	gate_report_from_answer(r, status, headers, n);
 	outcome = outcome_of(r, status, headers, n);
 	if (outcome == DISP_OK)
 		return false;
-	r->maybe_ran = r->maybe_ran || outcome == DISP_FAILED;
-	r->refused = outcome == DISP_REFUSED && !r->maybe_ran;
-	if (!disp_retryable(r->shard->disp, &r->d, outcome)) {
-		if (outcome != DISP_FAILED && r->gate->dial->status_promises)
+	r->maybe_ran = r->maybe_ran || outcome == DISP_SERVER_ERROR;
+	r->response_not_run = outcome == DISP_REFUSED && !r->maybe_ran;
+	if (!disp_can_retry(r->shard->disp, &r->disp, outcome)) {
+		if (outcome != DISP_SERVER_ERROR &&
+		    r->gate->dialect->status_means_not_run)
 			return end_refused(r, outcome);
-		disp_done(r->shard->disp, &r->d, outcome);
+		disp_attempt_done(r->shard->disp, &r->disp, outcome);
 		return false;
 	}
 	gate_req_event(r, REQ_EV_RETRY);
-	disp_done(r->shard->disp, &r->d, outcome);
+	disp_attempt_done(r->shard->disp, &r->disp, outcome);
 	slog_decision(SLOG_PICK, "tried again",
-	    "id=%.*s why=%s status=%d tries=%d", STR_ARG(r->name),
-	    outcome == DISP_FAILED ? "failed" : "refused", status, r->d.tries);
+	    "id=%.*s why=%s status=%d tries=%d", STR_ARG(r->request_id),
+	    outcome == DISP_SERVER_ERROR ? "failed" : "refused", status,
+	    r->disp.attempt_count);
 	cnt_add(r->gate->cnt, GC_RETRIES, 1);
 	return true;
 }
@@ -311,8 +318,8 @@
 gate_try_end(struct gate_req *r)
 {
 	leave_owner(r);
-	if (r->d.at != NULL)
-		disp_done(r->shard->disp, &r->d, DISP_OK);
+	if (r->disp.backend != NULL)
+		disp_attempt_done(r->shard->disp, &r->disp, DISP_OK);
 }
 
 /*
@@ -324,36 +331,37 @@
 count_lost_attempts(struct gate_req *r)
 {
 	r->maybe_ran = true;
-	r->d.tries += LOST_ATTEMPTS;
-	r->d.paid = false;
+	r->disp.attempt_count += LOST_ATTEMPTS;
+	r->disp.budget_charged = false;
 }
 
 /* Returns whether the request may be sent to one more backend server. */
 static bool
 has_attempts_left(const struct gate_req *r)
 {
-	return r->d.attempts == 0 || r->d.tries < r->d.attempts;
+	return r->disp.max_attempts == 0 ||
+	    r->disp.attempt_count < r->disp.max_attempts;
 }
 
 static void
 owner_failed(struct gate_req *r, enum err_kind kind)
 {
-	struct gate_peer *p = r->peer;
+	struct gate_peer *p = r->owner;
 
 	leave_owner(r);
-	gate_home_suspect(r->gate, p,
+	gate_owner_suspect(r->gate, p,
 	    kind == ERR_CONNECT ? "no connection" : "the connection broke");
-	if (r->started)
+	if (r->response_started)
 		return;
 	if (kind != ERR_CONNECT)
 		count_lost_attempts(r);
 	if (kind != ERR_CONNECT && !has_attempts_left(r))
-		gate_answer(r, kind, RAN_UNKNOWN, 0);
-	else if ((kind == ERR_CONNECT || r->d.repeatable) &&
-	    r->passes <= HOPS_MAX)
+		gate_respond(r, kind, RAN_UNKNOWN, 0);
+	else if ((kind == ERR_CONNECT || r->disp.repeatable) &&
+	    r->forwards <= HOPS_MAX)
 		route_again(r);
 	else
-		gate_answer(r, kind, gate_req_ran(r), 0);
+		gate_respond(r, kind, gate_req_ran(r), 0);
 }
 
 /*
@@ -364,42 +372,42 @@
 static void
 log_broken_attempt(struct gate_req *r, enum err_kind kind)
 {
-	const struct pick_backend *b = r->d.at;
+	const struct pick_backend *b = r->disp.backend;
 
-	cnt_add(r->gate->cnt, GC_BROKEN, 1);
+	cnt_add(r->gate->cnt, GC_ATTEMPTS_BROKEN, 1);
 	slog_decision(SLOG_PICK, "a try broke off",
 	    "id=%.*s print=" FPRINT_FMT " why=%s service=%.*s backend=%.*s "
 	    "out_ms=%lld beside=%d tries=%d",
-	    STR_ARG(r->name), FPRINT_ARG(r->d.print), err_answer(kind)->name,
-	    STR_ARG(r->service), STR_ARG(b->name),
-	    (long long)((clk_ns(r->gate->clk) - r->d.sent) / NS_MS),
-	    b->inflight - 1, r->d.tries);
+	    STR_ARG(r->request_id), FPRINT_ARG(r->disp.fingerprint),
+	    err_answer(kind)->name, STR_ARG(r->service), STR_ARG(b->name),
+	    (long long)((clk_ns(r->gate->clk) - r->disp.sent_at) / NS_MS),
+	    b->inflight - 1, r->disp.attempt_count);
 }
 
 void
 gate_try_failed(struct gate_req *r, enum err_kind kind)
 {
 	enum disp_outcome outcome =
-	    kind == ERR_CONNECT ? DISP_CONNECT : DISP_CUT;
+	    kind == ERR_CONNECT ? DISP_CONNECT_FAILED : DISP_CONN_BROKEN;
 	bool retried;
 
-	if (r->peer != NULL) {
+	if (r->owner != NULL) {
 		owner_failed(r, kind);
 		return;
 	}
-	if (r->d.at == NULL)
+	if (r->disp.backend == NULL)
 		return;
 	if (kind != ERR_CONNECT)
 		r->maybe_ran = true;
 	log_broken_attempt(r, kind);
-	r->d.may_retry = !r->started;
-	if (!r->started)
+	r->disp.can_retry = !r->response_started;
+	if (!r->response_started)
 		gate_req_event(r, REQ_EV_RETRY);
-	retried = disp_done(r->shard->disp, &r->d, outcome);
+	retried = disp_attempt_done(r->shard->disp, &r->disp, outcome);
 	if (retried)
 		cnt_add(r->gate->cnt, GC_RETRIES, 1);
-	else if (!r->started)
-		gate_answer(r, kind, gate_req_ran(r), 0);
+	else if (!r->response_started)
+		gate_respond(r, kind, gate_req_ran(r), 0);
 }
 
 void
@@ -407,11 +415,11 @@
 {
 	gate_flow_stop(r);
 	leave_owner(r);
-	r->d.may_retry = false;
-	if (r->d.held)
-		disp_forget(r->shard->disp, &r->d);
-	if (r->d.at != NULL)
-		disp_done(r->shard->disp, &r->d, outcome);
+	r->disp.can_retry = false;
+	if (r->disp.queued)
+		disp_cancel(r->shard->disp, &r->disp);
+	if (r->disp.backend != NULL)
+		disp_attempt_done(r->shard->disp, &r->disp, outcome);
 }
 
 /*
@@ -422,17 +430,18 @@
 static bool
 may_reroute(const struct gate_req *r)
 {
-	if (!r->d.repeatable || r->started || r->passes > HOPS_MAX)
+	if (!r->disp.repeatable || r->response_started ||
+	    r->forwards > HOPS_MAX)
 		return false;
-	return r->state != REQ_SENT || r->d.attempts == 0 ||
-	    r->d.tries + LOST_ATTEMPTS < r->d.attempts;
+	return r->state != REQ_SENT || r->disp.max_attempts == 0 ||
+	    r->disp.attempt_count + LOST_ATTEMPTS < r->disp.max_attempts;
 }
 
 /*
  * An owner is suspected: requests there that may be repeated are routed again.
  */
 void
-gate_req_home_lost(struct gate *g, struct gate_peer *p)
+gate_req_owner_lost(struct gate *g, struct gate_peer *p)
 {
 	GPtrArray *lost = g_ptr_array_new();
 	struct gate_req *r;
@@ -441,7 +450,7 @@
 
 	for (link = g->reqs.head; link != NULL; link = link->next) {
 		r = link->data;
-		if (r->peer == p && may_reroute(r))
+		if (r->owner == p && may_reroute(r))
 			g_ptr_array_add(lost, r);
 	}
 	for (i = 0; i < lost->len; i++) {
--- a/gate_word.c
+++ b/gate_word.c
@@ -23,12 +23,12 @@
 static void
 log_malformed(struct gate *g, struct pick_backend *b, struct str id)
 {
-	cnt_add(g->cnt, GC_MALFORMED, 1);
-	if (!b->malformed)
+	cnt_add(g->cnt, GC_MALFORMED_REPORTS, 1);
+	if (!b->malformed_report)
 		slog_decision(SLOG_PICK,
 		    "a backend server says what cannot be read",
 		    "id=%.*s backend=%.*s", STR_ARG(id), STR_ARG(b->name));
-	b->malformed = true;
+	b->malformed_report = true;
 }
 
 static void
@@ -54,7 +54,7 @@
 log_pause(const struct gate_shard *s, struct str backend, struct str id,
     int64_t pause_ms)
 {
-	cnt_add(s->gate->cnt, GC_RESTS, 1);
+	cnt_add(s->gate->cnt, GC_RETRY_AFTER_PAUSES, 1);
 	slog_decision(SLOG_PICK, "a backend server asks for a rest",
 	    "id=%.*s service=%.*s backend=%.*s rest_ms=%lld", STR_ARG(id),
 	    STR_ARG(s->service), STR_ARG(backend), (long long)pause_ms);
@@ -67,10 +67,11 @@
  */
 static bool
 states_quota(const struct gate_req *r, int status, const h2o_header_t *headers,
-    size_t n, const struct dial_word *report)
+    size_t n, const struct dial_report *report)
 {
-	return report->limit > 0 ||
-	    (!report->malformed && !r->gate->dial->refused(status, headers, n));
+	return report->rate_limit > 0 ||
+	    (!report->malformed &&
+		!r->gate->dialect->not_executed(status, headers, n));
 }
 
 /*
@@ -82,14 +83,14 @@
 static void
 store_report(struct gate *g, const struct pick_backend *b)
 {
-	struct word stored = {.backend = b->name,
-	    .born_ms = b->born_ms,
-	    .leaves = b->leaves && g->dial->leaves_for_life,
+	struct backend_report stored = {.backend = b->name,
+	    .started_ms = b->started_ms,
+	    .leaving = b->leaving && g->dialect->leaving_is_final,
 	    .rate = b->quota.rate,
-	    .heard = clk_ns(g->clk),
-	    .rest_until = b->rest_until};
+	    .reported_at = clk_ns(g->clk),
+	    .pause_until = b->pause_until};
 
-	gate_words_hear(g, &stored);
+	gate_reports_add(g, &stored);
 }
 
 /*
@@ -98,44 +99,46 @@
  */
 static void
 apply(struct gate_shard *s, struct pick_backend *b, struct str id,
-    const struct dial_word *report, int64_t sent, bool has_quota)
+    const struct dial_report *report, int64_t sent, bool has_quota)
 {
 	bool changed = false;
 
 	if (report->malformed)
 		log_malformed(s->gate, b, id);
-	if (report->leaves && disp_leaves_told(b))
+	if (report->leaving && disp_leaving_reported(b))
 		log_leaving(s, b->name, id);
-	if (disp_rest_told(s->disp, b, report->rest_ms * NS_MS))
-		log_pause(s, b->name, id, report->rest_ms);
-	if (has_quota && disp_quota_told(s->disp, b, report->limit, sent)) {
-		log_quota(s, b->name, id, report->limit);
+	if (disp_pause_reported(s->disp, b, report->retry_after_ms * NS_MS))
+		log_pause(s, b->name, id, report->retry_after_ms);
+	if (has_quota &&
+	    disp_quota_reported(s->disp, b, report->rate_limit, sent)) {
+		log_quota(s, b->name, id, report->rate_limit);
 		changed = true;
 	}
-	if (changed || report->limit > 0 || report->leaves ||
-	    report->rest_ms > 0)
+	if (changed || report->rate_limit > 0 || report->leaving ||
+	    report->retry_after_ms > 0)
 		store_report(s->gate, b);
 }
 
 void
-gate_word_answer(
+gate_report_from_answer(
     struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
-	const struct dial *dial = r->gate->dial;
+	const struct dialect *dialect = r->gate->dialect;
 	struct gate_shard *s = r->shard;
-	struct dial_word report;
+	struct dial_report report;
 
 	/*
 	 * Another backend server has the address now; the report is about that
 	 * one.
 	 */
-	if (dial->moved(status, headers, n))
+	if (dialect->address_reassigned(status, headers, n))
 		return;
-	dial->word(status, headers, n, &report);
-	if (report.tells_load)
-		disp_load_told(s->disp, r->d.at, report.load.running,
-		    report.load.waiting, report.load.pace);
-	apply(s, r->d.at, r->name, &report, r->d.sent,
+	dialect->parse_report(status, headers, n, &report);
+	if (report.has_load)
+		disp_load_reported(s->disp, r->disp.backend,
+		    report.load.running, report.load.waiting,
+		    report.load.latency_percent);
+	apply(s, r->disp.backend, r->request_id, &report, r->disp.sent_at,
 	    states_quota(r, status, headers, n, &report));
 }
 
@@ -144,14 +147,14 @@
  * not, so a query's response without a limit does not end the limit.
  */
 void
-gate_word_peeked(struct gate_shard *s, struct pick_backend *b,
-    const struct dial_word *report)
+gate_report_from_query(struct gate_shard *s, struct pick_backend *b,
+    const struct dial_report *report)
 {
-	if (disp_cold_told(s->disp, b->name, report->cold_ms * NS_MS))
+	if (disp_cold_reported(s->disp, b->name, report->slow_start_ms * NS_MS))
 		slog_decision(SLOG_PICK,
-		    report->cold_ms > 0 ? "a backend server is cold"
-					: "a backend server is warm",
+		    report->slow_start_ms > 0 ? "a backend server is cold"
+					      : "a backend server is warm",
 		    "backend=%.*s service=%.*s cold_ms=%lld", STR_ARG(b->name),
-		    STR_ARG(s->service), (long long)report->cold_ms);
-	apply(s, b, str_c(NULL), report, b->peeked_at, report->limit > 0);
+		    STR_ARG(s->service), (long long)report->slow_start_ms);
+	apply(s, b, str_c(NULL), report, b->queried_at, report->rate_limit > 0);
 }
--- a/gate_words.c
+++ b/gate_words.c
@@ -30,26 +30,28 @@
 enum { LIST_MAX = 32, MILLI = 1000 };
 
 static void
-encode_report(struct msg_word *out, const struct word *report, int64_t now)
+encode_report(
+    struct msg_report *out, const struct backend_report *report, int64_t now)
 {
-	*out = (struct msg_word){.backend = report->backend,
-	    .born_ms = (uint64_t)report->born_ms,
-	    .leaves = report->leaves,
+	*out = (struct msg_report){.backend = report->backend,
+	    .started_ms = (uint64_t)report->started_ms,
+	    .leaving = report->leaving,
 	    .rate_milli = (uint64_t)llround(report->rate * MILLI),
-	    .heard_ms = (uint64_t)(MAX(now - report->heard, 0) / NS_MS)};
+	    .age_ms = (uint64_t)(MAX(now - report->reported_at, 0) / NS_MS)};
 }
 
 /* An age that exceeds the uptime is read as the uptime. */
 static void
-decode_report(struct word *out, const struct msg_word *in, int64_t now)
+decode_report(
+    struct backend_report *out, const struct msg_report *in, int64_t now)
 {
-	uint64_t age = MIN(in->heard_ms, (uint64_t)(now / NS_MS));
+	uint64_t age = MIN(in->age_ms, (uint64_t)(now / NS_MS));
 
-	*out = (struct word){.backend = in->backend,
-	    .born_ms = (int64_t)MIN(in->born_ms, (uint64_t)INT64_MAX),
-	    .leaves = in->leaves,
+	*out = (struct backend_report){.backend = in->backend,
+	    .started_ms = (int64_t)MIN(in->started_ms, (uint64_t)INT64_MAX),
+	    .leaving = in->leaving,
 	    .rate = (double)in->rate_milli / MILLI,
-	    .heard = now - (int64_t)age * NS_MS};
+	    .reported_at = now - (int64_t)age * NS_MS};
 }
 
 /*
@@ -57,21 +59,21 @@
  * to those of this hall if same_hall is set.
  */
 static void
-send_reports(struct gate *g, const struct word *reports, unsigned n,
+send_reports(struct gate *g, const struct backend_report *reports, unsigned n,
     const struct gate_peer *to, bool same_hall)
 {
-	struct msg_word items[LIST_MAX];
-	struct msg m = {.kind = MSG_WORDS};
+	struct msg_report items[LIST_MAX];
+	struct msg m = {.kind = MSG_REPORTS};
 	const struct gate_peer *p;
 	unsigned i;
 
 	for (i = 0; i < n; i++)
 		encode_report(&items[i], &reports[i], clk_ns(g->clk));
-	m.u.words.words = (struct msg_list){items, n};
+	m.u.reports.reports = (struct msg_list){items, n};
 	for (i = 0; i < g->peers->len; i++) {
 		p = g_ptr_array_index(g->peers, i);
 		if (!p->listed || (to != NULL && to != p) ||
-		    (same_hall && !str_eq(p->info.hall, g->set.hall)))
+		    (same_hall && !str_eq(p->info.hall, g->settings.hall)))
 			continue;
 		wire_send(g->wire, p->info.gate_inbox, &m);
 	}
@@ -80,8 +82,8 @@
 static void
 send_list(struct gate *g, const struct gate_peer *to)
 {
-	struct word reports[LIST_MAX];
-	unsigned n = words_list(g->words, reports, LIST_MAX);
+	struct backend_report reports[LIST_MAX];
+	unsigned n = reports_next(g->reports, reports, LIST_MAX);
 
 	if (n > 0)
 		send_reports(g, reports, n, to, false);
@@ -90,41 +92,41 @@
 static void
 send_changes(struct gate *g)
 {
-	struct word reports[LIST_MAX];
-	unsigned n = words_untold(g->words, reports, LIST_MAX);
+	struct backend_report reports[LIST_MAX];
+	unsigned n = reports_pop_unsent(g->reports, reports, LIST_MAX);
 
 	if (n > 0)
 		send_reports(g, reports, n, NULL, true);
 }
 
 void
-gate_words_hear(struct gate *g, const struct word *report)
+gate_reports_add(struct gate *g, const struct backend_report *report)
 {
-	const struct word *known =
-	    words_find(g->words, report->backend, report->born_ms);
-	bool was_leaving = known != NULL && known->leaves;
+	const struct backend_report *known =
+	    reports_find(g->reports, report->backend, report->started_ms);
+	bool was_leaving = known != NULL && known->leaving;
 
-	if (!words_take(g->words, report))
+	if (!reports_merge(g->reports, report))
 		return;
-	if (report->leaves && !was_leaving)
+	if (report->leaving && !was_leaving)
 		send_reports(g, report, 1, NULL, false);
 	else
-		words_mark(g->words, report->backend);
+		reports_mark_unsent(g->reports, report->backend);
 }
 
 void
-gate_words_tick(struct gate *g, int64_t now)
+gate_reports_tick(struct gate *g, int64_t now)
 {
 	unsigned index;
 
-	if (now - g->words_told >= CHANGES_INTERVAL_NS) {
-		g->words_told = now;
+	if (now - g->reports_sent_at >= CHANGES_INTERVAL_NS) {
+		g->reports_sent_at = now;
 		send_changes(g);
 	}
-	if (now - g->words_turn < LIST_INTERVAL_NS)
+	if (now - g->reports_gossiped_at < LIST_INTERVAL_NS)
 		return;
-	g->words_turn = now;
-	words_tick(g->words, now);
+	g->reports_gossiped_at = now;
+	reports_expire(g->reports, now);
 	if (g->peers->len == 0)
 		return;
 	index = (unsigned)rnd_below(g->rnd, g->peers->len);
@@ -132,29 +134,29 @@
 }
 
 void
-gate_words_take(struct gate *g, const struct msg_words *m)
+gate_reports_merge(struct gate *g, const struct msg_reports *m)
 {
-	const struct msg_word *v = m->words.items;
+	const struct msg_report *v = m->reports.items;
 	int64_t now = clk_ns(g->clk);
 	GHashTableIter it;
-	struct word report;
+	struct backend_report report;
 	bool changed = false;
 	gpointer value;
 	size_t i;
 
-	for (i = 0; i < MIN(m->words.n, (size_t)LIST_MAX); i++) {
+	for (i = 0; i < MIN(m->reports.n, (size_t)LIST_MAX); i++) {
 		decode_report(&report, &v[i], now);
-		changed = words_take(g->words, &report) || changed;
+		changed = reports_merge(g->reports, &report) || changed;
 	}
 	if (!changed)
 		return;
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		disp_words_told(((struct gate_shard *)value)->disp);
+		disp_apply_reports(((struct gate_shard *)value)->disp);
 }
 
 void
-gate_words_greet(struct gate *g, const struct gate_peer *p)
+gate_reports_send_to(struct gate *g, const struct gate_peer *p)
 {
 	send_list(g, p);
 }
--- a/gossip.c
+++ b/gossip.c
@@ -11,7 +11,7 @@
 #include "gossip.h"
 
 enum {
-	GOSSIP_MEMBERS = 12, /* news in one hello */
+	GOSSIP_MEMBERS = 12, /* news in one announcement */
 	SEEDS_ONE_IN = 10, /* of the fleet asks seeds in a round, at rest */
 	SEED_ROUNDS_MAX = 16, /* between questions to seeds that lead nowhere */
 	/*
@@ -50,7 +50,7 @@
 
 struct gossip {
 	struct gossip_ops ops;
-	struct gossip_set set;
+	struct gossip_settings set;
 	struct memb *memb;
 	const struct clk *clk;
 	const struct rnd *rnd;
@@ -106,7 +106,7 @@
 }
 
 void
-gossip_configure(struct gossip *g, const struct gossip_set *set)
+gossip_configure(struct gossip *g, const struct gossip_settings *set)
 {
 	g->set = *set;
 }
@@ -127,7 +127,7 @@
 static size_t
 count_near_hubs(struct gossip *g)
 {
-	const struct memb_info *hubs[MEMB_HUBS];
+	const struct memb_info *hubs[MEMB_HUBS_MAX];
 
 	return memb_hubs(g->memb, own_hall(g), hubs) - is_own_hub(g);
 }
@@ -160,52 +160,54 @@
 {
 	const struct memb_member *some[GOSSIP_MEMBERS];
 	struct memb_info infos[GOSSIP_MEMBERS];
-	struct msg_hello h = {.self = *memb_self(g->memb), .asks = asks};
+	struct msg_announcement h = {
+	    .self = *memb_self(g->memb), .expects_reply = asks};
 	size_t i, n;
 
-	n = memb_news(g->memb, g->rnd, box, some, GOSSIP_MEMBERS);
+	n = memb_collect_updates(g->memb, g->rnd, box, some, GOSSIP_MEMBERS);
 	for (i = 0; i < n; i++)
 		infos[i] = some[i]->info;
-	h.hubs = memb_digest_hubs(g->memb);
-	h.near = memb_digest_hall(g->memb);
-	h.holds = g->ops.holds(g->ops.ctx);
-	h.others.items = infos;
-	h.others.n = n;
+	h.hubs_digest = memb_digest_hubs(g->memb);
+	h.hall_digest = memb_digest_hall(g->memb);
+	h.conf_summary = g->ops.conf_summary(g->ops.ctx);
+	h.updates.items = infos;
+	h.updates.n = n;
 	if (asks) {
-		memb_asked(g->memb, box, clk_ns(g->clk));
+		memb_request_sent(g->memb, box, clk_ns(g->clk));
 		note_question(g, box);
 	}
-	memb_told(g->memb, box);
-	g->ops.hello(g->ops.ctx, to, &h);
+	memb_self_sent(g->memb, box);
+	g->ops.announcement(g->ops.ctx, to, &h);
 }
 
 static void
 send_beat(struct gossip *g, struct str to, struct str box, bool asks)
 {
 	const struct memb_info *self = memb_self(g->memb);
-	struct msg_beat b = {
+	struct msg_heartbeat b = {
 	    .box = self->box,
-	    .boot = self->boot,
-	    .beat = self->beat,
-	    .hubs = memb_digest_hubs(g->memb),
-	    .near = memb_digest_hall(g->memb),
-	    .holds = g->ops.holds(g->ops.ctx),
-	    .asks = asks,
+	    .started_ms = self->started_ms,
+	    .incarnation = self->incarnation,
+	    .hubs_digest = memb_digest_hubs(g->memb),
+	    .hall_digest = memb_digest_hall(g->memb),
+	    .conf_summary = g->ops.conf_summary(g->ops.ctx),
+	    .expects_reply = asks,
 	};
 
 	if (asks) {
-		memb_asked(g->memb, box, clk_ns(g->clk));
+		memb_request_sent(g->memb, box, clk_ns(g->clk));
 		note_question(g, box);
 	}
-	g->ops.beat(g->ops.ctx, to, &b);
+	g->ops.send_heartbeat(g->ops.ctx, to, &b);
 }
 
 /* Does a box know our present word, and have we nothing else to tell it? */
 static bool
 beat_will_do(struct gossip *g, const struct memb_member *m)
 {
-	return memb_alive(m) && m->told == memb_self(g->memb)->beat &&
-	    !memb_has_news(g->memb, m);
+	return memb_is_alive(m) &&
+	    m->sent_incarnation == memb_self(g->memb)->incarnation &&
+	    !memb_has_updates(g->memb, m);
 }
 
 static void
@@ -218,9 +220,9 @@
 }
 
 static bool
-ask(struct gossip *g, enum memb_who who)
+ask(struct gossip *g, enum memb_target who)
 {
-	const struct memb_member *m = memb_ask_next(g->memb, g->rnd, who);
+	const struct memb_member *m = memb_pick_target(g->memb, g->rnd, who);
 
 	if (m != NULL)
 		ask_one(g, m);
@@ -239,8 +241,8 @@
 {
 	struct choice *c = ctx;
 
-	if (m != c->to && memb_is_worth_listing(c->gossip->memb, m) &&
-	    memb_concerns(c->gossip->memb, c->to, m))
+	if (m != c->to && memb_should_list(c->gossip->memb, m) &&
+	    memb_must_know(c->gossip->memb, c->to, m))
 		g_array_append_val(c->infos, m->info);
 }
 
@@ -255,7 +257,7 @@
 	list.members.items = (struct memb_info *)c.infos->data;
 	list.members.n = c.infos->len;
 	if (list.members.n > 0)
-		g->ops.members(g->ops.ctx, to, &list);
+		g->ops.send_members(g->ops.ctx, to, &list);
 	g_array_free(c.infos, TRUE);
 }
 
@@ -274,7 +276,8 @@
 	if (!is_lonely(g)) {
 		g->seeds_gap = 1;
 		g->seeds_at = g->rounds;
-		return rnd_below(g->rnd, SEEDS_ONE_IN * memb_fleet(g->memb)) ==
+		return rnd_below(g->rnd,
+			   SEEDS_ONE_IN * memb_count_fleet_serving(g->memb)) ==
 		    0;
 	}
 	if (g->rounds < g->seeds_at)
@@ -307,7 +310,7 @@
 ask_lost(struct gossip *g)
 {
 	const struct memb_member *some[LOST_MAX];
-	size_t n = memb_ask_lost(g->memb, g->rnd, some, LOST_MAX), i;
+	size_t n = memb_pick_lost(g->memb, g->rnd, some, LOST_MAX), i;
 
 	for (i = 0; i < n; i++)
 		send_hello(g, some[i]->info.inbox, some[i]->info.box, true);
@@ -319,24 +322,25 @@
 {
 	struct memb_info *self = memb_self(g->memb);
 	uint64_t crowd = memb_count_serving(g->memb);
-	uint64_t change =
-	    crowd > self->crowd ? crowd - self->crowd : self->crowd - crowd;
+	uint64_t change = crowd > self->serving_gates
+	    ? crowd - self->serving_gates
+	    : self->serving_gates - crowd;
 
-	if (change * 4 <= self->crowd)
+	if (change * 4 <= self->serving_gates)
 		return;
-	self->crowd = crowd;
-	memb_changed(g->memb);
+	self->serving_gates = crowd;
+	memb_self_changed(g->memb);
 }
 
 uint64_t
-gossip_crowd(struct gossip *g)
+gossip_serving_gates(struct gossip *g)
 {
-	const struct memb_info *hubs[MEMB_HUBS];
+	const struct memb_info *hubs[MEMB_HUBS_MAX];
 	size_t n = memb_hubs(g->memb, own_hall(g), hubs), i;
 	uint64_t crowd = 0;
 
 	for (i = 0; i < n; i++)
-		crowd = MAX(crowd, hubs[i]->crowd);
+		crowd = MAX(crowd, hubs[i]->serving_gates);
 	return crowd;
 }
 
@@ -348,12 +352,13 @@
 round_gap(struct gossip *g)
 {
 	size_t n = count_near_hubs(g) + is_own_hub(g);
-	uint64_t crowd = gossip_crowd(g);
+	uint64_t crowd = gossip_serving_gates(g);
 	uint64_t may = (uint64_t)MAX(n, 1u) * HUB_ASKED_MAX;
 
 	if (is_own_hub(g) || crowd <= may)
-		return g->set.hello_ns;
-	return (int64_t)((double)g->set.hello_ns * (double)crowd / (double)may);
+		return g->set.announce_interval_ns;
+	return (int64_t)((double)g->set.announce_interval_ns * (double)crowd /
+	    (double)may);
 }
 
 static void
@@ -361,18 +366,18 @@
 {
 	bool hub, near;
 
-	g->round_at = now + rnd_jitter(g->rnd, g->set.hello_ns);
+	g->round_at = now + rnd_jitter(g->rnd, g->set.announce_interval_ns);
 	/* No turn is waited for while a hub of our hall is silent. */
-	if (now < g->turn_at && memb_waits_near(g->memb) == 0) {
+	if (now < g->turn_at && memb_oldest_unanswered(g->memb) == 0) {
 		g->round_at = g->turn_at;
 		return;
 	}
 	hub = is_own_hub(g);
-	near = ask(g, MEMB_NEAR_HUB);
+	near = ask(g, MEMB_OWN_HALL_HUB);
 	if (hub)
-		ask(g, MEMB_NEAR_LEAF);
+		ask(g, MEMB_OWN_HALL_LEAF);
 	if (hub || !near)
-		ask(g, MEMB_FAR_HUB);
+		ask(g, MEMB_OTHER_HALL_HUB);
 	else
 		g->answer_at = now + ANSWERS_NS;
 	if (hub)
@@ -388,9 +393,9 @@
 }
 
 bool
-gossip_is_left_alone(const struct gossip *g)
+gossip_has_unresponsive_peer(const struct gossip *g)
 {
-	int64_t since = memb_waits_near(g->memb);
+	int64_t since = memb_oldest_unanswered(g->memb);
 
 	return since != 0 && clk_ns(g->clk) - since >= ANSWERS_NS;
 }
@@ -403,13 +408,13 @@
 }
 
 bool
-gossip_hubs_are_blind(const struct gossip *g)
+gossip_hubs_lost_platform(const struct gossip *g)
 {
 	return g->blind_at != 0 && g->blind_at >= g->waits_since;
 }
 
 void
-gossip_hurry(struct gossip *g)
+gossip_start_round_now(struct gossip *g)
 {
 	g->round_at = g->turn_at = clk_ns(g->clk);
 }
@@ -429,10 +434,10 @@
 	unsigned i;
 
 	g->answer_at = 0;
-	if (!gossip_is_left_alone(g))
+	if (!gossip_has_unresponsive_peer(g))
 		return;
 	for (i = 0; i < OTHERS_ASKED; i++) {
-		m = memb_ask_other(g->memb, g->rnd, MEMB_FAR_HUB);
+		m = memb_pick_responsive(g->memb, g->rnd, MEMB_OTHER_HALL_HUB);
 		if (m == NULL)
 			return;
 		ask_one(g, m);
@@ -464,8 +469,8 @@
 	struct greeting *gr = ctx;
 	struct gossip *g = gr->gossip;
 
-	if (!m->listed || !m->strong || m->heard != 0 || m->info.leaving ||
-	    m->info.inbox.n == 0 ||
+	if (!m->listed || !m->strong || m->last_update != 0 ||
+	    m->info.leaving || m->info.inbox.n == 0 ||
 	    g_hash_table_contains(g->greeted, m->info.box.p))
 		return;
 	gr->near = gr->near || str_eq(m->info.hall, own_hall(g));
@@ -544,7 +549,7 @@
 }
 
 unsigned
-gossip_asked(const struct gossip *g)
+gossip_initial_requests(const struct gossip *g)
 {
 	return g_hash_table_size(g->greeted);
 }
@@ -552,14 +557,14 @@
 static void
 count_heard(void *ctx, const struct memb_member *m)
 {
-	*(unsigned *)ctx += m->heard != 0;
+	*(unsigned *)ctx += m->last_update != 0;
 }
 
 /* Have half of those that were asked told of themselves, if any? */
 static void
 look_settled(struct gossip *g)
 {
-	unsigned heard = 0, asked = gossip_asked(g);
+	unsigned heard = 0, asked = gossip_initial_requests(g);
 
 	if (g->settled || !g->listed)
 		return;
@@ -595,7 +600,7 @@
 
 	g->list_at = 0;
 	if (is_lonely(g)) {
-		in = MIN(g->list_gap, g->set.list_ns);
+		in = MIN(g->list_gap, g->set.list_interval_ns);
 		g->list_gap = MIN(g->list_gap * 2, RELIST_MAX_NS);
 		g->list_at = clk_ns(g->clk) + rnd_jitter(g->rnd, in);
 		return;
@@ -603,14 +608,14 @@
 	g->list_gap = RELIST_NS;
 	if (!is_own_hub(g))
 		return;
-	in = memb_watches(g->memb, memb_self(g->memb)->box, g->set.watchers)
-	    ? g->set.list_ns
-	    : g->set.list_other_ns;
+	in = memb_is_watcher(g->memb, memb_self(g->memb)->box, g->set.watchers)
+	    ? g->set.list_interval_ns
+	    : g->set.hub_list_interval_ns;
 	g->list_at = clk_ns(g->clk) + rnd_jitter(g->rnd, in);
 }
 
 void
-gossip_listed(struct gossip *g)
+gossip_list_received(struct gossip *g)
 {
 	g->fetching = false;
 	g->listed = true;
@@ -624,15 +629,15 @@
 }
 
 bool
-gossip_settled(const struct gossip *g)
+gossip_is_settled(const struct gossip *g)
 {
 	return g->settled;
 }
 
 bool
-gossip_knows_power(const struct gossip *g)
+gossip_knows_relative_power(const struct gossip *g)
 {
-	double power = (double)memb_self(g->memb)->power / MEMB_POWER_UNIT;
+	double power = (double)memb_self(g->memb)->power / MEMB_POWER_ONE_CPU;
 	double patience = (double)PATIENCE_MAX_NS;
 
 	if (power > 0)
@@ -644,7 +649,7 @@
 bool
 gossip_is_hub(struct gossip *g)
 {
-	return is_own_hub(g) && gossip_knows_power(g);
+	return is_own_hub(g) && gossip_knows_relative_power(g);
 }
 
 /* Announcements. */
@@ -661,9 +666,10 @@
 	struct audience *au = ctx;
 	struct gossip *g = au->gossip;
 	bool near = str_eq(m->info.hall, own_hall(g));
-	bool concerned = au->hub ? near || m->rank >= 0 : near && m->rank >= 0;
+	bool concerned =
+	    au->hub ? near || m->hub_rank >= 0 : near && m->hub_rank >= 0;
 
-	if (memb_alive(m) && concerned && m->told < g->announced)
+	if (memb_is_alive(m) && concerned && m->sent_incarnation < g->announced)
 		g_ptr_array_add(au->boxes, (void *)m);
 }
 
@@ -688,7 +694,7 @@
 {
 	int64_t now = clk_ns(g->clk);
 
-	g->announced = memb_self(g->memb)->beat;
+	g->announced = memb_self(g->memb)->incarnation;
 	g->announce_at = now;
 	if (at_once)
 		announce_due(g, now, G_MAXUINT);
@@ -713,12 +719,12 @@
 {
 	if (!memb_is_hub(g->memb, box->box))
 		return;
-	if (!box->blind) {
+	if (!box->platform_unreachable) {
 		g->waits_since = 0;
 		return;
 	}
 	g->blind_at = clk_ns(g->clk);
-	if (g->waits_since == 0 && !memb_has_seeing_hub(g->memb))
+	if (g->waits_since == 0 && !memb_has_hub_with_platform(g->memb))
 		g->waits_since = g->blind_at;
 }
 
@@ -731,7 +737,7 @@
 	size_t i;
 
 	for (i = 0; i < list->n; i++)
-		news = memb_heard(g->memb, &infos[i], now) || news;
+		news = memb_update(g->memb, &infos[i], now) || news;
 	return news;
 }
 
@@ -747,21 +753,22 @@
 }
 
 void
-gossip_take_hello(struct gossip *g, struct str from, const struct msg_hello *h)
+gossip_on_announcement(
+    struct gossip *g, struct str from, const struct msg_announcement *h)
 {
 	int64_t now = clk_ns(g->clk);
 	const struct memb_member *m;
 	bool news;
 
-	memb_answered(g->memb, h->self.box, now);
+	memb_message_received(g->memb, h->self.box, now);
 	note_answer(g, h->self.box);
-	news = memb_heard(g->memb, &h->self, now);
-	news = take_infos(g, &h->others) || news;
+	news = memb_update(g->memb, &h->self, now);
+	news = take_infos(g, &h->updates) || news;
 	note_word(g, &h->self);
 	m = memb_find(g->memb, h->self.box);
-	if (h->asks || (m != NULL && m->told == 0))
+	if (h->expects_reply || (m != NULL && m->sent_incarnation == 0))
 		send_hello(g, from, h->self.box, false);
-	if (differs(g, &h->self, h->hubs, h->near))
+	if (differs(g, &h->self, h->hubs_digest, h->hall_digest))
 		send_members(g, from, h->self.box);
 	if (news)
 		announce_to_new(g);
@@ -773,25 +780,28 @@
  * answer enough.  Else hellos tell what has.
  */
 void
-gossip_take_beat(struct gossip *g, struct str from, const struct msg_beat *b)
+gossip_on_heartbeat(
+    struct gossip *g, struct str from, const struct msg_heartbeat *b)
 {
 	const struct memb_member *m = memb_find(g->memb, b->box);
 
-	memb_answered(g->memb, b->box, clk_ns(g->clk));
+	memb_message_received(g->memb, b->box, clk_ns(g->clk));
 	note_answer(g, b->box);
-	if (m != NULL && memb_alive(m))
+	if (m != NULL && memb_is_alive(m))
 		note_word(g, &m->info);
-	if (m == NULL || !memb_alive(m) || m->info.boot != b->boot ||
-	    m->info.beat != b->beat || differs(g, &m->info, b->hubs, b->near))
+	if (m == NULL || !memb_is_alive(m) ||
+	    m->info.started_ms != b->started_ms ||
+	    m->info.incarnation != b->incarnation ||
+	    differs(g, &m->info, b->hubs_digest, b->hall_digest))
 		send_hello(g, from, b->box, true);
-	else if (b->asks && beat_will_do(g, m))
+	else if (b->expects_reply && beat_will_do(g, m))
 		send_beat(g, from, b->box, false);
-	else if (b->asks)
+	else if (b->expects_reply)
 		send_hello(g, from, b->box, false);
 }
 
 void
-gossip_take_members(struct gossip *g, const struct msg_members *list)
+gossip_on_members(struct gossip *g, const struct msg_members *list)
 {
 	if (take_infos(g, &list->members))
 		announce_to_new(g);
@@ -812,17 +822,18 @@
 	if (!is_lonely(g) && !is_own_hub(g))
 		return;
 	g->fetching = true;
-	g->ops.list(g->ops.ctx);
+	g->ops.list_boxes(g->ops.ctx);
 }
 
 void
-gossip_doubt(struct gossip *g, struct str box)
+gossip_check_suspect(struct gossip *g, struct str box)
 {
 	const struct memb_member *m = memb_find(g->memb, box);
 
-	if (m != NULL && memb_alive(m) && m->asked == 0)
+	if (m != NULL && memb_is_alive(m) && m->unanswered_since == 0)
 		send_hello(g, m->info.inbox, m->info.box, true);
-	g->round_at = MIN(g->round_at, clk_ns(g->clk) + g->set.hello_ns);
+	g->round_at =
+	    MIN(g->round_at, clk_ns(g->clk) + g->set.announce_interval_ns);
 }
 
 int64_t
--- a/home.c
+++ b/home.c
@@ -46,7 +46,7 @@
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		if (gates[i].homes >= most)
+		if (gates[i].nservices >= most)
 			continue;
 		w = home_weight(service, hall, gates[i].box);
 		if (best != NULL && w < best_w)
@@ -58,7 +58,7 @@
 }
 
 void
-home_deal(struct str hall, struct home_service *services, size_t nservices,
+home_assign(struct str hall, struct home_service *services, size_t nservices,
     struct home_gate *gates, size_t ngates)
 {
 	unsigned most;
@@ -72,7 +72,7 @@
 		struct home_gate *gate =
 		    best_gate(hall, services[i].name, gates, ngates, most);
 
-		gate->homes++;
+		gate->nservices++;
 		services[i].gate = gate;
 	}
 }
--- a/home.h
+++ b/home.h
@@ -32,7 +32,7 @@
 /* A gate that may be home. */
 struct home_gate {
 	struct str box;
-	unsigned homes; /* services that it has got so far */
+	unsigned nservices; /* services that it has got so far */
 	void *data; /* the owner's */
 };
 
@@ -43,7 +43,7 @@
 };
 
 /* Deal the services of a hall; their order is changed. */
-void home_deal(struct str hall, struct home_service *, size_t nservices,
+void home_assign(struct str hall, struct home_service *, size_t nservices,
     struct home_gate *, size_t ngates);
 
 /* The weight of a box for a service in a hall. */
--- a/hsrv.c
+++ b/hsrv.c
@@ -52,8 +52,8 @@
 }
 
 struct hsrv *
-hsrv_open(uv_loop_t *loop, struct str address, size_t body_max, hsrv_fn *fn,
-    void *ctx, GError **err)
+hsrv_open(uv_loop_t *loop, struct str address, size_t body_max,
+    hsrv_handler_fn *fn, void *ctx, GError **err)
 {
 	struct hsrv *s = g_new0(struct hsrv, 1);
 	h2o_hostconf_t *host;
@@ -62,8 +62,8 @@
 	struct handler *h;
 
 	s->loop = loop;
-	s->fn = fn;
-	s->fn_ctx = ctx;
+	s->handler = fn;
+	s->handler_ctx = ctx;
 	h2o_config_init(&s->conf);
 	s->conf.max_request_entity_size = body_max;
 	s->conf.server_name = h2o_iovec_init(H2O_STRLIT("fernjunction"));
@@ -76,7 +76,7 @@
 	filter = h2o_create_filter(&host->fallback_path, sizeof(*filter));
 	filter->on_setup_ostream = on_setup;
 	h2o_context_init(&s->ctx, loop, &s->conf);
-	h2o_timeout_init(loop, &s->linger, LINGER_MS);
+	h2o_timeout_init(loop, &s->linger_timeout, LINGER_MS);
 	s->accept.ctx = &s->ctx;
 	s->accept.hosts = s->conf.hosts;
 	if (listen_on(s, address, err))
@@ -133,19 +133,19 @@
 {
 	struct hsrv *s = ((struct handler *)self)->srv;
 
-	s->fn(s->fn_ctx, req);
+	s->handler(s->handler_ctx, req);
 	return 0;
 }
 
 void
-hsrv_side_by_side(struct hsrv *s, hsrv_beside_fn *fn)
+hsrv_allow_concurrent(struct hsrv *s, hsrv_concurrent_fn *fn)
 {
-	s->beside = fn;
+	s->may_run_concurrently = fn;
 }
 
 /* h2o has one time for idle connections and for slow heads of requests. */
 void
-hsrv_limits(struct hsrv *s, size_t body_max, uint64_t idle_ms)
+hsrv_set_limits(struct hsrv *s, size_t body_max, uint64_t idle_ms)
 {
 	s->conf.max_request_entity_size = body_max;
 	s->ctx.http1.req_timeout.timeout = idle_ms;
@@ -161,7 +161,7 @@
 }
 
 void
-hsrv_stop(struct hsrv *s)
+hsrv_stop_accepting(struct hsrv *s)
 {
 	if (!s->listening)
 		return;
@@ -176,7 +176,8 @@
 }
 
 void
-hsrv_answer(h2o_req_t *req, int status, const char *type, struct str body)
+hsrv_send_response(
+    h2o_req_t *req, int status, const char *type, struct str body)
 {
 	h2o_iovec_t copy = h2o_strdup(&req->pool, body.p, body.n);
 
--- a/hsrv.h
+++ b/hsrv.h
@@ -25,25 +25,25 @@
 struct hsrv;
 
 /* Answer a request with h2o; it may be kept and answered later. */
-typedef void hsrv_fn(void *, h2o_req_t *);
+typedef void hsrv_handler_fn(void *, h2o_req_t *);
 
 /* Listen on an address.  NULL and ERR_SYSTEM on failure. */
 struct hsrv *hsrv_open(uv_loop_t *, struct str address, size_t body_max,
-    hsrv_fn *, void *, GError **);
+    hsrv_handler_fn *, void *, GError **);
 
 /*
  * From now on requests that a caller sends before the last one was answered
  * run side by side, where the function says that they may.  What a request
  * says is in its `input`.
  */
-typedef bool hsrv_beside_fn(void *, const h2o_req_t *);
-void hsrv_side_by_side(struct hsrv *, hsrv_beside_fn *);
+typedef bool hsrv_concurrent_fn(void *, const h2o_req_t *);
+void hsrv_allow_concurrent(struct hsrv *, hsrv_concurrent_fn *);
 
 /* Stop taking connections; those that are open go on. */
-void hsrv_stop(struct hsrv *);
+void hsrv_stop_accepting(struct hsrv *);
 
 /* From now on: bytes of a body, and ms that a connection may be idle. */
-void hsrv_limits(struct hsrv *, size_t body_max, uint64_t idle_ms);
+void hsrv_set_limits(struct hsrv *, size_t body_max, uint64_t idle_ms);
 
 /*
  * Close the connections on which nothing has come for so long, in ms: after a
@@ -58,10 +58,11 @@
  * Break a connection of HTTP/1.1 off, whatever is under way on it: for
  * stand-ins that behave badly.
  */
-void hsrv_cut(const h2o_req_t *);
+void hsrv_abort(const h2o_req_t *);
 
 /* Send a short answer: JSON or text. */
-void hsrv_answer(h2o_req_t *, int status, const char *type, struct str body);
+void
+hsrv_send_response(h2o_req_t *, int status, const char *type, struct str body);
 
 /* The value of a request's header; an empty string if it is not there. */
 struct str hsrv_header(const h2o_req_t *, const char *name);
--- a/hsrv_conn.c
+++ b/hsrv_conn.c
@@ -85,16 +85,16 @@
 	memset((char *)c + sizeof(c->super), 0, sizeof(*c) - sizeof(c->super));
 	c->srv = s;
 	c->tcp = tcp;
-	c->ready = flush;
-	c->fresh = true;
+	c->on_output_ready = flush;
+	c->protocol_unknown = true;
 	c->input = g_byte_array_new();
 	c->head = g_string_new(NULL);
-	c->out = g_array_new(FALSE, FALSE, sizeof(uv_buf_t));
-	c->idle.cb = on_idle;
-	c->lingering.cb = on_lingered;
+	c->out_bufs = g_array_new(FALSE, FALSE, sizeof(uv_buf_t));
+	c->idle_timeout.cb = on_idle;
+	c->linger_timeout.cb = on_lingered;
 	tcp->data = c;
-	hsrv_parse_open(c);
-	h2o_timeout_link(s->loop, &s->ctx.http1.req_timeout, &c->idle);
+	hsrv_parser_init(c);
+	h2o_timeout_link(s->loop, &s->ctx.http1.req_timeout, &c->idle_timeout);
 	uv_read_start((uv_stream_t *)tcp, on_alloc, on_read);
 }
 
@@ -104,8 +104,8 @@
 {
 	struct hsrv_req *r;
 
-	h2o_timeout_unlink(&c->idle);
-	h2o_timeout_unlink(&c->lingering);
+	h2o_timeout_unlink(&c->idle_timeout);
+	h2o_timeout_unlink(&c->linger_timeout);
 	while ((r = g_queue_peek_head(&c->reqs)) != NULL)
 		hsrv_req_free(r);
 }
@@ -117,7 +117,7 @@
 
 	g_byte_array_free(c->input, TRUE);
 	g_string_free(c->head, TRUE);
-	g_array_free(c->out, TRUE);
+	g_array_free(c->out_bufs, TRUE);
 	free(tcp);
 	free(c);
 }
@@ -136,15 +136,15 @@
 static void
 on_idle(h2o_timeout_entry_t *e)
 {
-	close_conn(
-	    (struct hsrv_conn *)((char *)e - offsetof(struct hsrv_conn, idle)));
+	close_conn((struct hsrv_conn *)((char *)e -
+	    offsetof(struct hsrv_conn, idle_timeout)));
 }
 
 static void
 on_lingered(h2o_timeout_entry_t *e)
 {
 	close_conn((struct hsrv_conn *)((char *)e -
-	    offsetof(struct hsrv_conn, lingering)));
+	    offsetof(struct hsrv_conn, linger_timeout)));
 }
 
 static void
@@ -155,7 +155,7 @@
 }
 
 void
-hsrv_cut(const h2o_req_t *req)
+hsrv_abort(const h2o_req_t *req)
 {
 	int fd;
 
@@ -173,9 +173,9 @@
 {
 	struct hsrv *s = c->srv;
 
-	c->ending = true;
-	h2o_timeout_unlink(&c->idle);
-	h2o_timeout_link(s->loop, &s->linger, &c->lingering);
+	c->awaiting_peer_close = true;
+	h2o_timeout_unlink(&c->idle_timeout);
+	h2o_timeout_link(s->loop, &s->linger_timeout, &c->linger_timeout);
 	if (uv_shutdown(&c->shutdown, (uv_stream_t *)c->tcp, on_shutdown) != 0)
 		close_conn(c);
 }
@@ -208,8 +208,8 @@
 
 	if (!r->req.http1_is_persistent || c->super.ctx->shutdown_requested ||
 	    ends_by_close(r))
-		c->last = true;
-	if (!c->last)
+		c->no_more_requests = true;
+	if (!c->no_more_requests)
 		return false;
 	drop_unhandled(c);
 	return r->link.next == NULL || ends_by_close(r);
@@ -220,11 +220,11 @@
 {
 	uv_buf_t buf;
 
-	r->head_out = true;
-	r->closes = decide_end(r);
-	hsrv_req_head(r, r->conn->head);
+	r->head_sent = true;
+	r->closes_conn = decide_end(r);
+	hsrv_req_format_head(r, r->conn->head);
 	buf = uv_buf_init(r->conn->head->str, (unsigned)r->conn->head->len);
-	g_array_append_val(r->conn->out, buf);
+	g_array_append_val(r->conn->out_bufs, buf);
 }
 
 /* Write what the first request's answer has ready. */
@@ -234,29 +234,32 @@
 	struct hsrv_req *r = g_queue_peek_head(&c->reqs);
 	uv_buf_t none = uv_buf_init(NULL, 0);
 
-	if (c->closed || c->writing || r == NULL || !r->ready)
+	if (c->closed || c->writing || r == NULL || !r->output_ready)
 		return;
-	r->ready = false;
+	r->output_ready = false;
 	c->writing = true;
-	g_array_set_size(c->out, 0);
-	if (!r->head_out)
+	g_array_set_size(c->out_bufs, 0);
+	if (!r->head_sent)
 		begin_answer(r);
-	g_array_append_vals(c->out, r->bufs->data, r->bufs->len);
-	if (c->out->len == 0)
-		g_array_append_val(c->out, none);
-	g_array_set_size(r->bufs, 0);
-	if (uv_write(&c->write, (uv_stream_t *)c->tcp, (uv_buf_t *)c->out->data,
-		c->out->len, on_written) != 0)
+	g_array_append_vals(c->out_bufs, r->out_bufs->data, r->out_bufs->len);
+	if (c->out_bufs->len == 0)
+		g_array_append_val(c->out_bufs, none);
+	g_array_set_size(r->out_bufs, 0);
+	if (uv_write(&c->write, (uv_stream_t *)c->tcp,
+		(uv_buf_t *)c->out_bufs->data, c->out_bufs->len,
+		on_written) != 0)
 		/* Its owner is in the midst of it: closed a little later. */
-		h2o_timeout_link(c->srv->loop, &c->srv->linger, &c->lingering);
+		h2o_timeout_link(
+		    c->srv->loop, &c->srv->linger_timeout, &c->linger_timeout);
 }
 
 /* The first request is answered: the next one's turn. */
 static void
 finish(struct hsrv_conn *c, struct hsrv_req *r)
 {
-	bool cut = r->state == H2O_SEND_STATE_ERROR;
-	bool ends = r->closes || (c->last && r->link.next == NULL);
+	bool cut = r->send_state == H2O_SEND_STATE_ERROR;
+	bool ends =
+	    r->closes_conn || (c->no_more_requests && r->link.next == NULL);
 
 	hsrv_req_free(r);
 	if (cut)
@@ -282,7 +285,7 @@
 		return;
 	}
 	r = g_queue_peek_head(&c->reqs);
-	if (r->state != H2O_SEND_STATE_IN_PROGRESS)
+	if (r->send_state != H2O_SEND_STATE_IN_PROGRESS)
 		finish(c, r);
 	else
 		h2o_proceed_response(&r->req);
@@ -294,8 +297,8 @@
 {
 	if (g_queue_peek_head(&c->reqs) == r)
 		return true;
-	return c->srv->beside != NULL &&
-	    c->srv->beside(c->srv->fn_ctx, &r->req);
+	return c->srv->may_run_concurrently != NULL &&
+	    c->srv->may_run_concurrently(c->srv->handler_ctx, &r->req);
 }
 
 /* The last request, if nobody has begun with it. */
@@ -318,7 +321,7 @@
 	if (!may_run(c, r))
 		return false;
 	if (!r->req.http1_is_persistent)
-		c->last = true;
+		c->no_more_requests = true;
 	hsrv_req_handle(r);
 	return true;
 }
@@ -331,9 +334,9 @@
 	struct hsrv_req *r = g_queue_peek_head(&c->reqs);
 	uv_buf_t buf = uv_buf_init(text, sizeof(text) - 1);
 
-	if (r == NULL || !r->expects)
+	if (r == NULL || !r->expects_continue)
 		return;
-	r->expects = false;
+	r->expects_continue = false;
 	if (uv_try_write((uv_stream_t *)c->tcp, &buf, 1) != (int)buf.len)
 		close_conn(c);
 }
@@ -343,10 +346,10 @@
 {
 	struct hsrv_req *r = unhandled(c);
 
-	c->last = true;
+	c->no_more_requests = true;
 	if (r == NULL)
 		r = hsrv_req_new(c);
-	hsrv_req_refuse(r);
+	hsrv_req_reject(r);
 }
 
 /* The idle time runs while no request is under way, and for a slow head. */
@@ -356,18 +359,18 @@
 	h2o_timeout_t *time = &c->srv->ctx.http1.req_timeout;
 	struct hsrv_req *r = g_queue_peek_head(&c->reqs);
 
-	if (c->ending || (r != NULL && r->handled))
-		h2o_timeout_unlink(&c->idle);
-	else if (!h2o_timeout_is_linked(&c->idle))
-		h2o_timeout_link(c->srv->loop, time, &c->idle);
+	if (c->awaiting_peer_close || (r != NULL && r->handled))
+		h2o_timeout_unlink(&c->idle_timeout);
+	else if (!h2o_timeout_is_linked(&c->idle_timeout))
+		h2o_timeout_link(c->srv->loop, time, &c->idle_timeout);
 }
 
 static void
 resume(struct hsrv_conn *c)
 {
-	if (c->closed || !c->paused || c->input->len >= INPUT_MAX)
+	if (c->closed || !c->reading_paused || c->input->len >= INPUT_MAX)
 		return;
-	c->paused = false;
+	c->reading_paused = false;
 	uv_read_start((uv_stream_t *)c->tcp, on_alloc, on_read);
 }
 
@@ -375,9 +378,9 @@
 static void
 advance(struct hsrv_conn *c)
 {
-	while (!c->closed && run_next(c) && !c->last && c->input->len > 0 &&
-	    c->reqs.length < BESIDE_MAX) {
-		if (hsrv_parse(c))
+	while (!c->closed && run_next(c) && !c->no_more_requests &&
+	    c->input->len > 0 && c->reqs.length < BESIDE_MAX) {
+		if (hsrv_parse_request(c))
 			continue;
 		refuse(c);
 		break;
@@ -412,7 +415,7 @@
 	drop_reqs(c);
 	g_byte_array_free(c->input, TRUE);
 	g_string_free(c->head, TRUE);
-	g_array_free(c->out, TRUE);
+	g_array_free(c->out_bufs, TRUE);
 	free(c);
 	h2o_accept(&s->accept,
 	    h2o_uv_socket_create((uv_stream_t *)tcp, (uv_close_cb)free));
@@ -426,7 +429,7 @@
 	ssize_t n;
 	int fd;
 
-	c->fresh = false;
+	c->protocol_unknown = false;
 	uv_fileno((uv_handle_t *)c->tcp, &fd);
 	n = recv(fd, head, sizeof(head), MSG_PEEK | MSG_DONTWAIT);
 	if (n > 0 && is_http2(head, (size_t)n))
@@ -440,8 +443,8 @@
 	struct hsrv_conn *c = tcp->data;
 
 	(void)n;
-	*buf = uv_buf_init(c->srv->input, sizeof(c->srv->input));
-	if (c->fresh)
+	*buf = uv_buf_init(c->srv->read_buf, sizeof(c->srv->read_buf));
+	if (c->protocol_unknown)
 		buf->len = 0;
 }
 
@@ -458,11 +461,11 @@
 		close_conn(c);
 		return;
 	}
-	if (c->ending || n == 0)
+	if (c->awaiting_peer_close || n == 0)
 		return;
 	g_byte_array_append(c->input, (const guint8 *)buf->base, (guint)n);
 	if (c->input->len >= INPUT_MAX) {
-		c->paused = true;
+		c->reading_paused = true;
 		uv_read_stop(tcp);
 	}
 	advance(c);
--- a/hsrv_parse.c
+++ b/hsrv_parse.c
@@ -35,7 +35,7 @@
 static struct hsrv_req *
 reading(http_parser *p)
 {
-	return ((struct hsrv_conn *)p->data)->reading;
+	return ((struct hsrv_conn *)p->data)->parsing;
 }
 
 static int
@@ -43,14 +43,14 @@
 {
 	struct hsrv_conn *c = p->data;
 
-	c->reading = hsrv_req_new(c);
+	c->parsing = hsrv_req_new(c);
 	return 0;
 }
 
 static int
 on_url(http_parser *p, const char *at, size_t n)
 {
-	g_string_append_len(reading(p)->text, at, (gssize)n);
+	g_string_append_len(reading(p)->head_text, at, (gssize)n);
 	return 0;
 }
 
@@ -61,11 +61,11 @@
 static void
 take_piece(struct hsrv_req *r, bool name, const char *at, size_t n)
 {
-	gsize end = r->text->len;
+	gsize end = r->head_text->len;
 
-	if ((r->ends->len % 2 == 0) == name)
-		g_array_append_val(r->ends, end);
-	g_string_append_len(r->text, at, (gssize)n);
+	if ((r->offsets->len % 2 == 0) == name)
+		g_array_append_val(r->offsets, end);
+	g_string_append_len(r->head_text, at, (gssize)n);
 }
 
 static int
@@ -89,7 +89,7 @@
 	if (token == H2O_TOKEN_HOST)
 		r->req.input.authority = value;
 	else if (token == H2O_TOKEN_EXPECT)
-		r->expects = h2o_lcstris(
+		r->expects_continue = h2o_lcstris(
 		    value.base, value.len, H2O_STRLIT("100-continue"));
 }
 
@@ -116,9 +116,9 @@
 static char *
 begin_of(const struct hsrv_req *r, h2o_iovec_t text, guint i)
 {
-	if (i >= r->ends->len)
+	if (i >= r->offsets->len)
 		return text.base + text.len;
-	return text.base + g_array_index(r->ends, gsize, i);
+	return text.base + g_array_index(r->offsets, gsize, i);
 }
 
 static void
@@ -127,7 +127,7 @@
 	char *name, *value, *end;
 	guint i;
 
-	for (i = 0; i + 1 < r->ends->len; i += 2) {
+	for (i = 0; i + 1 < r->offsets->len; i += 2) {
 		name = begin_of(r, text, i);
 		value = begin_of(r, text, i + 1);
 		end = begin_of(r, text, i + 2);
@@ -159,7 +159,7 @@
 	const char *method = http_method_str((enum http_method)p->method);
 	h2o_iovec_t text;
 
-	text = h2o_strdup(&r->req.pool, r->text->str, r->text->len);
+	text = h2o_strdup(&r->req.pool, r->head_text->str, r->head_text->len);
 	r->req.input.method = h2o_iovec_init(method, strlen(method));
 	r->req.version = p->http_major << 8 | p->http_minor;
 	r->req.http1_is_persistent = http_should_keep_alive(p) != 0;
@@ -204,21 +204,21 @@
 	struct hsrv_req *r = reading(p);
 
 	r->complete = true;
-	r->expects = false;
-	((struct hsrv_conn *)p->data)->reading = NULL;
+	r->expects_continue = false;
+	((struct hsrv_conn *)p->data)->parsing = NULL;
 	http_parser_pause(p, 1);
 	return 0;
 }
 
 void
-hsrv_parse_open(struct hsrv_conn *c)
+hsrv_parser_init(struct hsrv_conn *c)
 {
 	http_parser_init(&c->parser, HTTP_REQUEST);
 	c->parser.data = c;
 }
 
 bool
-hsrv_parse(struct hsrv_conn *c)
+hsrv_parse_request(struct hsrv_conn *c)
 {
 	size_t n;
 
--- a/hsrv_req.c
+++ b/hsrv_req.c
@@ -21,8 +21,8 @@
 on_send(h2o_ostream_t *out, h2o_req_t *req, h2o_iovec_t *bufs, size_t n,
     h2o_send_state_t state)
 {
-	struct hsrv_req *r =
-	    (struct hsrv_req *)((char *)out - offsetof(struct hsrv_req, out));
+	struct hsrv_req *r = (struct hsrv_req *)((char *)out -
+	    offsetof(struct hsrv_req, ostream));
 	uv_buf_t buf;
 	size_t i;
 
@@ -32,11 +32,11 @@
 	for (i = 0; i < n; i++) {
 		buf = uv_buf_init(bufs[i].base, (unsigned)bufs[i].len);
 		if (buf.len > 0)
-			g_array_append_val(r->bufs, buf);
+			g_array_append_val(r->out_bufs, buf);
 	}
-	r->state = state;
-	r->ready = true;
-	r->conn->ready(r->conn);
+	r->send_state = state;
+	r->output_ready = true;
+	r->conn->on_output_ready(r->conn);
 }
 
 struct hsrv_req *
@@ -45,12 +45,12 @@
 	struct hsrv_req *r = g_new0(struct hsrv_req, 1);
 
 	h2o_init_request(&r->req, &c->super, NULL);
-	r->out.do_send = on_send;
-	r->req._ostr_top = &r->out;
+	r->ostream.do_send = on_send;
+	r->req._ostr_top = &r->ostream;
 	r->conn = c;
-	r->text = g_string_new(NULL);
-	r->ends = g_array_new(FALSE, FALSE, sizeof(gsize));
-	r->bufs = g_array_new(FALSE, FALSE, sizeof(uv_buf_t));
+	r->head_text = g_string_new(NULL);
+	r->offsets = g_array_new(FALSE, FALSE, sizeof(gsize));
+	r->out_bufs = g_array_new(FALSE, FALSE, sizeof(uv_buf_t));
 	r->link.data = r;
 	g_queue_push_tail_link(&c->reqs, &r->link);
 	return r;
@@ -60,12 +60,12 @@
 hsrv_req_free(struct hsrv_req *r)
 {
 	g_queue_unlink(&r->conn->reqs, &r->link);
-	if (r->conn->reading == r)
-		r->conn->reading = NULL;
+	if (r->conn->parsing == r)
+		r->conn->parsing = NULL;
 	h2o_dispose_request(&r->req);
-	g_string_free(r->text, TRUE);
-	g_array_free(r->ends, TRUE);
-	g_array_free(r->bufs, TRUE);
+	g_string_free(r->head_text, TRUE);
+	g_array_free(r->offsets, TRUE);
+	g_array_free(r->out_bufs, TRUE);
 	if (r->body != NULL)
 		g_byte_array_free(r->body, TRUE);
 	g_free(r);
@@ -82,7 +82,7 @@
 
 /* It cannot be read to its end. */
 void
-hsrv_req_refuse(struct hsrv_req *r)
+hsrv_req_reject(struct hsrv_req *r)
 {
 	r->handled = true;
 	r->req.http1_is_persistent = 0;
@@ -106,14 +106,14 @@
 }
 
 void
-hsrv_req_head(const struct hsrv_req *r, GString *to)
+hsrv_req_format_head(const struct hsrv_req *r, GString *to)
 {
 	const h2o_res_t *res = &r->req.res;
 	const h2o_timestamp_t *at = &r->req.processed_at;
 	size_t i;
 
 	g_string_printf(to, "HTTP/1.1 %d %s\r\nconnection: %s\r\n", res->status,
-	    res->reason, r->closes ? "close" : "keep-alive");
+	    res->reason, r->closes_conn ? "close" : "keep-alive");
 	append(to, h2o_iovec_init(H2O_STRLIT("server: fernjunction\r\n")));
 	if (at->str != NULL)
 		g_string_append_printf(to, "date: %s\r\n", at->str->rfc1123);
--- a/libgate.h
+++ b/libgate.h
@@ -32,7 +32,7 @@
 #include "up.h"
 
 /* Contents of ferngate's settings file; ferngate(8) describes each key. */
-struct gate_set {
+struct gate_settings {
 	struct str box;
 	struct str hall;
 	struct str listen;
@@ -55,7 +55,7 @@
 	int64_t ping_wait_ms;
 	json_t *regions; /* maps the name of a hall to its region */
 	struct str bounds; /* the platform's limits, unparsed */
-	struct str form; /* name of the platform adapter */
+	struct str platform_form; /* name of the platform adapter */
 };
 
 /*
@@ -86,39 +86,39 @@
 /* Metrics; descs[] in gate_stat.c has their names and help texts. */
 enum gate_cnt {
 	GC_REQUESTS,
-	GC_PASSED_IN,
-	GC_PASSED_OUT,
-	GC_ANSWERED,
+	GC_FORWARDED_IN,
+	GC_FORWARDED_OUT,
+	GC_RESPONSES_COMPLETE,
 	GC_REFUSED,
 	GC_RETRIES,
-	GC_STOPPED,
-	GC_BROKEN,
-	GC_ENDED,
-	GC_AGAINST,
-	GC_RESTS,
-	GC_MALFORMED,
+	GC_ATTEMPTS_STOPPED,
+	GC_ATTEMPTS_BROKEN,
+	GC_SERVERS_CRASHED,
+	GC_REPORT_OVERRIDDEN,
+	GC_RETRY_AFTER_PAUSES,
+	GC_MALFORMED_REPORTS,
 	GC_POISON,
 	GC_NO_KEY,
 	GC_OVER_RATE,
-	GC_ASKS,
-	GC_ASKS_LOST,
-	GC_CUT,
-	GC_GONE,
+	GC_RATE_QUERIES,
+	GC_RATE_QUERIES_LOST,
+	GC_RESPONSES_CUT,
+	GC_CALLERS_GONE,
 	GC_CLAIMS,
 	GC_CLAIM_CALLS,
 	GC_DUPLICATES,
-	GC_SUSPECTS,
+	GC_OWNERS_SUSPECTED,
 	GC_BOXES,
 	GC_INFLIGHT,
 	GC_OBJECTS,
 	GC_LOG_DROPPED,
 	GC_CONTROL_IN,
 	GC_CONTROL_OUT,
-	GC_PEEKS,
-	GC_PEEKS_LOST,
+	GC_LOAD_QUERIES,
+	GC_LOAD_QUERIES_LOST,
 	GC_EVACUATED,
 	GC_CONF_AGE,
-	GC_REVERTS,
+	GC_VERSIONS_REVERTED,
 	GC_LATENCY,
 	GC_HELD,
 	GC_MAX
@@ -129,8 +129,9 @@
 	struct memb_info info;
 	/* No request is forwarded to it before this time. */
 	int64_t suspect_until;
-	int64_t heard; /* time of the last sign of life, monotonic ns */
-	int64_t pinged; /* time of the unanswered ping, monotonic ns; 0: none */
+	int64_t last_seen; /* time of the last sign of life, monotonic ns */
+	int64_t
+	    ping_sent; /* time of the unanswered ping, monotonic ns; 0: none */
 	unsigned outstanding; /* requests forwarded to it and not finished */
 	bool listed; /* it is in the agent's latest member list */
 };
@@ -144,29 +145,30 @@
 	struct str service;
 	struct str hall;
 	struct disp *disp;
-	struct disp_room told; /* capacity sent in the last summary */
-	int64_t told_at;
-	bool home; /* this gate takes itself for the shard's owner */
+	struct disp_capacity
+	    sent_capacity; /* capacity sent in the last summary */
+	int64_t capacity_sent_at;
+	bool is_owner; /* this gate takes itself for the shard's owner */
 	/* The rest belongs to gate_roll.c. */
 	struct roll *roll; /* rollout of the service; NULL: none */
-	enum roll_state roll_seen; /* state that was logged last */
+	enum roll_state roll_logged_state; /* state that was logged last */
 	/*
 	 * Times of the last report to the other owners and of the last write to
 	 * the platform, monotonic ns.
 	 */
-	int64_t roll_told, roll_written;
+	int64_t roll_sent_at, roll_written_at;
 	/* Write to the platform in flight; NULL: none. */
 	struct plat_call *roll_call;
 	/* Version of the rollout object in the response to the last write. */
 	uint64_t roll_version;
-	enum obj_rolled roll_state; /* state in the last write */
+	enum obj_rollout_state roll_written_state; /* state in the last write */
 };
 
 struct gate {
-	struct gate_set set;
-	char *file; /* path of the settings file */
+	struct gate_settings settings;
+	char *settings_file; /* path of the settings file */
 	/* Table of the settings file; NULL: the whole file. */
-	const char *section;
+	const char *settings_section;
 	struct reload reload;
 	uv_loop_t *loop;
 	const struct clk *clk;
@@ -174,66 +176,67 @@
 	struct tmr tmr;
 	struct tmr_item tick;
 	/* Time of the last report to the agent, monotonic ns. */
-	int64_t reported;
+	int64_t last_report;
 	uv_signal_t term, intr;
 	struct up *up;
 	struct wire *wire;
 	struct plat *plat;
-	const struct plat_form *form;
-	const struct dial *dial;
+	const struct plat_adapter *form;
+	const struct dialect *dialect;
 	struct plat_bounds bounds;
 	/* Shared with the agent if it is set before gate_open(). */
 	struct conf *conf;
 	struct sync sync;
 	struct cnt *cnt;
 	struct chart *chart_backend, *chart_request, *chart_box, *chart_roll;
-	struct hsrv *callers, *pass, *admin;
+	struct hsrv *caller_server, *forward_server, *admin_server;
 	struct route_table *routes;
 	struct tmr_item rebuild;
-	GPtrArray *unrouted; /* struct change *, not yet in the routes */
+	GPtrArray *pending_changes; /* struct change *, not yet in the routes */
 	/* Box or platform that the rules in the routes came from. */
-	struct str rules_from;
+	struct str rules_source;
 	/*
 	 * When the routes got these rules, monotonic ns; 0: there are none yet.
 	 */
 	int64_t rules_since;
 	/* Maps char * key of a rule to uint64_t *, its last version. */
-	GHashTable *versions;
+	GHashTable *rule_versions;
 	GHashTable *shards; /* char * "service/hall" to struct gate_shard * */
 	GPtrArray *peers; /* struct gate_peer *, the hubs of all halls */
-	GHashTable *homes; /* char * "service/hall" to struct shard_owner * */
-	bool hub; /* this box is a hub of its hall, so it may own shards */
+	GHashTable *owners; /* char * "service/hall" to struct shard_owner * */
+	bool is_hub; /* this box is a hub of its hall, so it may own shards */
 	struct poison *poison; /* requests that crash backend servers */
-	int64_t poison_told; /* last periodic list to a hub, monotonic ns */
+	int64_t poison_sent_at; /* last periodic list to a hub, monotonic ns */
 	/* What backend servers reported about themselves. */
-	struct words *words;
+	struct backend_reports *reports;
 	/*
 	 * Times of the last changes sent to the hubs of this hall, and of the
 	 * last list sent to any hub, monotonic ns.
 	 */
-	int64_t words_told, words_turn;
+	int64_t reports_sent_at, reports_gossiped_at;
 	struct limit_table *caller_limits;
 	/* Requests that this gate refused as owner of their shards. */
 	struct returns *returns;
-	GHashTable *callers_of; /* char * "service/kind" to struct callers * */
+	GHashTable
+	    *callers_by_kind; /* char * "service/kind" to struct callers * */
 	GHashTable *rule_limits; /* char * name of a rule to struct limit * */
 	/* The next three belong to gate_rate.c. */
 	/*
 	 * Maps char * customer to struct bucket *, for customers that this gate
 	 * owns.
 	 */
-	GHashTable *rates;
+	GHashTable *customer_buckets;
 	/*
 	 * Maps the number of a query to its struct gate_req *.  The key, a
 	 * uint64_t, is part of the request.
 	 */
-	GHashTable *asks;
+	GHashTable *rate_queries;
 	/* Hash of the hubs and the routes that customers were assigned by. */
-	uint64_t rates_seen;
+	uint64_t rate_owners_hash;
 	GQueue reqs; /* struct gate_req *, all that are not disposed of */
 	uint64_t boot, seq;
-	int64_t last_tick, last_pass, leaving_since;
-	unsigned boxes; /* gates that are alive, including this one */
+	int64_t last_tick, last_forwarded_in, leaving_since;
+	unsigned live_boxes; /* gates that are alive, including this one */
 	enum box_state state;
 };
 
@@ -260,47 +263,47 @@
  * that are built from it.
  */
 bool gate_conf_open(struct gate *, GError **);
-void gate_conf_take(void *, const struct msg *);
+void gate_conf_on_message(void *, const struct msg *);
 void gate_conf_report(struct gate *);
-long long gate_conf_held_ms(const struct gate *);
-void gate_conf_doubt(struct gate *, struct str box);
-void gate_conf_homes(struct gate *);
+long long gate_conf_in_force_ms(const struct gate *);
+void gate_conf_report_suspect(struct gate *, struct str box);
+void gate_conf_update_owners(struct gate *);
 struct gate_shard *
 gate_conf_shard(struct gate *, const struct route_service *, struct str hall);
 
 /*
- * gate_home.c: which gate owns a shard.  Functions that return an owner return
+ * gate_owner.c: which gate owns a shard.  Functions that return an owner return
  * NULL and set *self if it is this gate.
  */
 struct gate_peer *
-gate_home(struct gate *, struct str service, struct str hall, bool *self);
+gate_owner(struct gate *, struct str service, struct str hall, bool *self);
 /*
  * The owner of a name, chosen among the hubs of all halls. nth is 0 for the
  * first choice, 1 for the next one.
  */
 struct gate_peer *
-gate_home_by_name(struct gate *, struct str name, unsigned nth, bool *self);
-uint64_t gate_home_hubs(struct gate *);
-struct gate_peer *gate_home_for(struct gate *, struct str service,
+gate_owner_by_name(struct gate *, struct str name, unsigned nth, bool *self);
+uint64_t gate_owner_hash_hubs(struct gate *);
+struct gate_peer *gate_owner_in_regions(struct gate *, struct str service,
     struct str hall, struct str regions, bool *self);
-void gate_home_members(struct gate *, const struct msg_members *);
-void gate_home_deal(struct gate *);
-void gate_home_suspect(struct gate *, struct gate_peer *, const char *why);
-void gate_home_heard(struct gate *, struct str inbox);
-void gate_home_tell(struct gate *, const struct gate_shard *,
+void gate_owner_set_members(struct gate *, const struct msg_members *);
+void gate_owner_assign(struct gate *);
+void gate_owner_suspect(struct gate *, struct gate_peer *, const char *why);
+void gate_owner_mark_alive(struct gate *, struct str inbox);
+void gate_owner_send_others(struct gate *, const struct gate_shard *,
     const struct route_service *, struct msg *);
-void gate_home_tick(struct gate *, int64_t now);
-void gate_home_summary(struct gate *, const struct msg_summary *);
-void gate_home_ping(struct gate *, const struct msg *);
+void gate_owner_tick(struct gate *, int64_t now);
+void gate_owner_on_summary(struct gate *, const struct msg_capacity *);
+void gate_owner_on_ping(struct gate *, const struct msg *);
 struct gate_shard *
 gate_conf_find_shard(struct gate *, struct str service, struct str hall);
 
 /* gate_req.c: the life cycle of a request. */
 struct gate_req;
 bool gate_req_open(struct gate *, GError **);
-void gate_req_caller(void *, h2o_req_t *);
-void gate_req_passed(void *, h2o_req_t *);
-void gate_req_home_lost(struct gate *, struct gate_peer *);
+void gate_req_from_caller(void *, h2o_req_t *);
+void gate_req_from_gate(void *, h2o_req_t *);
+void gate_req_owner_lost(struct gate *, struct gate_peer *);
 unsigned gate_req_count(const struct gate *);
 /* Before the gate exits: answers the requests that have no response yet. */
 void gate_req_end_all(struct gate *);
@@ -309,7 +312,7 @@
  * gate_admit.c: whether a request may run concurrently with others of its
  * connection.
  */
-bool gate_admit_beside(void *, const h2o_req_t *);
+bool gate_admit_pipelined(void *, const h2o_req_t *);
 extern const struct disp_ops gate_req_disp_ops;
 
 /*
@@ -340,24 +343,24 @@
  */
 void gate_poison_open(struct gate *);
 void gate_poison_tick(struct gate *, int64_t now);
-void gate_poison_take(struct gate *, const struct msg_suspects *);
+void gate_poison_merge(struct gate *, const struct msg_suspects *);
 /*
  * Sends all that is known to a hub that has started, or was not known before.
  */
-void gate_poison_greet(struct gate *, const struct gate_peer *);
+void gate_poison_send_to(struct gate *, const struct gate_peer *);
 
 /* gate_peek.c: load queries to backend servers. */
-void gate_peek_start(struct gate_shard *, const struct pick_backend *);
+void gate_load_query_start(struct gate_shard *, const struct pick_backend *);
 
 /* gate_word.c: what backend servers report about themselves. */
-void gate_word_peeked(
-    struct gate_shard *, struct pick_backend *, const struct dial_word *);
+void gate_report_from_query(
+    struct gate_shard *, struct pick_backend *, const struct dial_report *);
 
 /* gate_words.c: exchanges these reports with other gates. */
-void gate_words_hear(struct gate *, const struct word *);
-void gate_words_tick(struct gate *, int64_t now);
-void gate_words_take(struct gate *, const struct msg_words *);
-void gate_words_greet(struct gate *, const struct gate_peer *);
+void gate_reports_add(struct gate *, const struct backend_report *);
+void gate_reports_tick(struct gate *, int64_t now);
+void gate_reports_merge(struct gate *, const struct msg_reports *);
+void gate_reports_send_to(struct gate *, const struct gate_peer *);
 
 /*
  * gate_roll.c: rollouts, reported to the other owners of the service's shards
@@ -367,13 +370,14 @@
     struct gate *, struct gate_shard *, const struct route_service *);
 void gate_roll_close(struct gate_shard *);
 void gate_roll_tick(struct gate *, int64_t now);
-void gate_roll_take(struct gate *, const struct msg_roll *);
+void gate_roll_merge(struct gate *, const struct msg_rollout *);
 
 /* gate_rate.c: rate limits of customers, each counted at one gate. */
 void gate_rate_open(struct gate *);
-void gate_rate_homes(struct gate *);
-void gate_rate_answer(struct gate *, struct str from, const struct msg_ask *);
-void gate_rate_granted(struct gate *, const struct msg_grant *);
+void gate_rate_update_owned(struct gate *);
+void
+gate_rate_answer(struct gate *, struct str from, const struct msg_rate_query *);
+void gate_rate_granted(struct gate *, const struct msg_rate_grant *);
 
 /* gate_stat.c: metrics and the admin pages. */
 struct cnt *gate_stat_open(void);
--- a/libreq.h
+++ b/libreq.h
@@ -44,52 +44,55 @@
 
 /* A request in the gate, from its arrival until h2o disposes of it. */
 struct gate_req {
-	struct disp_req d;
+	struct disp_req disp;
 	h2o_generator_t gen;
 	struct gate *gate;
 	h2o_req_t *req; /* NULL once h2o has disposed of it */
 	GList link; /* in gate->reqs */
-	uint64_t id;
+	uint64_t seq;
 	enum req_state state;
 	int hops; /* gates that forwarded it before this one */
 	/* Times that it was forwarded to an owner, HOPS_MAX + 1 at most. */
-	int passes;
+	int forwards;
 	/* From its caller, or else a number; a copy, for the log. */
-	struct str name;
+	struct str request_id;
 	bool maybe_ran; /* an earlier attempt may have run */
 	/* The response being sent says that the request did not run. */
-	bool refused;
-	bool keyed;
-	bool early; /* waits for the first configuration */
-	bool passed; /* it came from another gate */
-	int64_t began;
-	int64_t left_ms; /* time limit that its caller gave; 0: none */
+	bool response_not_run;
+	bool has_idempotency_key;
+	bool waits_for_conf; /* waits for the first configuration */
+	bool forwarded; /* it came from another gate */
+	int64_t arrived_at;
+	int64_t
+	    caller_deadline_ms; /* time limit that its caller gave; 0: none */
 	/*
 	 * Time that its caller had waited before, as far as is known; 0: none.
 	 */
 	int64_t waited_ms;
-	uint64_t conf; /* version of the routes that it was admitted by */
+	uint64_t
+	    conf_version; /* version of the routes that it was admitted by */
 	struct str rule, service; /* copies */
 	struct str hall; /* hall of the shard that it is assigned to; a copy */
 	struct str regions; /* regions that may serve it; a copy */
 	struct str customer; /* customer that it is made for; a copy */
 	/* gate_rate.c: number of the rate query in flight; 0: none */
-	uint64_t ask;
-	unsigned asks; /* gates that were queried */
+	uint64_t rate_query;
+	unsigned rate_owners_tried; /* gates that were queried */
 	/* Timeout of the query, or the wait that was granted. */
-	struct tmr_item ask_timer;
+	struct tmr_item rate_timer;
 	bool allow_outage;
 	struct gate_claim *claim;
 	struct gate_shard *shard; /* where it is queued or was sent from */
-	struct gate_peer *peer; /* owner that it was forwarded to; NULL: none */
+	struct gate_peer
+	    *owner; /* owner that it was forwarded to; NULL: none */
 	struct up_call *call;
 	/* The deadline; once the response has begun, the silence timeout. */
 	struct tmr_item timer;
 	/* The response being sent to the caller. */
-	h2o_doublebuffer_t sending;
+	h2o_doublebuffer_t send_buffer;
 	/* Body left to send after the upstream call has ended. */
-	h2o_buffer_t *rest;
-	bool started, ended, cut, final;
+	h2o_buffer_t *unsent_body;
+	bool response_started, body_ended, body_cut, final_sent;
 };
 
 /*
@@ -97,44 +100,46 @@
  * sent as one header, which is never accepted from callers nor sent to backend
  * servers.
  */
-struct gate_pass {
+struct gate_forward {
 	unsigned hops; /* gates that have forwarded it, the sender included */
 	bool bulk, repeatable, retried;
-	bool paid; /* its attempts so far are within a retry budget */
+	bool within_retry_budget; /* its attempts so far are within a retry
+				     budget */
 	unsigned tries; /* backend servers that it was sent to */
-	unsigned attempts; /* how many it may be sent to; 0: the default */
+	unsigned max_attempts; /* how many it may be sent to; 0: the default */
 	unsigned rank;
 	unsigned kind; /* requests of one kind take about the same time */
 	int64_t target_ms; /* time left until its target; 0: none */
-	int64_t left_ms; /* time limit that its caller gave; 0: none */
+	int64_t
+	    caller_deadline_ms; /* time limit that its caller gave; 0: none */
 	/*
 	 * Time its caller had waited before, already subtracted from target_ms.
 	 */
 	int64_t waited_ms;
-	struct fprint print; /* all zero: unknown */
+	struct fprint fingerprint; /* all zero: unknown */
 	/* A backend server crashed while running it, see poison.h. */
 	bool suspect;
 	/* Where it is to go.  These strings point into the header. */
-	struct str hall; /* hall whose slots it is to use */
+	struct str target_hall; /* hall whose slots it is to use */
 	struct str regions; /* regions that may serve it; empty: any */
 	struct str customer; /* customer that it is made for; empty: unknown */
 	struct str service;
 };
 
-#define GATE_PASS_HEADER "fern-pass"
+#define GATE_FORWARD_HEADER "fern-pass"
 /* Longest such header in bytes, with its NUL. */
-enum { GATE_PASS_MAX = 600 };
+enum { GATE_FORWARD_MAX = 600 };
 
-/* gate_pass.c */
-bool gate_pass_read(struct str, struct gate_pass *);
-size_t gate_pass_write(const struct gate_pass *, char *, size_t);
+/* gate_forward.c */
+bool gate_forward_read(struct str, struct gate_forward *);
+size_t gate_forward_write(const struct gate_forward *, char *, size_t);
 
 /* gate_req.c */
 void gate_req_event(struct gate_req *, enum req_event);
 void gate_req_route(struct gate_req *);
 void gate_req_set_hall(struct gate_req *, struct str);
 void gate_req_set_deadline(struct gate_req *);
-void gate_req_settle(struct gate_req *, bool not_run);
+void gate_req_settle_claim(struct gate_req *, bool not_run);
 enum err_ran gate_req_ran(const struct gate_req *);
 
 /*
@@ -143,27 +148,27 @@
  */
 void gate_admit(struct gate_req *);
 /* At the owner: finds out how long the caller has waited before. */
-void gate_admit_waited(struct gate_req *);
+void gate_admit_set_waited(struct gate_req *);
 
 /*
  * gate_rate.c: applies the rate limit of the request's customer.  Goes on with
- * gate_admit_go() once a token is granted, or answers the request with an
+ * gate_admit_continue() once a token is granted, or answers the request with an
  * error.
  */
-void gate_rate_ask(struct gate_req *);
-void gate_rate_forget(struct gate_req *);
+void gate_rate_query(struct gate_req *);
+void gate_rate_cancel(struct gate_req *);
 
 /* gate_admit.c: the steps after the customer's rate limit. */
-void gate_admit_go(struct gate_req *);
+void gate_admit_continue(struct gate_req *);
 
 /* gate_early.c: queues a request until the first configuration. */
 void gate_early_wait(struct gate_req *);
 
 /*
- * gate_answer.c: ends a request with an error response. retry_after is in ns;
+ * gate_respond.c: ends a request with an error response. retry_after is in ns;
  * 0: the default of the error kind.
  */
-void gate_answer(
+void gate_respond(
     struct gate_req *, enum err_kind, enum err_ran, int64_t retry_after);
 
 /* gate_flow.c: sends the request upstream, and its response to the caller. */
@@ -182,10 +187,10 @@
  * passed.
  */
 void gate_try_abandon(struct gate_req *, enum disp_outcome);
-void gate_try_home(struct gate_req *);
+void gate_try_owner(struct gate_req *);
 
 /* gate_word.c: what the backend server reports about itself in a response. */
-void
-gate_word_answer(struct gate_req *, int status, const h2o_header_t *, size_t);
+void gate_report_from_answer(
+    struct gate_req *, int status, const h2o_header_t *, size_t);
 
 #endif
--- a/libsync.h
+++ b/libsync.h
@@ -16,8 +16,9 @@
 /* For the files of sync only. */
 
 /* sync_pack.c, which knows nothing of sync.c */
-void sync_post(struct sync *, struct str to, const struct msg *);
-void sync_pack_add_gone(struct sync_pack *, struct str key, uint64_t version);
-json_t *sync_read_spec(const struct msg_object *);
+void sync_send(struct sync *, struct str to, const struct msg *);
+void
+sync_pack_add_deleted(struct sync_pack *, struct str key, uint64_t version);
+json_t *sync_decode_spec(const struct msg_object *);
 
 #endif
--- a/libup.h
+++ b/libup.h
@@ -29,7 +29,7 @@
 struct up_pool {
 	struct up *up;
 	struct sockaddr_storage sa;
-	GQueue idle; /* struct up_conn *, the one used last first */
+	GQueue idle_conns; /* struct up_conn *, the one used last first */
 };
 
 struct up {
@@ -37,7 +37,7 @@
 	struct tmr *tmr;
 	const struct clk *clk;
 	GHashTable *pools; /* char * address to struct up_pool * */
-	char chunk[UP_READ_MAX];
+	char read_buf[UP_READ_MAX];
 };
 
 struct up_conn {
@@ -47,17 +47,19 @@
 	struct up_pool *pool;
 	struct up_call *call; /* NULL: idle, or closing */
 	GList link; /* in pool->idle */
-	bool idle, closing, reading, writing, done, surplus;
-	int64_t idle_ns; /* how long it may be idle, by the last answer */
+	bool idle, closing, reading, writing, response_complete, has_surplus;
+	int64_t
+	    idle_timeout_ns; /* how long it may be idle, by the last answer */
 	int64_t idle_until;
 	http_parser parser;
-	GString *head; /* names and values of the headers, one behind another */
-	GArray *marks; /* struct up_mark */
+	GString *header_text; /* names and values of the headers, one behind
+				 another */
+	GArray *header_spans; /* struct up_header_span */
 	bool in_value;
 };
 
 /* Where a header lies in up_conn.head. */
-struct up_mark {
+struct up_header_span {
 	size_t name, nname, value, nvalue;
 };
 
@@ -67,10 +69,10 @@
 	void *ctx;
 	struct up_conn *conn;
 	struct tmr_item timer;
-	GString *request; /* the request's head */
-	uv_buf_t bufs[2];
+	GString *request_head; /* the request's head */
+	uv_buf_t out_bufs[2];
 	h2o_buffer_t *body; /* of the answer, not consumed yet */
-	bool fresh, paused, is_head;
+	bool new_connection, paused, is_head_request;
 };
 
 /* up_call.c */
@@ -79,14 +81,14 @@
 
 /* up_conn.c: connections, from the first to the last call on them. */
 void up_conn_connect(struct up_pool *, struct up_call *, int64_t wait);
-struct up_conn *up_conn_take_idle(struct up_pool *);
-void up_conn_start(struct up_conn *, struct up_call *);
-int up_conn_read(struct up_conn *);
+struct up_conn *up_conn_pop_idle(struct up_pool *);
+void up_conn_send_request(struct up_conn *, struct up_call *);
+int up_conn_start_reading(struct up_conn *);
 void up_conn_fail(struct up_conn *, enum err_kind);
 void up_conn_close(struct up_conn *);
 
 /* up_answer.c: what the parser finds in an answer. */
-extern const http_parser_settings up_answer_settings;
-void up_answer_begin(struct up_conn *);
+extern const http_parser_settings up_response_settings;
+void up_response_begin(struct up_conn *);
 
 #endif
--- a/limit.c
+++ b/limit.c
@@ -34,7 +34,7 @@
 static void slot_free(void *);
 
 bool
-limit_take(struct limit *l, double rate, int64_t now)
+limit_allow(struct limit *l, double rate, int64_t now)
 {
 	double burst = rate * (double)LIMIT_BURST_NS / NS_A_SECOND;
 
@@ -42,11 +42,11 @@
 		return true;
 	if (burst < 1)
 		burst = 1;
-	if (l->last == 0)
+	if (l->updated_at == 0)
 		l->tokens = burst;
 	else
-		l->tokens += rate * (double)(now - l->last) / NS_A_SECOND;
-	l->last = now;
+		l->tokens += rate * (double)(now - l->updated_at) / NS_A_SECOND;
+	l->updated_at = now;
 	if (l->tokens > burst)
 		l->tokens = burst;
 	if (l->tokens < 1)
@@ -56,33 +56,33 @@
 }
 
 double
-bucket_holds(const struct bucket *b, double rate, double burst, int64_t now)
+bucket_tokens(const struct bucket *b, double rate, double burst, int64_t now)
 {
-	double since = (double)(now - b->filled) / NS_A_SECOND;
+	double since = (double)(now - b->updated_at) / NS_A_SECOND;
 
-	return MIN(b->saved + rate * since, burst);
+	return MIN(b->tokens + rate * since, burst);
 }
 
 void
-bucket_take(struct bucket *b, double rate, double burst, int64_t now)
+bucket_consume(struct bucket *b, double rate, double burst, int64_t now)
 {
-	b->saved = MAX(bucket_holds(b, rate, burst, now) - 1, 0);
-	b->filled = now;
+	b->tokens = MAX(bucket_tokens(b, rate, burst, now) - 1, 0);
+	b->updated_at = now;
 }
 
 bool
-bucket_lend(struct bucket *b, double rate, double burst, int64_t most,
+bucket_reserve(struct bucket *b, double rate, double burst, int64_t most,
     int64_t now, int64_t *wait)
 {
-	double holds = bucket_holds(b, rate, burst, now);
+	double holds = bucket_tokens(b, rate, burst, now);
 
 	*wait = 0;
 	if (holds < 1)
 		*wait = (int64_t)((1 - holds) / rate * NS_A_SECOND);
 	if (*wait > most)
 		return false;
-	b->saved = holds - 1;
-	b->filled = now;
+	b->tokens = holds - 1;
+	b->updated_at = now;
 	return true;
 }
 
@@ -116,7 +116,7 @@
 }
 
 bool
-limit_table_take(
+limit_table_allow(
     struct limit_table *t, struct str key, double rate, int64_t now)
 {
 	char *text = g_strndup(key.p, key.n);
@@ -138,7 +138,7 @@
 		old = g_queue_pop_tail(&t->order);
 		g_hash_table_remove(t->slots, old->key);
 	}
-	return limit_take(&s->limit, rate, now);
+	return limit_allow(&s->limit, rate, now);
 }
 
 static double
@@ -151,36 +151,36 @@
 static void
 budget_begin(struct retry_budget *b)
 {
-	if (!b->begun)
-		b->saved = budget_max(b) * BUDGET_START_SHARE;
-	b->begun = true;
+	if (!b->initialized)
+		b->tokens = budget_max(b) * BUDGET_START_SHARE;
+	b->initialized = true;
 }
 
 void
-retry_budget_pay(struct retry_budget *b, int64_t percent)
+retry_budget_deposit(struct retry_budget *b, int64_t percent)
 {
 	budget_begin(b);
-	b->saved += (double)percent / 100;
-	if (b->saved > budget_max(b))
-		b->saved = budget_max(b);
+	b->tokens += (double)percent / 100;
+	if (b->tokens > budget_max(b))
+		b->tokens = budget_max(b);
 }
 
 bool
-retry_budget_has(struct retry_budget *b)
+retry_budget_available(struct retry_budget *b)
 {
 	budget_begin(b);
-	return b->saved >= 1;
+	return b->tokens >= 1;
 }
 
 bool
-retry_budget_has_spare(struct retry_budget *b)
+retry_budget_above_reserve(struct retry_budget *b)
 {
 	budget_begin(b);
-	return b->saved >= budget_max(b) * BUDGET_KEPT_SHARE;
+	return b->tokens >= budget_max(b) * BUDGET_KEPT_SHARE;
 }
 
 void
-retry_budget_take(struct retry_budget *b)
+retry_budget_withdraw(struct retry_budget *b)
 {
-	b->saved -= 1;
+	b->tokens -= 1;
 }
--- a/limit.h
+++ b/limit.h
@@ -22,42 +22,42 @@
  */
 struct limit {
 	double tokens;
-	int64_t last; /* monotonic ns; 0: never used */
+	int64_t updated_at; /* monotonic ns; 0: never used */
 };
 
 /*
  * Take one token of a bucket that fills at `rate` a second and holds
  * LIMIT_BURST_NS worth of it, at least one.  A rate of 0 is no limit.
  */
-bool limit_take(struct limit *, double rate, int64_t now);
+bool limit_allow(struct limit *, double rate, int64_t now);
 
 #define LIMIT_BURST_NS (INT64_C(200) * 1000 * 1000)
 
 /* A bucket of whole tokens whose rate and size its owner knows. */
 struct bucket {
-	double saved; /* tokens that it held */
-	int64_t filled; /* at this time; monotonic ns */
+	double tokens; /* tokens that it held */
+	int64_t updated_at; /* at this time; monotonic ns */
 };
 
 /* What it holds by now, at `rate` tokens a second and `burst` at most. */
 double
-bucket_holds(const struct bucket *, double rate, double burst, int64_t now);
+bucket_tokens(const struct bucket *, double rate, double burst, int64_t now);
 
 /* Take one token, or the part of one that is there. */
-void bucket_take(struct bucket *, double rate, double burst, int64_t now);
+void bucket_consume(struct bucket *, double rate, double burst, int64_t now);
 
 /*
  * Take one token, which may be there only after a while; *wait is that time, in
  * ns.  False if it would be more than `most`; nothing is taken then.
  */
-bool bucket_lend(struct bucket *, double rate, double burst, int64_t most,
+bool bucket_reserve(struct bucket *, double rate, double burst, int64_t most,
     int64_t now, int64_t *wait);
 
 /* Buckets for many callers; the least lately used goes when it is full. */
 struct limit_table;
 struct limit_table *limit_table_new(unsigned max);
 void limit_table_free(struct limit_table *);
-bool limit_table_take(
+bool limit_table_allow(
     struct limit_table *, struct str key, double rate, int64_t now);
 
 /*
@@ -65,14 +65,14 @@
  * `percent` hundredths, each retry takes a whole one out.
  */
 struct retry_budget {
-	double saved;
+	double tokens;
 	double max; /* what may be saved up; 0: the default */
-	bool begun;
+	bool initialized;
 };
-void retry_budget_pay(struct retry_budget *, int64_t percent);
-bool retry_budget_has(struct retry_budget *);
+void retry_budget_deposit(struct retry_budget *, int64_t percent);
+bool retry_budget_available(struct retry_budget *);
 /* The same for one who has other chances: a half is left to those without. */
-bool retry_budget_has_spare(struct retry_budget *);
-void retry_budget_take(struct retry_budget *);
+bool retry_budget_above_reserve(struct retry_budget *);
+void retry_budget_withdraw(struct retry_budget *);
 
 #endif
--- a/memb.c
+++ b/memb.c
@@ -21,7 +21,7 @@
 struct hall {
 	struct str name;
 	uint64_t most; /* the greatest power there, of dead boxes too */
-	struct memb_member *hubs[MEMB_HUBS];
+	struct memb_member *hubs[MEMB_HUBS_MAX];
 	unsigned nhubs;
 };
 
@@ -46,7 +46,7 @@
 	to->box = str_dup(from->box);
 	to->hall = str_dup(from->hall);
 	to->inbox = str_dup(from->inbox);
-	to->pass = str_dup(from->pass);
+	to->forward_address = str_dup(from->forward_address);
 	to->gate_inbox = str_dup(from->gate_inbox);
 }
 
@@ -56,7 +56,7 @@
 	str_free(&info->box);
 	str_free(&info->hall);
 	str_free(&info->inbox);
-	str_free(&info->pass);
+	str_free(&info->forward_address);
 	str_free(&info->gate_inbox);
 }
 
@@ -104,8 +104,8 @@
 	struct memb *mb = g_new0(struct memb, 1);
 
 	memb_info_copy(&mb->own.info, self);
-	/* Beat 0 stands for never: see memb_told(). */
-	mb->own.info.beat = MAX(self->beat, 1);
+	/* Beat 0 stands for never: see memb_self_sent(). */
+	mb->own.info.incarnation = MAX(self->incarnation, 1);
 	mb->own.weight = hub_weight(self->box);
 	mb->members = g_ptr_array_new_with_free_func(member_free);
 	mb->by_name = g_hash_table_new(name_hash, name_equal);
@@ -131,9 +131,9 @@
 }
 
 void
-memb_changed(struct memb *mb)
+memb_self_changed(struct memb *mb)
 {
-	mb->own.info.beat++;
+	mb->own.info.incarnation++;
 	mb->dirty = true;
 }
 
@@ -157,7 +157,7 @@
 
 	memb_info_copy(&m->info, &empty);
 	m->weight = hub_weight(box);
-	m->rank = -1;
+	m->hub_rank = -1;
 	g_ptr_array_add(mb->members, m);
 	g_hash_table_insert(mb->by_name, &m->info.box, m);
 	mb->dirty = true;
@@ -196,7 +196,7 @@
 static bool
 is_alive(const struct memb *mb, const struct memb_member *m)
 {
-	return m == &mb->own ? !m->info.leaving : memb_alive(m);
+	return m == &mb->own ? !m->info.leaving : memb_is_alive(m);
 }
 
 /* Put a strong box in its place among the first of its hall. */
@@ -207,9 +207,9 @@
 
 	while (at > 0 && h->hubs[at - 1]->weight < m->weight)
 		at--;
-	if (at == MEMB_HUBS)
+	if (at == MEMB_HUBS_MAX)
 		return;
-	if (h->nhubs < MEMB_HUBS)
+	if (h->nhubs < MEMB_HUBS_MAX)
 		h->nhubs++;
 	memmove(&h->hubs[at + 1], &h->hubs[at],
 	    (h->nhubs - 1 - at) * sizeof(h->hubs[0]));
@@ -229,7 +229,7 @@
 {
 	struct hall *h = hall_of(mb, m->info.hall);
 
-	m->rank = -1;
+	m->hub_rank = -1;
 	m->strong = m->info.power * MEMB_STRONG_RATIO >= h->most;
 	if (!is_alive(mb, m))
 		return;
@@ -244,7 +244,7 @@
 	unsigned i;
 
 	for (i = 0; i < h->nhubs; i++) {
-		h->hubs[i]->rank = (int)i;
+		h->hubs[i]->hub_rank = (int)i;
 		h->hubs[i]->was_hub = true;
 	}
 }
@@ -280,8 +280,8 @@
 
 	refresh(mb);
 	if (str_eq(box, mb->own.info.box))
-		return mb->own.rank >= 0;
-	return m != NULL && m->rank >= 0;
+		return mb->own.hub_rank >= 0;
+	return m != NULL && m->hub_rank >= 0;
 }
 
 bool
@@ -304,7 +304,7 @@
 }
 
 bool
-memb_has_seeing_hub(struct memb *mb)
+memb_has_hub_with_platform(struct memb *mb)
 {
 	const struct hall *h;
 	guint i;
@@ -314,15 +314,15 @@
 	for (i = 0; i < mb->halls->len; i++) {
 		h = g_ptr_array_index(mb->halls, i);
 		for (j = 0; j < h->nhubs; j++)
-			if (!h->hubs[j]->info.blind)
+			if (!h->hubs[j]->info.platform_unreachable)
 				return true;
 	}
 	return false;
 }
 
 size_t
-memb_hubs(
-    struct memb *mb, struct str hall, const struct memb_info *out[MEMB_HUBS])
+memb_hubs(struct memb *mb, struct str hall,
+    const struct memb_info *out[MEMB_HUBS_MAX])
 {
 	const struct hall *h;
 	unsigned i;
@@ -343,17 +343,17 @@
 static bool
 is_for_all(const struct memb_member *m)
 {
-	return m->rank >= 0 || m->was_hub;
+	return m->hub_rank >= 0 || m->was_hub;
 }
 
 bool
-memb_concerns(
+memb_must_know(
     struct memb *mb, const struct memb_member *to, const struct memb_member *m)
 {
 	refresh(mb);
 	if (is_for_all(m) || to == NULL)
 		return true;
-	return to->rank >= 0 && str_eq(to->info.hall, m->info.hall);
+	return to->hub_rank >= 0 && str_eq(to->info.hall, m->info.hall);
 }
 
 /*
@@ -365,22 +365,23 @@
 is_news(
     struct memb *mb, const struct memb_member *to, const struct memb_member *m)
 {
-	return m->untold > 0 && m != to && memb_concerns(mb, to, m) &&
-	    (mb->own.rank >= 0 || is_for_all(m));
+	return m->sends_left > 0 && m != to && memb_must_know(mb, to, m) &&
+	    (mb->own.hub_rank >= 0 || is_for_all(m));
 }
 
 /* A death that is kept to ourselves; see memb_tick(). */
 static bool
 is_private(const struct memb *mb, const struct memb_member *m)
 {
-	return m->info.dead && m->by_us && (m->in_doubt || !is_near(mb, m));
+	return m->info.dead && m->found_dead_here &&
+	    (m->death_uncertain || !is_near(mb, m));
 }
 
 bool
-memb_is_worth_listing(const struct memb *mb, const struct memb_member *m)
+memb_should_list(const struct memb *mb, const struct memb_member *m)
 {
-	return memb_alive(m) ||
-	    (m->heard != 0 && m->was_hub && !is_private(mb, m));
+	return memb_is_alive(m) ||
+	    (m->last_update != 0 && m->was_hub && !is_private(mb, m));
 }
 
 /* What is heard, and what is passed on. */
@@ -409,13 +410,13 @@
 {
 	struct memb_info *self = &mb->own.info;
 
-	if (info->boot > self->boot)
-		self->boot = info->boot + 1;
-	else if (info->boot < self->boot || !info->dead ||
-	    info->beat < self->beat)
+	if (info->started_ms > self->started_ms)
+		self->started_ms = info->started_ms + 1;
+	else if (info->started_ms < self->started_ms || !info->dead ||
+	    info->incarnation < self->incarnation)
 		return false;
-	self->beat = MAX(self->beat, info->beat);
-	memb_changed(mb);
+	self->incarnation = MAX(self->incarnation, info->incarnation);
+	memb_self_changed(mb);
 	return true;
 }
 
@@ -424,7 +425,7 @@
  * is not known a death is no news.
  */
 bool
-memb_heard(struct memb *mb, const struct memb_info *info, int64_t now)
+memb_update(struct memb *mb, const struct memb_info *info, int64_t now)
 {
 	struct memb_member *m;
 
@@ -437,39 +438,39 @@
 		return false;
 	if (m == NULL)
 		m = add(mb, info->box);
-	if (m->heard != 0 &&
-	    (info->boot < m->info.boot ||
-		(info->boot == m->info.boot &&
-		    (info->beat < m->info.beat ||
-			(info->beat == m->info.beat &&
+	if (m->last_update != 0 &&
+	    (info->started_ms < m->info.started_ms ||
+		(info->started_ms == m->info.started_ms &&
+		    (info->incarnation < m->info.incarnation ||
+			(info->incarnation == m->info.incarnation &&
 			    badness(info) <= badness(&m->info))))))
 		return false;
 	/* A new start has heard nothing of us. */
-	if (info->boot != m->info.boot)
-		m->told = 0;
+	if (info->started_ms != m->info.started_ms)
+		m->sent_incarnation = 0;
 	memb_info_clear(&m->info);
 	memb_info_copy(&m->info, info);
-	m->by_us = m->in_doubt = false;
-	m->heard = now;
-	m->asked = 0;
-	m->untold = tellings(mb);
+	m->found_dead_here = m->death_uncertain = false;
+	m->last_update = now;
+	m->unanswered_since = 0;
+	m->sends_left = tellings(mb);
 	mb->dirty = true;
 	return true;
 }
 
 void
-memb_asked(struct memb *mb, struct str box, int64_t now)
+memb_request_sent(struct memb *mb, struct str box, int64_t now)
 {
 	struct memb_member *m = find(mb, box);
 
-	if (m != NULL && m->asked == 0 && m->heard != 0)
-		m->asked = now;
+	if (m != NULL && m->unanswered_since == 0 && m->last_update != 0)
+		m->unanswered_since = now;
 }
 
 static void
 revive(struct memb *mb, struct memb_member *m)
 {
-	m->info.dead = m->by_us = m->in_doubt = false;
+	m->info.dead = m->found_dead_here = m->death_uncertain = false;
 	mb->dirty = true;
 }
 
@@ -480,31 +481,31 @@
 	struct memb_member *m;
 	guint i;
 
-	memb_paused(mb);
+	memb_cancel_requests(mb);
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		if (m->in_doubt)
+		if (m->death_uncertain)
 			revive(mb, m);
 	}
 }
 
 void
-memb_answered(struct memb *mb, struct str box, int64_t now)
+memb_message_received(struct memb *mb, struct str box, int64_t now)
 {
 	struct memb_member *m = find(mb, box);
 
-	if (now - mb->contact > MEMB_ANSWER_NS)
+	if (now - mb->contact > MEMB_ANSWER_TIMEOUT_NS)
 		end_isolation(mb);
 	mb->contact = now;
 	if (m == NULL)
 		return;
-	m->asked = 0;
-	if (m->info.dead && m->by_us)
+	m->unanswered_since = 0;
+	if (m->info.dead && m->found_dead_here)
 		revive(mb, m);
 }
 
 int64_t
-memb_waits_near(const struct memb *mb)
+memb_oldest_unanswered(const struct memb *mb)
 {
 	const struct memb_member *m;
 	int64_t since = 0;
@@ -512,38 +513,39 @@
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		if (m->asked != 0 && is_near(mb, m) &&
-		    (since == 0 || m->asked < since))
-			since = m->asked;
+		if (m->unanswered_since != 0 && is_near(mb, m) &&
+		    (since == 0 || m->unanswered_since < since))
+			since = m->unanswered_since;
 	}
 	return since;
 }
 
 void
-memb_told(struct memb *mb, struct str box)
+memb_self_sent(struct memb *mb, struct str box)
 {
 	struct memb_member *m = find(mb, box);
 
 	if (m != NULL)
-		m->told = mb->own.info.beat;
+		m->sent_incarnation = mb->own.info.incarnation;
 }
 
 static bool
-may_ask(const struct memb *mb, const struct memb_member *m, enum memb_who who,
-    bool lost)
+may_ask(const struct memb *mb, const struct memb_member *m,
+    enum memb_target who, bool lost)
 {
-	bool hub = lost ? m->strong : m->rank >= 0;
+	bool hub = lost ? m->strong : m->hub_rank >= 0;
 
 	if (m->info.inbox.n == 0 || m->info.leaving ||
-	    lost != (m->info.dead || m->heard == 0))
+	    lost != (m->info.dead || m->last_update == 0))
 		return false;
 	if (is_near(mb, m))
-		return hub ? who == MEMB_NEAR_HUB : who == MEMB_NEAR_LEAF;
-	return hub && who == MEMB_FAR_HUB;
+		return hub ? who == MEMB_OWN_HALL_HUB
+			   : who == MEMB_OWN_HALL_LEAF;
+	return hub && who == MEMB_OTHER_HALL_HUB;
 }
 
 static const struct memb_member *
-ask_any(const struct memb *mb, const struct rnd *rnd, enum memb_who who,
+ask_any(const struct memb *mb, const struct rnd *rnd, enum memb_target who,
     bool lost, bool owing)
 {
 	const struct memb_member *m, *chosen = NULL;
@@ -552,7 +554,8 @@
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		if (!may_ask(mb, m, who, lost) || (!owing && m->asked != 0))
+		if (!may_ask(mb, m, who, lost) ||
+		    (!owing && m->unanswered_since != 0))
 			continue;
 		if (rnd_below(rnd, ++seen) == 0)
 			chosen = m;
@@ -561,7 +564,7 @@
 }
 
 const struct memb_member *
-memb_ask_next(struct memb *mb, const struct rnd *rnd, enum memb_who who)
+memb_pick_target(struct memb *mb, const struct rnd *rnd, enum memb_target who)
 {
 	bool lost = rnd_below(rnd, ASK_LOST_ONE_IN) == 0;
 	const struct memb_member *chosen;
@@ -574,7 +577,8 @@
 }
 
 const struct memb_member *
-memb_ask_other(struct memb *mb, const struct rnd *rnd, enum memb_who who)
+memb_pick_responsive(
+    struct memb *mb, const struct rnd *rnd, enum memb_target who)
 {
 	refresh(mb);
 	return ask_any(mb, rnd, who, false, false);
@@ -590,15 +594,15 @@
 		m = g_ptr_array_index(
 		    mb->members, (from + i) % mb->members->len);
 		if (str_eq(m->info.hall, h->name) &&
-		    (may_ask(mb, m, MEMB_NEAR_HUB, true) ||
-			may_ask(mb, m, MEMB_FAR_HUB, true)))
+		    (may_ask(mb, m, MEMB_OWN_HALL_HUB, true) ||
+			may_ask(mb, m, MEMB_OTHER_HALL_HUB, true)))
 			return m;
 	}
 	return NULL;
 }
 
 size_t
-memb_ask_lost(struct memb *mb, const struct rnd *rnd,
+memb_pick_lost(struct memb *mb, const struct rnd *rnd,
     const struct memb_member **out, size_t n)
 {
 	const struct memb_member *m;
@@ -628,7 +632,7 @@
 }
 
 void
-memb_listed(struct memb *mb, const struct memb_info *info)
+memb_list_add(struct memb *mb, const struct memb_info *info)
 {
 	struct memb_member *m;
 
@@ -638,7 +642,7 @@
 	if (m == NULL)
 		m = add(mb, info->box);
 	m->listed = true;
-	if (m->heard != 0)
+	if (m->last_update != 0)
 		return;
 	str_free(&m->info.hall);
 	str_free(&m->info.inbox);
@@ -652,19 +656,19 @@
 static bool
 is_overdue(const struct memb_member *m, int64_t now)
 {
-	return m->asked != 0 && now - m->asked > MEMB_ANSWER_NS &&
-	    !m->info.dead;
+	return m->unanswered_since != 0 &&
+	    now - m->unanswered_since > MEMB_ANSWER_TIMEOUT_NS && !m->info.dead;
 }
 
 static void
 find_dead(struct memb *mb, struct memb_member *m, int64_t now)
 {
-	m->by_us = true;
-	m->in_doubt = mb->contact <= m->asked;
+	m->found_dead_here = true;
+	m->death_uncertain = mb->contact <= m->unanswered_since;
 	m->info.dead = true;
-	m->asked = 0;
-	m->heard = now;
-	m->untold = is_private(mb, m) ? 0 : tellings(mb);
+	m->unanswered_since = 0;
+	m->last_update = now;
+	m->sends_left = is_private(mb, m) ? 0 : tellings(mb);
 	mb->dirty = true;
 }
 
@@ -682,28 +686,28 @@
 			died = true;
 		}
 		if (!m->listed && (m->info.dead || m->info.leaving) &&
-		    now - m->heard > MEMB_FORGET_NS)
+		    now - m->last_update > MEMB_DEAD_RETENTION_NS)
 			forget(mb, i);
 	}
 	return died;
 }
 
 void
-memb_paused(struct memb *mb)
+memb_cancel_requests(struct memb *mb)
 {
 	struct memb_member *m;
 	guint i;
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		m->asked = 0;
+		m->unanswered_since = 0;
 	}
 }
 
 bool
-memb_alive(const struct memb_member *m)
+memb_is_alive(const struct memb_member *m)
 {
-	return m->heard != 0 && !m->info.dead && !m->info.leaving;
+	return m->last_update != 0 && !m->info.dead && !m->info.leaving;
 }
 
 void
@@ -722,7 +726,7 @@
 	guint i;
 
 	for (i = 0; i < mb->members->len; i++)
-		n += memb_alive(g_ptr_array_index(mb->members, i));
+		n += memb_is_alive(g_ptr_array_index(mb->members, i));
 	return n;
 }
 
@@ -735,7 +739,7 @@
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		n += memb_alive(m) && str_eq(m->info.hall, hall);
+		n += memb_is_alive(m) && str_eq(m->info.hall, hall);
 	}
 	return n;
 }
@@ -744,7 +748,7 @@
 static uint64_t
 digest(const struct memb_member *m)
 {
-	uint64_t state = m->info.boot * 2 + m->info.ready;
+	uint64_t state = m->info.started_ms * 2 + m->info.ready;
 
 	return XXH3_64bits_withSeed(&m->weight, sizeof(m->weight), state);
 }
@@ -774,7 +778,7 @@
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		if (memb_alive(m) && is_near(mb, m))
+		if (memb_is_alive(m) && is_near(mb, m))
 			sum += digest(m);
 	}
 	return sum;
@@ -790,7 +794,7 @@
 
 	for (i = 0; i < mb->members->len; i++) {
 		m = g_ptr_array_index(mb->members, i);
-		n += memb_alive(m) && m->info.ready &&
+		n += memb_is_alive(m) && m->info.ready &&
 		    str_eq(m->info.hall, hall);
 	}
 	return n;
@@ -811,12 +815,12 @@
 
 	for (i = 0; i < h->nhubs; i++)
 		if (h->hubs[i] != &mb->own)
-			n = MAX(n, h->hubs[i]->info.crowd);
+			n = MAX(n, h->hubs[i]->info.serving_gates);
 	return n;
 }
 
 uint64_t
-memb_fleet(struct memb *mb)
+memb_count_fleet_serving(struct memb *mb)
 {
 	uint64_t n = !mb->own.info.ready;
 	guint i;
@@ -836,7 +840,7 @@
 }
 
 bool
-memb_is_first(struct memb *mb, struct str key, struct str hall, int k)
+memb_is_in_top_hubs(struct memb *mb, struct str key, struct str hall, int k)
 {
 	uint64_t own = memb_weight(key, mb->own.info.box);
 	const struct hall *h;
@@ -844,7 +848,7 @@
 	unsigned i, j;
 
 	refresh(mb);
-	if (mb->own.rank < 0 ||
+	if (mb->own.hub_rank < 0 ||
 	    (hall.n > 0 && !str_eq(hall, mb->own.info.hall)))
 		return false;
 	for (i = 0; i < mb->halls->len; i++) {
@@ -861,7 +865,8 @@
 static bool
 watches_before(const struct memb_member *a, const struct memb_member *b)
 {
-	return a->rank != b->rank ? a->rank < b->rank : a->weight > b->weight;
+	return a->hub_rank != b->hub_rank ? a->hub_rank < b->hub_rank
+					  : a->weight > b->weight;
 }
 
 /* Hubs that come before a box; of these, those that the platform answers. */
@@ -879,14 +884,14 @@
 			if (!watches_before(h->hubs[j], m))
 				continue;
 			before++;
-			*seeing += !h->hubs[j]->info.blind;
+			*seeing += !h->hubs[j]->info.platform_unreachable;
 		}
 	}
 	return before;
 }
 
 bool
-memb_watches(struct memb *mb, struct str box, int k)
+memb_is_watcher(struct memb *mb, struct str box, int k)
 {
 	const struct memb_member *m = find(mb, box);
 	int before, seeing;
@@ -894,14 +899,16 @@
 	refresh(mb);
 	if (str_eq(box, mb->own.info.box))
 		m = &mb->own;
-	if (m == NULL || m->rank < 0)
+	if (m == NULL || m->hub_rank < 0)
 		return false;
 	before = count_before(mb, m, &seeing);
-	return before < k || (!m->info.blind && seeing < MEMB_SEEING_MIN);
+	return before < k ||
+	    (!m->info.platform_unreachable &&
+		seeing < MEMB_WATCHERS_WITH_PLATFORM_MIN);
 }
 
 bool
-memb_has_news(struct memb *mb, const struct memb_member *to)
+memb_has_updates(struct memb *mb, const struct memb_member *to)
 {
 	const struct memb_member *m;
 	guint i;
@@ -915,7 +922,7 @@
 }
 
 size_t
-memb_news(struct memb *mb, const struct rnd *rnd, struct str to,
+memb_collect_updates(struct memb *mb, const struct rnd *rnd, struct str to,
     const struct memb_member **out, size_t n)
 {
 	struct memb_member *m, *own = find(mb, to);
@@ -931,11 +938,12 @@
 		m = g_ptr_array_index(mb->members, (at + i) % len);
 		if (!is_news(mb, own, m))
 			continue;
-		m->untold--;
+		m->sends_left--;
 		out[got++] = m;
 	}
 	m = g_ptr_array_index(mb->members, at);
-	if (got == 0 && m->heard != 0 && m != own && memb_concerns(mb, own, m))
+	if (got == 0 && m->last_update != 0 && m != own &&
+	    memb_must_know(mb, own, m))
 		out[got++] = m;
 	return got;
 }
--- a/msg.c
+++ b/msg.c
@@ -65,17 +65,19 @@
 	}
 
 static const struct msg_field info_fields[] = {STR(memb_info, box),
-    STR(memb_info, hall), STR(memb_info, inbox), STR(memb_info, pass),
-    STR(memb_info, gate_inbox), U64(memb_info, boot), U64(memb_info, beat),
-    U64(memb_info, power), U64(memb_info, crowd), BOOL(memb_info, dead),
-    BOOL(memb_info, leaving), BOOL(memb_info, ready), BOOL(memb_info, blind)};
+    STR(memb_info, hall), STR(memb_info, inbox),
+    STR(memb_info, forward_address), STR(memb_info, gate_inbox),
+    U64(memb_info, started_ms), U64(memb_info, incarnation),
+    U64(memb_info, power), U64(memb_info, serving_gates), BOOL(memb_info, dead),
+    BOOL(memb_info, leaving), BOOL(memb_info, ready),
+    BOOL(memb_info, platform_unreachable)};
 static const struct shape info_shape = SHAPE(memb_info, info_fields);
 
 static const struct msg_field u64_fields[] = {U64(msg_u64, v)};
 static const struct shape u64_shape = SHAPE(msg_u64, u64_fields);
 
 static const struct msg_field version_fields[] = {STR(msg_version, key),
-    U64(msg_version, version), U64(msg_version, bad_version),
+    U64(msg_version, version), U64(msg_version, rejected_version),
     U64(msg_version, hash)};
 static const struct shape version_shape = SHAPE(msg_version, version_fields);
 
@@ -87,92 +89,109 @@
     U64(msg_object, size), U64(msg_object, hash)};
 static const struct shape object_shape = SHAPE(msg_object, object_fields);
 
-static const struct msg_field state_fields[] = {STR(msg_state_of, backend),
-    U64(msg_state_of, state), U64(msg_state_of, at_ms)};
-static const struct shape state_shape = SHAPE(msg_state_of, state_fields);
-
-static const struct msg_field hello_fields[] = {STR(msg_hello, self.box),
-    STR(msg_hello, self.hall), STR(msg_hello, self.inbox),
-    STR(msg_hello, self.pass), STR(msg_hello, self.gate_inbox),
-    U64(msg_hello, self.boot), U64(msg_hello, self.beat),
-    U64(msg_hello, self.power), U64(msg_hello, self.crowd),
-    BOOL(msg_hello, self.dead), BOOL(msg_hello, self.leaving),
-    BOOL(msg_hello, self.ready), BOOL(msg_hello, self.blind),
-    U64(msg_hello, holds.digest), U64(msg_hello, holds.rules),
-    U64(msg_hello, holds.floor), BOOL(msg_hello, holds.partial),
-    U64(msg_hello, holds.confirmed), U64(msg_hello, hubs), U64(msg_hello, near),
-    BOOL(msg_hello, asks), LIST(msg_hello, others, info_shape)};
-static const struct msg_field beat_fields[] = {STR(msg_beat, box),
-    U64(msg_beat, boot), U64(msg_beat, beat), U64(msg_beat, hubs),
-    U64(msg_beat, near), U64(msg_beat, holds.digest),
-    U64(msg_beat, holds.rules), U64(msg_beat, holds.floor),
-    BOOL(msg_beat, holds.partial), U64(msg_beat, holds.confirmed),
-    BOOL(msg_beat, asks)};
+static const struct msg_field state_fields[] = {
+    STR(msg_backend_health, backend), U64(msg_backend_health, state),
+    U64(msg_backend_health, probed_ms)};
+static const struct shape state_shape = SHAPE(msg_backend_health, state_fields);
+
+static const struct msg_field hello_fields[] = {STR(msg_announcement, self.box),
+    STR(msg_announcement, self.hall), STR(msg_announcement, self.inbox),
+    STR(msg_announcement, self.forward_address),
+    STR(msg_announcement, self.gate_inbox),
+    U64(msg_announcement, self.started_ms),
+    U64(msg_announcement, self.incarnation), U64(msg_announcement, self.power),
+    U64(msg_announcement, self.serving_gates),
+    BOOL(msg_announcement, self.dead), BOOL(msg_announcement, self.leaving),
+    BOOL(msg_announcement, self.ready),
+    BOOL(msg_announcement, self.platform_unreachable),
+    U64(msg_announcement, conf_summary.digest),
+    U64(msg_announcement, conf_summary.rules_digest),
+    U64(msg_announcement, conf_summary.floor),
+    BOOL(msg_announcement, conf_summary.rules_only),
+    U64(msg_announcement, conf_summary.confirmed_age),
+    U64(msg_announcement, hubs_digest), U64(msg_announcement, hall_digest),
+    BOOL(msg_announcement, expects_reply),
+    LIST(msg_announcement, updates, info_shape)};
+static const struct msg_field beat_fields[] = {STR(msg_heartbeat, box),
+    U64(msg_heartbeat, started_ms), U64(msg_heartbeat, incarnation),
+    U64(msg_heartbeat, hubs_digest), U64(msg_heartbeat, hall_digest),
+    U64(msg_heartbeat, conf_summary.digest),
+    U64(msg_heartbeat, conf_summary.rules_digest),
+    U64(msg_heartbeat, conf_summary.floor),
+    BOOL(msg_heartbeat, conf_summary.rules_only),
+    U64(msg_heartbeat, conf_summary.confirmed_age),
+    BOOL(msg_heartbeat, expects_reply)};
 static const struct msg_field buckets_fields[] = {
-    BOOL(msg_buckets, partial), LIST(msg_buckets, digests, u64_shape)};
+    BOOL(msg_buckets, rules_only), LIST(msg_buckets, digests, u64_shape)};
 static const struct msg_field versions_fields[] = {
     U64(msg_versions, buckets), LIST(msg_versions, versions, version_shape)};
-static const struct msg_field want_fields[] = {LIST(msg_want, keys, key_shape)};
+static const struct msg_field want_fields[] = {
+    LIST(msg_object_request, keys, key_shape)};
 static const struct msg_field objects_fields[] = {
     LIST(msg_objects, objects, object_shape)};
 static const struct msg_field members_fields[] = {
-    LIST(msg_members, members, info_shape), U64(msg_members, fleet),
-    BOOL(msg_members, hub)};
-static const struct msg_field gate_fields[] = {STR(msg_gate, box),
-    U64(msg_gate, boot), U64(msg_gate, holds.digest),
-    U64(msg_gate, holds.rules), U64(msg_gate, holds.floor),
-    BOOL(msg_gate, holds.partial), U64(msg_gate, holds.confirmed),
-    U64(msg_gate, objects), BOOL(msg_gate, leaving), BOOL(msg_gate, ready),
-    STR(msg_gate, doubted)};
+    LIST(msg_members, members, info_shape), U64(msg_members, serving_gates),
+    BOOL(msg_members, is_hub)};
+static const struct msg_field gate_fields[] = {STR(msg_gate_status, box),
+    U64(msg_gate_status, started_ms), U64(msg_gate_status, conf_summary.digest),
+    U64(msg_gate_status, conf_summary.rules_digest),
+    U64(msg_gate_status, conf_summary.floor),
+    BOOL(msg_gate_status, conf_summary.rules_only),
+    U64(msg_gate_status, conf_summary.confirmed_age),
+    U64(msg_gate_status, object_count), BOOL(msg_gate_status, leaving),
+    BOOL(msg_gate_status, ready), STR(msg_gate_status, suspect_box)};
 static const struct msg_field health_fields[] = {
     LIST(msg_health, states, state_shape)};
-static const struct msg_field summary_fields[] = {STR(msg_summary, service),
-    STR(msg_summary, hall), U64(msg_summary, slot_tenths),
-    U64(msg_summary, free), U64(msg_summary, waiting)};
-static const struct msg_field suspect_fields[] = {U64(msg_suspect, print_hi),
-    U64(msg_suspect, print_lo), U64(msg_suspect, print_caller),
-    U64(msg_suspect, trials[0]), U64(msg_suspect, trials[1]),
-    U64(msg_suspect, ended_ms), U64(msg_suspect, cleared_ms)};
+static const struct msg_field summary_fields[] = {STR(msg_capacity, service),
+    STR(msg_capacity, hall), U64(msg_capacity, slot_tenths),
+    U64(msg_capacity, free_slots), U64(msg_capacity, queued)};
+static const struct msg_field suspect_fields[] = {
+    U64(msg_suspect, fingerprint_hi), U64(msg_suspect, fingerprint_lo),
+    U64(msg_suspect, fingerprint_caller), U64(msg_suspect, trials[0]),
+    U64(msg_suspect, trials[1]), U64(msg_suspect, crash_age_ms),
+    U64(msg_suspect, cleared_age_ms)};
 static const struct shape suspect_shape = SHAPE(msg_suspect, suspect_fields);
 static const struct msg_field suspects_fields[] = {
     LIST(msg_suspects, suspects, suspect_shape)};
-static const struct msg_field word_fields[] = {STR(msg_word, backend),
-    U64(msg_word, born_ms), BOOL(msg_word, leaves), U64(msg_word, rate_milli),
-    U64(msg_word, heard_ms)};
-static const struct shape word_shape = SHAPE(msg_word, word_fields);
+static const struct msg_field word_fields[] = {STR(msg_report, backend),
+    U64(msg_report, started_ms), BOOL(msg_report, leaving),
+    U64(msg_report, rate_milli), U64(msg_report, age_ms)};
+static const struct shape word_shape = SHAPE(msg_report, word_fields);
 static const struct msg_field words_fields[] = {
-    LIST(msg_words, words, word_shape)};
-static const struct msg_field roll_fields[] = {STR(msg_roll, service),
-    STR(msg_roll, hall), STR(msg_roll, box), STR(msg_roll, version),
-    U64(msg_roll, age_ms), U64(msg_roll, state), U64(msg_roll, answers),
-    U64(msg_roll, bad), U64(msg_roll, old_out)};
-static const struct msg_field ask_fields[] = {U64(msg_ask, seq),
-    STR(msg_ask, customer), STR(msg_ask, asker), BOOL(msg_ask, again)};
-static const struct msg_field grant_fields[] = {
-    U64(msg_grant, seq), BOOL(msg_grant, granted), U64(msg_grant, wait_us)};
+    LIST(msg_reports, reports, word_shape)};
+static const struct msg_field roll_fields[] = {STR(msg_rollout, service),
+    STR(msg_rollout, hall), STR(msg_rollout, box), STR(msg_rollout, version),
+    U64(msg_rollout, age_ms), U64(msg_rollout, state),
+    U64(msg_rollout, answers), U64(msg_rollout, failures),
+    U64(msg_rollout, old_in_flight)};
+static const struct msg_field ask_fields[] = {U64(msg_rate_query, seq),
+    STR(msg_rate_query, customer), STR(msg_rate_query, requester),
+    BOOL(msg_rate_query, is_retry)};
+static const struct msg_field grant_fields[] = {U64(msg_rate_grant, seq),
+    BOOL(msg_rate_grant, granted), U64(msg_rate_grant, wait_us)};
 static const struct msg_field ping_fields[] = {U64(msg_ping, nonce)};
 static const struct msg_field deflated_fields[] = {
     U64(msg_deflated, size), STR(msg_deflated, data)};
 
 static const struct shape shapes[MSG_KIND_MAX] = {
-    [MSG_HELLO] = SHAPE(msg_hello, hello_fields),
-    [MSG_BEAT] = SHAPE(msg_beat, beat_fields),
+    [MSG_ANNOUNCEMENT] = SHAPE(msg_announcement, hello_fields),
+    [MSG_HEARTBEAT] = SHAPE(msg_heartbeat, beat_fields),
     [MSG_BUCKETS] = SHAPE(msg_buckets, buckets_fields),
     [MSG_VERSIONS] = SHAPE(msg_versions, versions_fields),
-    [MSG_WANT] = SHAPE(msg_want, want_fields),
+    [MSG_OBJECT_REQUEST] = SHAPE(msg_object_request, want_fields),
     [MSG_OBJECTS] = SHAPE(msg_objects, objects_fields),
     [MSG_MEMBERS] = SHAPE(msg_members, members_fields),
-    [MSG_GATE] = SHAPE(msg_gate, gate_fields),
+    [MSG_GATE_STATUS] = SHAPE(msg_gate_status, gate_fields),
     [MSG_HEALTH] = SHAPE(msg_health, health_fields),
-    [MSG_SUMMARY] = SHAPE(msg_summary, summary_fields),
+    [MSG_CAPACITY] = SHAPE(msg_capacity, summary_fields),
     [MSG_PING] = SHAPE(msg_ping, ping_fields),
     [MSG_PONG] = SHAPE(msg_ping, ping_fields),
     [MSG_DEFLATED] = SHAPE(msg_deflated, deflated_fields),
     [MSG_SUSPECTS] = SHAPE(msg_suspects, suspects_fields),
-    [MSG_WORDS] = SHAPE(msg_words, words_fields),
-    [MSG_ROLL] = SHAPE(msg_roll, roll_fields),
-    [MSG_ASK] = SHAPE(msg_ask, ask_fields),
-    [MSG_GRANT] = SHAPE(msg_grant, grant_fields),
+    [MSG_REPORTS] = SHAPE(msg_reports, words_fields),
+    [MSG_ROLLOUT] = SHAPE(msg_rollout, roll_fields),
+    [MSG_RATE_QUERY] = SHAPE(msg_rate_query, ask_fields),
+    [MSG_RATE_GRANT] = SHAPE(msg_rate_grant, grant_fields),
 };
 
 const char *
@@ -329,13 +348,13 @@
 		m, &shapes[m->kind], elems + 2, o->via.array.size - 2, &m->u))
 		return true;
 bad:
-	msg_done(m);
+	msg_release(m);
 	return err_set(
 	    err, ERR_MESSAGE, "a message of %zu bytes is malformed", n);
 }
 
 void
-msg_done(struct msg *m)
+msg_release(struct msg *m)
 {
 	msgpack_unpacked_destroy(&m->raw);
 	g_ptr_array_free(m->arrays, TRUE);
