--- a/obj.c
+++ b/obj.c
@@ -70,12 +70,12 @@
     {.name = "drain", .type = FIELD_BOOL, .offset = B(drain)},
     {.name = "warm_ms",
 	.type = FIELD_INT,
-	.offset = B(warm_ms),
+	.offset = B(slow_start_ms),
 	.min = 0,
 	.max = DEADLINE_MAX_MS},
     {.name = "born_ms",
 	.type = FIELD_INT,
-	.offset = B(born_ms),
+	.offset = B(started_ms),
 	.min = 0,
 	.max = INT64_MAX},
     {.name = "labels", .type = FIELD_LABELS, .offset = B(labels)},
@@ -94,7 +94,7 @@
 	.max = DEADLINE_MAX_MS},
     {.name = "queue",
 	.type = FIELD_INT,
-	.offset = S(queue),
+	.offset = S(queue_max),
 	.dflt = 1000,
 	.min = 0,
 	.max = QUEUE_MAX},
@@ -173,7 +173,7 @@
 	.words = words_repeatable},
     {.name = "class",
 	.type = FIELD_WORD,
-	.offset = R(cls),
+	.offset = R(request_class),
 	.words = words_class},
     {.name = "rate",
 	.type = FIELD_INT,
@@ -198,7 +198,7 @@
 	.offset = R(deadline_ms),
 	.min = 0,
 	.max = DEADLINE_MAX_MS},
-    {.name = "open", .type = FIELD_BOOL, .offset = R(open)},
+    {.name = "open", .type = FIELD_BOOL, .offset = R(is_public)},
 };
 
 static const struct field listener_fields[] = {
@@ -217,7 +217,7 @@
 };
 
 static const struct field evacuation_fields[] = {
-    {.name = "why", .type = FIELD_STR, .offset = E(why), .text_dflt = ""},
+    {.name = "why", .type = FIELD_STR, .offset = E(reason), .text_dflt = ""},
 };
 
 static const struct field rollout_fields[] = {
@@ -299,7 +299,7 @@
 }
 
 const char *
-obj_rolled_name(enum obj_rolled state)
+obj_rollout_state_name(enum obj_rollout_state state)
 {
 	return words_rolled[state];
 }
--- a/obj.h
+++ b/obj.h
@@ -53,8 +53,8 @@
 	int64_t slots;
 	int64_t connections;
 	bool drain;
-	int64_t warm_ms; /* it is slow for so long after its start */
-	int64_t born_ms; /* its start, ms since 1970; 0: unsaid */
+	int64_t slow_start_ms; /* it is slow for so long after its start */
+	int64_t started_ms; /* its start, ms since 1970; 0: unsaid */
 	json_t *labels; /* with "hall" and "name" added */
 };
 
@@ -62,7 +62,7 @@
 	struct str select_text;
 	struct sel *select;
 	int64_t deadline_ms; /* for requests that bring none */
-	int64_t queue; /* requests that a home may hold */
+	int64_t queue_max; /* requests that a home may hold */
 	int64_t bulk_percent; /* share of the slots that bulk may take */
 	int64_t rate; /* requests a second, fleet-wide; 0: no limit */
 	int64_t probe_ms; /* interval between probes of one backend */
@@ -84,13 +84,13 @@
 	int64_t attempts; /* backend servers one request may see; 0: unsaid */
 	int64_t rank; /* the lower, the more urgent */
 	int repeatable; /* 0: by method, 1: yes, 2: no */
-	int cls; /* enum obj_class */
+	int request_class; /* enum obj_class */
 	int64_t rate; /* requests a second, fleet-wide; 0: no limit */
 	int64_t caller_rate; /* the same for each caller */
 	struct str caller_header; /* names the caller; empty: by address */
 	int on_outage; /* enum obj_outage */
 	int64_t deadline_ms; /* 0: the service's */
-	bool open; /* it asks for no customer's key */
+	bool is_public; /* it asks for no customer's key */
 };
 
 /* What callers may send, and how long they may take or be idle. */
@@ -101,23 +101,23 @@
 
 /* The hall that it is named after gets nothing new. */
 struct obj_evacuation {
-	struct str why; /* for operators; may be empty */
+	struct str reason; /* for operators; may be empty */
 };
 
 /* How far a roll-out is, as the platform has it. */
-enum obj_rolled {
-	ROLLED_OPEN, /* nothing is written yet */
-	ROLLED_RUNNING,
-	ROLLED_COMPLETED, /* servers of other versions may end at once */
-	ROLLED_BACK, /* servers of the new version will end */
-	ROLLED_MAX
+enum obj_rollout_state {
+	ROLLOUT_OPEN, /* nothing is written yet */
+	ROLLOUT_RUNNING,
+	ROLLOUT_COMPLETED, /* servers of other versions may end at once */
+	ROLLOUT_ROLLED_BACK, /* servers of the new version will end */
+	ROLLOUT_STATE_MAX
 };
 
 /* Bring in a version of a service: servers with that label `version`. */
 struct obj_rollout {
 	struct str version;
 	int64_t duration_ms; /* it is to be decided within it */
-	int state; /* enum obj_rolled */
+	int state; /* enum obj_rollout_state */
 };
 
 /* One for whom requests are made, known by its keys. */
@@ -158,7 +158,7 @@
 bool obj_kind_by_name(struct str, enum obj_kind *);
 
 /* Name of a roll-out's state: "running" and so on. */
-const char *obj_rolled_name(enum obj_rolled);
+const char *obj_rollout_state_name(enum obj_rollout_state);
 
 /* Name of a class: "interactive", "bulk". */
 const char *obj_class_name(enum obj_class);
--- a/pace.c
+++ b/pace.c
@@ -21,19 +21,19 @@
 static const double SPREAD = 0.1;
 
 double
-pace_now(const struct pick_backend *b, double mean, int64_t now)
+pace_latency_factor(const struct pick_backend *b, double mean, int64_t now)
 {
-	double told = (double)b->told_pace / PERCENT;
+	double told = (double)b->reported_latency_percent / PERCENT;
 	double left;
 
-	if (b->told_at == 0)
+	if (b->reported_at == 0)
 		return mean;
-	left = exp(-(double)(now - b->told_at) / PACE_MEMORY_NS);
+	left = exp(-(double)(now - b->reported_at) / PACE_DECAY_NS);
 	return mean + (told - mean) * left;
 }
 
 double
-pace_slowdown(const struct pick_backend *b)
+pace_concurrency_slowdown(const struct pick_backend *b)
 {
 	if (b->conc == NULL)
 		return 1;
@@ -41,19 +41,21 @@
 }
 
 int64_t
-pace_time(const struct pick_backend *b, int64_t work, double mean, int64_t now)
+pace_service_time(
+    const struct pick_backend *b, int64_t work, double mean, int64_t now)
 {
 	double full = b->slots > 0 ? (double)b->inflight / b->slots : 0;
-	double own = b->factor > 0 ? b->factor : 1;
+	double own = b->service_time_ratio > 0 ? b->service_time_ratio : 1;
 
-	return (int64_t)((double)work * own * pace_now(b, mean, now) *
-	    pace_slowdown(b) * (1 + SPREAD * full));
+	return (int64_t)((double)work * own *
+	    pace_latency_factor(b, mean, now) * pace_concurrency_slowdown(b) *
+	    (1 + SPREAD * full));
 }
 
 bool
-pace_is_fresh(const struct pick_backend *b, int64_t now)
+pace_report_is_fresh(const struct pick_backend *b, int64_t now)
 {
-	return b->told_at != 0 && now - b->told_at <= FRESH_NS;
+	return b->reported_at != 0 && now - b->reported_at <= FRESH_NS;
 }
 
 /*
@@ -61,17 +63,18 @@
  * so the end of the work comes sooner with t as long as work (p - m) > T.
  */
 bool
-pace_passes(
+pace_waiting_is_faster(
     const struct pick_backend *b, int64_t work, double mean, int64_t now)
 {
-	double over = (double)b->told_pace / PERCENT - mean;
+	double over = (double)b->reported_latency_percent / PERCENT - mean;
 
-	return b->told_at != 0 && now - b->told_at < PACE_MEMORY_NS &&
-	    (double)work * over > PACE_MEMORY_NS;
+	return b->reported_at != 0 && now - b->reported_at < PACE_DECAY_NS &&
+	    (double)work * over > PACE_DECAY_NS;
 }
 
 bool
-pace_is_good(const struct pick_backend *b, int64_t now)
+pace_is_near_usual(const struct pick_backend *b, int64_t now)
 {
-	return pace_is_fresh(b, now) && b->told_pace <= GOOD_PACE;
+	return pace_report_is_fresh(b, now) &&
+	    b->reported_latency_percent <= GOOD_PACE;
 }
--- a/pace.h
+++ b/pace.h
@@ -28,29 +28,30 @@
  * What a backend server told loses its worth with this time constant, as its
  * pace changes several times a second.
  */
-#define PACE_MEMORY_NS (100 * NS_MS)
+#define PACE_DECAY_NS (100 * NS_MS)
 
 /* The pace that is expected of a request that begins now. */
-double pace_now(const struct pick_backend *, double mean, int64_t now);
+double
+pace_latency_factor(const struct pick_backend *, double mean, int64_t now);
 
 /* How many times longer work takes there beside what is in flight. */
-double pace_slowdown(const struct pick_backend *);
+double pace_concurrency_slowdown(const struct pick_backend *);
 
 /* The time that `work`, in ns at the usual pace, takes if it begins now. */
-int64_t
-pace_time(const struct pick_backend *, int64_t work, double mean, int64_t now);
+int64_t pace_service_time(
+    const struct pick_backend *, int64_t work, double mean, int64_t now);
 
 /*
  * Is such work done sooner if it waits until the backend server, which told
  * just now that it is slow, is as usual again?
  */
-bool pace_passes(
+bool pace_waiting_is_faster(
     const struct pick_backend *, int64_t work, double mean, int64_t now);
 
 /* Is what it told so fresh that asking again would bring nothing? */
-bool pace_is_fresh(const struct pick_backend *, int64_t now);
+bool pace_report_is_fresh(const struct pick_backend *, int64_t now);
 
 /* Did it tell freshly that it works about as usual? */
-bool pace_is_good(const struct pick_backend *, int64_t now);
+bool pace_is_near_usual(const struct pick_backend *, int64_t now);
 
 #endif
--- a/pick.c
+++ b/pick.c
@@ -56,15 +56,15 @@
 }
 
 bool
-pick_is_silent(const struct pick_backend *b)
+pick_is_unresponsive(const struct pick_backend *b)
 {
-	return b->silent >= SILENT_ROW;
+	return b->unanswered_queries >= SILENT_ROW;
 }
 
 bool
-pick_is_lost(const struct pick_backend *b, int64_t now)
+pick_is_presumed_down(const struct pick_backend *b, int64_t now)
 {
-	return pick_is_silent(b) && now - b->heard_at >= LOST_NS;
+	return pick_is_unresponsive(b) && now - b->last_answer_at >= LOST_NS;
 }
 
 /*
@@ -72,24 +72,24 @@
  * just ended: requests beside the first end were sent there, and lost.
  */
 void
-pick_ended(struct pick_backend *b, int64_t now)
+pick_mark_crashed(struct pick_backend *b, int64_t now)
 {
-	b->silent = MAX(b->silent, SILENT_ROW);
-	b->heard_at = MIN(b->heard_at, now - LOST_NS);
+	b->unanswered_queries = MAX(b->unanswered_queries, SILENT_ROW);
+	b->last_answer_at = MIN(b->last_answer_at, now - LOST_NS);
 }
 
 bool
-pick_usable(const struct pick_backend *b, int64_t now)
+pick_is_usable(const struct pick_backend *b, int64_t now)
 {
-	return !pick_is_lost(b, now) && !b->gone && !b->evacuated &&
-	    !b->excluded && !b->leaves && !b->probe_down &&
+	return !pick_is_presumed_down(b, now) && !b->removed && !b->evacuated &&
+	    !b->version_excluded && !b->leaving && !b->probe_down &&
 	    b->state != PICK_EJECTED && b->state != PICK_DRAINING;
 }
 
 int
-pick_slots(const struct pick_backend *b)
+pick_slot_limit(const struct pick_backend *b)
 {
-	return b->limit > 0 ? MIN(b->limit, b->slots) : b->slots;
+	return b->max_inflight > 0 ? MIN(b->max_inflight, b->slots) : b->slots;
 }
 
 /*
@@ -97,53 +97,58 @@
  * takes gets no more: it may answer each and fall behind all the same.
  */
 int
-pick_free(const struct pick_backend *b, int64_t now)
+pick_free_slots(const struct pick_backend *b, int64_t now)
 {
-	int slots = pick_slots(b);
+	int slots = pick_slot_limit(b);
 
-	if (!pick_usable(b, now) || b->alone || b->passed_over ||
-	    now < b->full_until || now < b->rest_until ||
-	    (b->cold_bound != NULL && !cold_may(&b->cold, b->cold_bound, now)))
+	if (!pick_is_usable(b, now) || b->reserved_for_trial ||
+	    b->version_deferred || now < b->full_until ||
+	    now < b->pause_until ||
+	    (b->cold_limit != NULL &&
+		!cold_can_send(&b->cold, b->cold_limit, now)))
 		return 0;
 	if (b->state == PICK_COLD || b->state == PICK_TRIAL)
 		slots = 1;
-	return MIN(MAX(slots - b->inflight, 0), quota_free(&b->quota, now));
+	return MIN(
+	    MAX(slots - b->inflight, 0), quota_available(&b->quota, now));
 }
 
 void
-pick_good(struct pick_backend *b, const struct chart *chart, int64_t now,
-    int64_t took)
+pick_record_success(struct pick_backend *b, const struct chart *chart,
+    int64_t now, int64_t took)
 {
-	if (b->usual == 0)
-		b->usual = took;
+	if (b->usual_latency == 0)
+		b->usual_latency = took;
 	else
-		b->usual += (took - b->usual) / USUAL_WEIGHT;
-	b->bad_row = 0;
-	b->refused_row = 0;
-	b->silent = 0;
-	b->heard_at = now;
-	b->failing -= b->failing / FAILING_WEIGHT;
-	b->good_row++;
+		b->usual_latency += (took - b->usual_latency) / USUAL_WEIGHT;
+	b->consecutive_bad = 0;
+	b->consecutive_refused = 0;
+	b->unanswered_queries = 0;
+	b->last_answer_at = now;
+	b->failure_rate -= b->failure_rate / FAILING_WEIGHT;
+	b->consecutive_good++;
 	step(b, chart, PICK_EV_OK);
-	if (b->good_row < WARM_ROW)
+	if (b->consecutive_good < WARM_ROW)
 		return;
 	b->ejections = 0;
 	step(b, chart, PICK_EV_WARM);
 }
 
 void
-pick_refused(struct pick_backend *b, int64_t now, const struct rnd *rnd)
+pick_record_refusal(struct pick_backend *b, int64_t now, const struct rnd *rnd)
 {
-	b->full_until = now + rnd_jitter(rnd, FULL_NS << b->refused_row);
-	b->refused_row = MIN(b->refused_row + 1, REFUSED_ROW_MAX);
+	b->full_until =
+	    now + rnd_jitter(rnd, FULL_NS << b->consecutive_refused);
+	b->consecutive_refused =
+	    MIN(b->consecutive_refused + 1, REFUSED_ROW_MAX);
 }
 
 /* The true time is not known, but it is no less than this. */
 void
-pick_slow(struct pick_backend *b, int64_t age)
+pick_record_slow(struct pick_backend *b, int64_t age)
 {
-	b->usual = MAX(b->usual, age);
-	b->good_row = 0;
+	b->usual_latency = MAX(b->usual_latency, age);
+	b->consecutive_good = 0;
 }
 
 static unsigned
@@ -152,24 +157,24 @@
 	unsigned i, n = 0;
 
 	for (i = 0; i < set->n; i++)
-		n += pick_usable(set->v[i], now);
+		n += pick_is_usable(set->v[i], now);
 	return n;
 }
 
 void
-pick_bad(struct pick_backend *b, const struct pick_set *set,
+pick_record_failure(struct pick_backend *b, const struct pick_set *set,
     const struct chart *chart, int64_t now, const struct rnd *rnd)
 {
 	int64_t wait;
 
-	b->good_row = 0;
-	b->failing += (1 - b->failing) / FAILING_WEIGHT;
-	b->bad_row++;
-	if (b->bad_row < BAD_ROW_LIMIT && b->state != PICK_TRIAL)
+	b->consecutive_good = 0;
+	b->failure_rate += (1 - b->failure_rate) / FAILING_WEIGHT;
+	b->consecutive_bad++;
+	if (b->consecutive_bad < BAD_ROW_LIMIT && b->state != PICK_TRIAL)
 		return;
-	if (!pick_usable(b, now) || count_in_use(set, now) * 2 <= set->n)
+	if (!pick_is_usable(b, now) || count_in_use(set, now) * 2 <= set->n)
 		return;
-	b->bad_row = 0;
+	b->consecutive_bad = 0;
 	b->ejections = MIN(b->ejections + 1, EJECTIONS_MAX);
 	wait = MIN(EJECT_FIRST_NS << (b->ejections - 1), EJECT_LAST_NS);
 	b->eject_until = now + rnd_jitter(rnd, wait);
@@ -190,17 +195,18 @@
 }
 
 void
-pick_evacuate(struct pick_backend *b, const struct chart *chart, bool evacuated)
+pick_set_evacuated(
+    struct pick_backend *b, const struct chart *chart, bool evacuated)
 {
 	if (b->evacuated && !evacuated && b->state != PICK_DRAINING) {
 		b->state = (enum pick_state)chart_start(chart);
-		b->good_row = 0;
+		b->consecutive_good = 0;
 	}
 	b->evacuated = evacuated;
 }
 
 void
-pick_drain(struct pick_backend *b, const struct chart *chart, bool drain)
+pick_set_drain(struct pick_backend *b, const struct chart *chart, bool drain)
 {
 	step(b, chart, drain ? PICK_EV_DRAIN : PICK_EV_UNDRAIN);
 }
--- a/pick.h
+++ b/pick.h
@@ -56,51 +56,57 @@
 	struct str name;
 	struct str address;
 	int slots;
-	int64_t born_ms; /* its start, ms since 1970; 0: unsaid */
-	int limit; /* of requests at once, as learned; 0: all slots */
+	int64_t started_ms; /* its start, ms since 1970; 0: unsaid */
+	int max_inflight; /* of requests at once, as learned; 0: all slots */
 	const struct conc *conc; /* how others slow it; NULL: not known */
 	struct cold cold;
-	const struct cold_bound *cold_bound; /* NULL: none */
+	const struct cold_limit *cold_limit; /* NULL: none */
 	struct quota quota; /* what it takes in a second, by its own word */
-	bool leaves; /* it said so itself, in an answer */
-	int64_t rest_until; /* it asked us for nothing more before this */
-	bool malformed; /* it said something that cannot be read */
+	bool leaving; /* it said so itself, in an answer */
+	int64_t pause_until; /* it asked us for nothing more before this */
+	bool malformed_report; /* it said something that cannot be read */
 	int inflight; /* sent and not finished */
 	int inflight_bulk; /* of these, class bulk */
 	enum pick_state state;
-	bool drain_told; /* by its object */
+	bool drain_configured; /* by its object */
 	bool evacuated; /* its hall is to get nothing new */
-	bool is_new; /* of the version that a roll-out brings in */
-	bool excluded; /* its version gets nothing now */
-	bool passed_over; /* the next request is owed to the other version */
-	bool uncounted; /* nor is its room counted on */
+	bool is_new_version; /* of the version that a roll-out brings in */
+	bool version_excluded; /* its version gets nothing now */
+	bool version_deferred; /* the next request is owed to the other version
+				*/
+	bool capacity_uncounted; /* nor is its room counted on */
 	bool probe_down; /* probes say that it does not work */
-	int64_t usual; /* ns an answer usually takes; 0: not known */
-	int64_t oldest; /* start of the oldest in flight; 0: none */
+	int64_t usual_latency; /* ns an answer usually takes; 0: not known */
+	int64_t oldest_sent_at; /* start of the oldest in flight; 0: none */
 	int64_t full_until; /* it refused for want of a slot */
 	int64_t eject_until;
 	/* What it told of itself last; told_at 0: nothing yet. */
-	int told_running, told_waiting;
-	int told_pace; /* percent of the usual time that work takes */
-	int64_t told_at;
-	double factor; /* its own time for work against that of all; 0: 1 */
-	double failing; /* share of bad answers lately */
+	int reported_running, reported_waiting;
+	int reported_latency_percent; /* percent of the usual time that work
+					 takes */
+	int64_t reported_at;
+	double service_time_ratio; /* its own time for work against that of all;
+				      0: 1 */
+	double failure_rate; /* share of bad answers lately */
 	/* A question for its load is out; the last one; unanswered in a row. */
-	bool peeking;
-	bool mute; /* it answered without telling a load */
-	int64_t peeked_at;
-	int silent;
-	int64_t heard_at; /* the last answer of any kind, or when we met it */
+	bool query_pending;
+	bool reports_no_load; /* it answered without telling a load */
+	int64_t queried_at;
+	int unanswered_queries;
+	int64_t
+	    last_answer_at; /* the last answer of any kind, or when we met it */
 	int ejections; /* in a row, for the length of the next */
-	int bad_row, good_row, refused_row;
-	bool gone; /* no longer selected; waits for its last answer */
-	bool alone; /* nothing new: a request runs by itself, or will */
-	/* Requests that were there when connections broke: struct disp_doubt.
+	int consecutive_bad, consecutive_good, consecutive_refused;
+	bool removed; /* no longer selected; waits for its last answer */
+	bool reserved_for_trial; /* nothing new: a request runs by itself, or
+				    will */
+	/* Requests that were there when connections broke: struct
+	 * disp_crash_suspect.
 	 */
-	GArray *doubts;
-	int64_t doubted_at; /* when the last one did */
-	bool reached; /* the last question got a connection */
-	uint64_t turns; /* requests sent, for round robin */
+	GArray *crash_suspects;
+	int64_t crash_suspected_at; /* when the last one did */
+	bool query_connected; /* the last question got a connection */
+	uint64_t sent_count; /* requests sent, for round robin */
 	void *data; /* the owner's */
 };
 
@@ -109,14 +115,16 @@
 	struct pick_backend **v;
 	unsigned n;
 	int bulk_percent;
-	double mean_pace; /* of all backend servers over time: pace.h */
+	double
+	    mean_latency_factor; /* of all backend servers over time: pace.h */
 };
 
 /* What is looked for. */
-struct pick_want {
+struct pick_criteria {
 	enum obj_class cls;
 	const struct pick_backend *avoid;
-	int64_t work; /* ns that it takes at the usual speed; 0: not known */
+	int64_t service_time; /* ns that it takes at the usual speed; 0: not
+				 known */
 };
 
 /* What a policy chooses: an index, or PICK_NONE to hold the request. */
@@ -124,10 +132,12 @@
 
 struct pick_policy {
 	const char *name;
-	int (*choose)(const struct pick_set *, const struct pick_want *,
+	int (*choose)(const struct pick_set *, const struct pick_criteria *,
 	    int64_t now, const struct rnd *);
-	bool holds; /* waits for a free slot instead of queueing there */
-	bool paced; /* goes by how fast backend servers say they are now */
+	bool holds_requests; /* waits for a free slot instead of queueing there
+			      */
+	bool latency_aware; /* goes by how fast backend servers say they are now
+			     */
 };
 
 /* By free slots, usual time and the age of what is in flight. */
@@ -142,42 +152,43 @@
 const struct pick_policy *pick_by_name(struct str);
 
 /* Were the last questions not answered? */
-bool pick_is_silent(const struct pick_backend *);
+bool pick_is_unresponsive(const struct pick_backend *);
 
 /*
  * Has nothing answered there for so long that it is taken for gone?  A box that
  * has just started, or is slow for a moment, gets some answers too late.
  */
-bool pick_is_lost(const struct pick_backend *, int64_t now);
+bool pick_is_presumed_down(const struct pick_backend *, int64_t now);
 
 /* May anything new be sent there? */
-bool pick_usable(const struct pick_backend *, int64_t now);
+bool pick_is_usable(const struct pick_backend *, int64_t now);
 
 /* The slots that are worth using at once. */
-int pick_slots(const struct pick_backend *);
+int pick_slot_limit(const struct pick_backend *);
 
 /* How many requests one may get now, 0 if nothing new may be sent. */
-int pick_free(const struct pick_backend *, int64_t now);
+int pick_free_slots(const struct pick_backend *, int64_t now);
 
 /*
  * A good or bad answer has come; moves the chart.  Ejection is bounded: it
  * is left out when fewer than half of the set would remain in use.
  */
-void pick_good(
+void pick_record_success(
     struct pick_backend *, const struct chart *, int64_t now, int64_t took);
-void pick_bad(struct pick_backend *, const struct pick_set *,
+void pick_record_failure(struct pick_backend *, const struct pick_set *,
     const struct chart *, int64_t now, const struct rnd *);
 
 /*
  * It has ended, as far as is known: it is lost until it answers a question.
  */
-void pick_ended(struct pick_backend *, int64_t now);
+void pick_mark_crashed(struct pick_backend *, int64_t now);
 
 /* It refused without running: it is full, or does not want any. */
-void pick_refused(struct pick_backend *, int64_t now, const struct rnd *);
+void
+pick_record_refusal(struct pick_backend *, int64_t now, const struct rnd *);
 
 /* A request there was stopped after `age` ns, as it took far too long. */
-void pick_slow(struct pick_backend *, int64_t age);
+void pick_record_slow(struct pick_backend *, int64_t age);
 
 /* Let ejections end whose time has come. */
 void pick_tick(const struct pick_set *, const struct chart *, int64_t now);
@@ -186,9 +197,10 @@
  * Its hall is evacuated, or is not any more.  Then it begins as one that has
  * just started: what it was before says nothing of it now.
  */
-void pick_evacuate(struct pick_backend *, const struct chart *, bool evacuated);
+void
+pick_set_evacuated(struct pick_backend *, const struct chart *, bool evacuated);
 
 /* Drain begins or ends, in whichever way it was told. */
-void pick_drain(struct pick_backend *, const struct chart *, bool drain);
+void pick_set_drain(struct pick_backend *, const struct chart *, bool drain);
 
 #endif
--- a/pick_fern.c
+++ b/pick_fern.c
@@ -24,10 +24,10 @@
  */
 enum { SLOW_FACTOR = 4 };
 #define AGE_MIN_NS (30 * NS_MS)
-#define USUAL_UNKNOWN_NS (5 * NS_MS)
+#define DEFAULT_LATENCY_NS (5 * NS_MS)
 
-static int choose(const struct pick_set *, const struct pick_want *, int64_t,
-    const struct rnd *);
+static int choose(const struct pick_set *, const struct pick_criteria *,
+    int64_t, const struct rnd *);
 static int64_t cost(const struct pick_backend *, int64_t);
 static bool bulk_may(const struct pick_set *, int64_t);
 static bool bulk_fits(const struct pick_set *, const struct pick_backend *);
@@ -38,8 +38,9 @@
 static int64_t
 cost(const struct pick_backend *b, int64_t now)
 {
-	int64_t usual = b->usual == 0 ? USUAL_UNKNOWN_NS : b->usual;
-	int64_t age = b->oldest == 0 ? 0 : now - b->oldest;
+	int64_t usual =
+	    b->usual_latency == 0 ? DEFAULT_LATENCY_NS : b->usual_latency;
+	int64_t age = b->oldest_sent_at == 0 ? 0 : now - b->oldest_sent_at;
 	int64_t ns = usual * (b->slots + b->inflight) / b->slots;
 
 	if (age > MAX(usual * AGE_FACTOR, AGE_MIN_NS))
@@ -55,7 +56,8 @@
 	unsigned i;
 
 	for (i = 0; i < set->n; i++) {
-		if (!pick_usable(set->v[i], now) || set->v[i]->usual == 0)
+		if (!pick_is_usable(set->v[i], now) ||
+		    set->v[i]->usual_latency == 0)
 			continue;
 		c = cost(set->v[i], now);
 		if (c < least)
@@ -76,12 +78,12 @@
 	unsigned i;
 
 	for (i = 0; i < set->n; i++) {
-		if (!pick_usable(set->v[i], now))
+		if (!pick_is_usable(set->v[i], now))
 			continue;
 		slots += set->v[i]->slots;
 		bulk += set->v[i]->inflight_bulk;
 		inflight += set->v[i]->inflight;
-		left += pick_free(set->v[i], now);
+		left += pick_free_slots(set->v[i], now);
 	}
 	if (inflight == 0)
 		return true;
@@ -97,8 +99,8 @@
 }
 
 static int
-choose(const struct pick_set *set, const struct pick_want *want, int64_t now,
-    const struct rnd *rnd)
+choose(const struct pick_set *set, const struct pick_criteria *want,
+    int64_t now, const struct rnd *rnd)
 {
 	enum obj_class cls = want->cls;
 	const struct pick_backend *b;
@@ -112,12 +114,12 @@
 	for (i = 0; i < set->n; i++) {
 		at = (from + i) % set->n;
 		b = set->v[at];
-		if (pick_free(b, now) == 0 ||
+		if (pick_free_slots(b, now) == 0 ||
 		    (cls == CLASS_BULK && !bulk_fits(set, b)))
 			continue;
 		c = cost(b, now);
 		/* What is not known yet is tried, or it never would be. */
-		if (b->usual == 0 && b->inflight == 0)
+		if (b->usual_latency == 0 && b->inflight == 0)
 			c = 0;
 		if (b->inflight > 0 && c > least * SLOW_FACTOR)
 			continue;
--- a/pick_naive.c
+++ b/pick_naive.c
@@ -12,15 +12,15 @@
 
 /* Round robin, to compare with. */
 
-static int choose(const struct pick_set *, const struct pick_want *, int64_t,
-    const struct rnd *);
+static int choose(const struct pick_set *, const struct pick_criteria *,
+    int64_t, const struct rnd *);
 
 const struct pick_policy pick_naive = {"naive", choose, false, false};
 
 /* Round robin: the one that has had the fewest turns comes next. */
 static int
-choose(const struct pick_set *set, const struct pick_want *want, int64_t now,
-    const struct rnd *rnd)
+choose(const struct pick_set *set, const struct pick_criteria *want,
+    int64_t now, const struct rnd *rnd)
 {
 	int best = PICK_NONE;
 	unsigned i;
@@ -29,9 +29,10 @@
 	(void)now;
 	(void)rnd;
 	for (i = 0; i < set->n; i++) {
-		if (set->v[i]->gone || set->v[i]->state == PICK_DRAINING)
+		if (set->v[i]->removed || set->v[i]->state == PICK_DRAINING)
 			continue;
-		if (best == PICK_NONE || set->v[i]->turns < set->v[best]->turns)
+		if (best == PICK_NONE ||
+		    set->v[i]->sent_count < set->v[best]->sent_count)
 			best = (int)i;
 	}
 	return best;
--- a/pick_pace.c
+++ b/pick_pace.c
@@ -22,8 +22,8 @@
 /* What is looked for where its work is not known yet. */
 #define WORK_UNKNOWN_NS (50 * NS_MS)
 
-static int choose(const struct pick_set *, const struct pick_want *, int64_t,
-    const struct rnd *);
+static int choose(const struct pick_set *, const struct pick_criteria *,
+    int64_t, const struct rnd *);
 
 const struct pick_policy pick_pace = {"pace", choose, true, true};
 
@@ -31,17 +31,19 @@
 cost(const struct pick_set *set, const struct pick_backend *b, int64_t work,
     int64_t now)
 {
-	double ns = (double)pace_time(b, work, set->mean_pace, now);
+	double ns =
+	    (double)pace_service_time(b, work, set->mean_latency_factor, now);
 
-	ns *= 1 + FAILING_COST * b->failing;
-	return ns * (1 + b->silent);
+	ns *= 1 + FAILING_COST * b->failure_rate;
+	return ns * (1 + b->unanswered_queries);
 }
 
 static int
-choose(const struct pick_set *set, const struct pick_want *want, int64_t now,
-    const struct rnd *rnd)
+choose(const struct pick_set *set, const struct pick_criteria *want,
+    int64_t now, const struct rnd *rnd)
 {
-	int64_t work = want->work > 0 ? want->work : WORK_UNKNOWN_NS;
+	int64_t work =
+	    want->service_time > 0 ? want->service_time : WORK_UNKNOWN_NS;
 	double c, best_cost = G_MAXDOUBLE;
 	unsigned i, at, from;
 	int best = PICK_NONE;
@@ -51,7 +53,7 @@
 	from = (unsigned)rnd_below(rnd, set->n);
 	for (i = 0; i < set->n; i++) {
 		at = (from + i) % set->n;
-		if (pick_free(set->v[at], now) == 0)
+		if (pick_free_slots(set->v[at], now) == 0)
 			continue;
 		c = cost(set, set->v[at], work, now);
 		if (set->v[at] == want->avoid)
--- a/plat.c
+++ b/plat.c
@@ -22,10 +22,10 @@
 static const char *const fern_feeds[] = {
     "backend,service,rule,listener,bundle,evacuation,rollout", NULL};
 
-static const struct plat_form fern_form = {
-    "fern", &plat_fern_codec, &dial_fern, fern_feeds, false, NULL, NULL};
+static const struct plat_adapter fern_form = {
+    "fern", &plat_fern_codec, &fern_dialect, fern_feeds, false, NULL, NULL};
 
-static const struct plat_form *const forms[] = {&fern_form, &platform_form};
+static const struct plat_adapter *const forms[] = {&fern_form, &platform_form};
 
 const char *
 plat_result_name(enum plat_result r)
@@ -33,8 +33,8 @@
 	return result_names[r];
 }
 
-const struct plat_form *
-plat_form_by_name(struct str name)
+const struct plat_adapter *
+plat_adapter_by_name(struct str name)
 {
 	size_t i;
 
@@ -45,7 +45,7 @@
 }
 
 json_t *
-plat_parse(struct str text)
+plat_parse_json(struct str text)
 {
 	json_t *body = json_loadb(text.p, text.n, JSON_ALLOW_NUL, NULL);
 	char *valid;
--- a/plat.h
+++ b/plat.h
@@ -28,20 +28,21 @@
 	PLAT_GET, /* one object */
 	PLAT_CREATE, /* only if it is not there */
 	PLAT_UPDATE, /* only if it has the version given */
-	PLAT_STATUS, /* the same, of what we may write of another's object */
+	PLAT_UPDATE_STATUS, /* the same, of what we may write of another's
+			       object */
 	PLAT_DELETE, /* only if it has the version given */
 	PLAT_WATCH, /* changes since a revision; waits for one */
-	PLAT_BOXES /* the list of boxes */
+	PLAT_LIST_BOXES /* the list of boxes */
 };
 
 enum plat_result {
 	PLAT_OK,
 	PLAT_CONFLICT, /* the condition did not hold; the object is given */
-	PLAT_NONE, /* no such object */
+	PLAT_NOT_FOUND, /* no such object */
 	PLAT_TOO_OLD, /* the watch's revision is no longer kept */
-	PLAT_UNSURE, /* sent; whether it took effect is not known */
-	PLAT_DOWN, /* not sent, or refused without effect */
-	PLAT_BAD /* the platform says the call is wrong */
+	PLAT_UNKNOWN, /* sent; whether it took effect is not known */
+	PLAT_UNAVAILABLE, /* not sent, or refused without effect */
+	PLAT_BAD_REQUEST /* the platform says the call is wrong */
 };
 
 struct plat_request {
@@ -51,7 +52,7 @@
 	uint64_t version; /* update, delete: condition; watch: since */
 	const json_t *value;
 	/* List, watch: may be some seconds old, and is far cheaper. */
-	bool stale;
+	bool allow_stale;
 	int64_t timeout_ms; /* for each page of a list */
 	int64_t wait_ms; /* watch: how long to wait for a change */
 };
@@ -66,14 +67,14 @@
 	    void *, const struct plat_request *, plat_done_fn *, void *);
 	void (*cancel)(void *, struct plat_call *);
 	void *ctx;
-	uint64_t calls; /* started since the beginning */
+	uint64_t calls_started; /* started since the beginning */
 };
 
 static inline struct plat_call *
 plat_start(struct plat *p, const struct plat_request *rq, plat_done_fn *done,
     void *ctx)
 {
-	p->calls++;
+	p->calls_started++;
 	return p->start(p->ctx, rq, done, ctx);
 }
 
@@ -89,8 +90,8 @@
 struct plat_exchange {
 	const char *method;
 	char *path;
-	const char *header; /* one header, or NULL */
-	char *value;
+	const char *header_name; /* one header, or NULL */
+	char *header_value;
 	char *body; /* or NULL */
 };
 
@@ -111,7 +112,8 @@
 	/* `after` is what decode() gave for the page before, else empty. */
 	void (*encode)(const struct plat_request *, struct str after,
 	    struct plat_exchange *);
-	enum plat_result (*result)(const struct plat_request *, int status);
+	enum plat_result (*result_from_status)(
+	    const struct plat_request *, int status);
 	/*
 	 * A new reference, NULL if the body cannot be understood.  Sets *after
 	 * to a new string where a further page has to be fetched.
@@ -125,7 +127,7 @@
  * replaced by a sign for that: they stand in one object, and a list is read
  * whole or not at all.  Strings may hold a NUL.
  */
-json_t *plat_parse(struct str);
+json_t *plat_parse_json(struct str);
 
 /* What the platform bounds us by; zero where it does not say. */
 struct plat_bounds {
@@ -135,19 +137,19 @@
 	 * A cold backend server may get so many times the rate that it bears,
 	 * and so many requests more, in a second.
 	 */
-	double cold_over, cold_slack;
+	double cold_rate_factor, cold_rate_slack;
 	/* Share of the requests that an unproven version may get; 0: unsaid */
-	double expose_share;
-	int64_t grace_ms; /* between the signal to stop and the end */
+	double unproven_share;
+	int64_t stop_grace_ms; /* between the signal to stop and the end */
 };
 
-struct dial;
+struct dialect;
 
 /* All that depends on whose platform it is. */
-struct plat_form {
+struct plat_adapter {
 	const char *name;
 	const struct plat_codec *codec;
-	const struct dial *dial;
+	const struct dialect *dialect;
 	/* Kinds of configuration; each entry is listed and watched by itself.
 	 */
 	const char *const *feeds;
@@ -155,9 +157,9 @@
 	 * Its configuration is one object: none has been written yet as long
 	 * as there is no rule.  Elsewhere no rule is a configuration as well.
 	 */
-	bool waits_for_rules;
+	bool requires_rules;
 	/* Read the platform's bounds from a setting's text; NULL: none. */
-	void (*bounds)(struct str, struct plat_bounds *);
+	void (*parse_bounds)(struct str, struct plat_bounds *);
 	/*
 	 * Can there be anything in a feed, by what the settings say of the
 	 * platform?  NULL: in all of them.
@@ -166,7 +168,7 @@
 };
 
 /* The forms are "fern", of fernplatform(7), and "objects".  NULL: unknown. */
-const struct plat_form *plat_form_by_name(struct str);
+const struct plat_adapter *plat_adapter_by_name(struct str);
 
 /* A client that speaks HTTP and JSON in the form that the codec knows. */
 struct up;
--- a/plat_fern.c
+++ b/plat_fern.c
@@ -26,10 +26,10 @@
     [PLAT_GET] = "GET",
     [PLAT_CREATE] = "PUT",
     [PLAT_UPDATE] = "PUT",
-    [PLAT_STATUS] = "PUT",
+    [PLAT_UPDATE_STATUS] = "PUT",
     [PLAT_DELETE] = "DELETE",
     [PLAT_WATCH] = "GET",
-    [PLAT_BOXES] = "GET"};
+    [PLAT_LIST_BOXES] = "GET"};
 
 static char *
 path_of(const struct plat_request *rq)
@@ -43,9 +43,9 @@
 		    "/v1/watch?kind=%.*s&since=%llu&wait_ms=%lld",
 		    STR_ARG(rq->kind), (unsigned long long)rq->version,
 		    (long long)rq->wait_ms);
-	case PLAT_BOXES:
+	case PLAT_LIST_BOXES:
 		return g_strdup("/v1/boxes");
-	case PLAT_STATUS:
+	case PLAT_UPDATE_STATUS:
 		return g_strdup_printf("/v1/objects/%.*s/%.*s/status",
 		    STR_ARG(rq->kind), STR_ARG(rq->name));
 	default:
@@ -64,12 +64,12 @@
 	if (rq->value != NULL)
 		out->body = json_dumps(rq->value, JSON_COMPACT);
 	if (rq->op == PLAT_CREATE) {
-		out->header = "if-none-match";
-		out->value = g_strdup("*");
-	} else if (rq->op == PLAT_UPDATE || rq->op == PLAT_STATUS ||
+		out->header_name = "if-none-match";
+		out->header_value = g_strdup("*");
+	} else if (rq->op == PLAT_UPDATE || rq->op == PLAT_UPDATE_STATUS ||
 	    rq->op == PLAT_DELETE) {
-		out->header = "if-match";
-		out->value =
+		out->header_name = "if-match";
+		out->header_value =
 		    g_strdup_printf("%llu", (unsigned long long)rq->version);
 	}
 }
@@ -82,15 +82,15 @@
 	if (status == 412)
 		return PLAT_CONFLICT;
 	if (status == 404)
-		return PLAT_NONE;
+		return PLAT_NOT_FOUND;
 	if (status == 410)
 		return PLAT_TOO_OLD;
 	if (status == 503 || status == 429)
-		return PLAT_DOWN;
+		return PLAT_UNAVAILABLE;
 	if (status >= 500)
-		return strcmp(methods[rq->op], "GET") == 0 ? PLAT_DOWN
-							   : PLAT_UNSURE;
-	return PLAT_BAD;
+		return strcmp(methods[rq->op], "GET") == 0 ? PLAT_UNAVAILABLE
+							   : PLAT_UNKNOWN;
+	return PLAT_BAD_REQUEST;
 }
 
 static json_t *
--- a/plat_http.c
+++ b/plat_http.c
@@ -109,7 +109,7 @@
 exchange_clear(struct plat_call *c)
 {
 	g_free(c->ex.path);
-	g_free(c->ex.value);
+	g_free(c->ex.header_value);
 	free(c->ex.body);
 	memset(&c->ex, 0, sizeof(c->ex));
 }
@@ -133,11 +133,13 @@
 	up.method = str_c(c->ex.method);
 	up.path = str_c(c->ex.path);
 	up.body = str_c(c->ex.body);
-	up.connect_ns = CONNECT_NS;
-	if (c->ex.header != NULL) {
-		name = h2o_iovec_init(c->ex.header, strlen(c->ex.header));
+	up.connect_timeout_ns = CONNECT_NS;
+	if (c->ex.header_name != NULL) {
+		name = h2o_iovec_init(
+		    c->ex.header_name, strlen(c->ex.header_name));
 		header.name = &name;
-		header.value = h2o_iovec_init(c->ex.value, strlen(c->ex.value));
+		header.value = h2o_iovec_init(
+		    c->ex.header_value, strlen(c->ex.header_value));
 		up.headers = &header;
 		up.nheaders = 1;
 	}
@@ -179,7 +181,7 @@
 
 	up_cancel(c->up);
 	c->up = NULL;
-	finish(c, c->sent && !c->reads ? PLAT_UNSURE : PLAT_DOWN, NULL);
+	finish(c, c->sent && !c->reads ? PLAT_UNKNOWN : PLAT_UNAVAILABLE, NULL);
 }
 
 static void
@@ -246,18 +248,18 @@
 {
 	struct plat_call *c = ctx;
 	const struct plat_codec *codec = c->http->codec;
-	enum plat_result result = codec->result(&c->rq, c->status);
+	enum plat_result result = codec->result_from_status(&c->rq, c->status);
 	json_t *body, *page = NULL;
 	char *after = NULL;
 
 	take(c, up);
 	c->up = NULL;
-	body = plat_parse(str_n(c->answer->str, c->answer->len));
+	body = plat_parse_json(str_n(c->answer->str, c->answer->len));
 	if (body != NULL)
 		page = codec->decode(&c->rq, result, body, &after);
 	json_decref(body);
 	if (page == NULL && result == PLAT_OK && c->rq.op != PLAT_DELETE)
-		result = c->reads ? PLAT_DOWN : PLAT_UNSURE;
+		result = c->reads ? PLAT_UNAVAILABLE : PLAT_UNKNOWN;
 	if (page != NULL)
 		add_page(c, page);
 	json_decref(page);
@@ -275,6 +277,7 @@
 
 	(void)up;
 	c->up = NULL;
-	finish(
-	    c, kind == ERR_CONNECT || c->reads ? PLAT_DOWN : PLAT_UNSURE, NULL);
+	finish(c,
+	    kind == ERR_CONNECT || c->reads ? PLAT_UNAVAILABLE : PLAT_UNKNOWN,
+	    NULL);
 }
--- a/poison.c
+++ b/poison.c
@@ -22,9 +22,9 @@
 struct poison {
 	const struct clk *clk;
 	const struct rnd *rnd;
-	GPtrArray *words; /* struct poison_word * */
+	GPtrArray *words; /* struct poison_record * */
 	bool news;
-	poison_fn *changed; /* NULL: nobody listens */
+	poison_changed_fn *changed; /* NULL: nobody listens */
 	void *ctx;
 };
 
@@ -40,7 +40,7 @@
 }
 
 void
-poison_listen(struct poison *p, poison_fn *changed, void *ctx)
+poison_listen(struct poison *p, poison_changed_fn *changed, void *ctx)
 {
 	p->changed = changed;
 	p->ctx = ctx;
@@ -54,22 +54,22 @@
 }
 
 static unsigned
-trials(const struct poison_word *w)
+trials(const struct poison_record *w)
 {
 	unsigned i, n = 0;
 
 	for (i = 0; i < POISON_TRIALS; i++)
-		n += w->trials[i] != 0;
+		n += w->trial_ids[i] != 0;
 	return n;
 }
 
 /* What a word says of its caller's request by itself. */
-static enum poison_verdict
-judge(const struct poison_word *w, int64_t now)
+static enum poison_status
+judge(const struct poison_record *w, int64_t now)
 {
-	int64_t age = now - w->ended;
+	int64_t age = now - w->crashed_at;
 
-	if (w->cleared >= w->ended)
+	if (w->cleared_at >= w->crashed_at)
 		return POISON_NONE;
 	if (age < POISON_HOLD_NS)
 		return trials(w) == POISON_TRIALS ? POISON_PROVED
@@ -79,15 +79,15 @@
 							 : POISON_NONE;
 }
 
-static struct poison_word *
+static struct poison_record *
 find(const struct poison *p, struct fprint print)
 {
-	struct poison_word *w;
+	struct poison_record *w;
 	guint i;
 
 	for (i = 0; i < p->words->len; i++) {
 		w = g_ptr_array_index(p->words, i);
-		if (fprint_eq(w->print, print))
+		if (fprint_eq(w->fingerprint, print))
 			return w;
 	}
 	return NULL;
@@ -95,7 +95,7 @@
 
 /* What the words of all callers say of a request. */
 struct opinion {
-	const struct poison_word *own; /* the caller's; NULL: none */
+	const struct poison_record *own; /* the caller's; NULL: none */
 	unsigned tried; /* callers whose trials ended backend servers lately */
 	int64_t ended; /* the last end; 0: it is no suspect */
 };
@@ -104,30 +104,31 @@
 opinion_of(const struct poison *p, struct fprint print, int64_t now)
 {
 	struct opinion o = {0};
-	const struct poison_word *w;
+	const struct poison_record *w;
 	guint i;
 
 	for (i = 0; i < p->words->len; i++) {
 		w = g_ptr_array_index(p->words, i);
-		if (!fprint_same(w->print, print))
+		if (!fprint_same(w->fingerprint, print))
 			continue;
-		if (fprint_eq(w->print, print))
+		if (fprint_eq(w->fingerprint, print))
 			o.own = w;
 		if (judge(w, now) == POISON_NONE)
 			continue;
-		o.ended = MAX(o.ended, w->ended);
-		o.tried += trials(w) > 0 && now - w->ended < POISON_HOLD_NS;
+		o.ended = MAX(o.ended, w->crashed_at);
+		o.tried +=
+		    trials(w) > 0 && now - w->crashed_at < POISON_HOLD_NS;
 	}
 	return o;
 }
 
-enum poison_verdict
-poison_look(const struct poison *p, struct fprint print)
+enum poison_status
+poison_status_of(const struct poison *p, struct fprint print)
 {
 	int64_t now = clk_ns(p->clk);
 	struct opinion o = opinion_of(p, print, now);
 
-	if (o.ended == 0 || (o.own != NULL && o.own->cleared >= o.ended))
+	if (o.ended == 0 || (o.own != NULL && o.own->cleared_at >= o.ended))
 		return POISON_NONE;
 	if (o.own != NULL && judge(o.own, now) == POISON_PROVED)
 		return POISON_PROVED;
@@ -136,16 +137,16 @@
 
 /* Tell who listens, if something is thought now that was not before. */
 static void
-note(struct poison *p, struct fprint print, enum poison_verdict before)
+note(struct poison *p, struct fprint print, enum poison_status before)
 {
-	enum poison_verdict now = poison_look(p, print);
+	enum poison_status now = poison_status_of(p, print);
 
 	if (now != before && p->changed != NULL)
 		p->changed(p->ctx, print, now);
 }
 
 int64_t
-poison_until(const struct poison *p, struct fprint print)
+poison_retry_at(const struct poison *p, struct fprint print)
 {
 	struct opinion o = opinion_of(p, print, clk_ns(p->clk));
 
@@ -154,21 +155,22 @@
 
 /* Does one word matter more than another? */
 static bool
-is_weightier(const struct poison_word *a, const struct poison_word *b)
+is_weightier(const struct poison_record *a, const struct poison_record *b)
 {
 	if (trials(a) != trials(b))
 		return trials(a) > trials(b);
-	return MAX(a->ended, a->cleared) > MAX(b->ended, b->cleared);
+	return MAX(a->crashed_at, a->cleared_at) >
+	    MAX(b->crashed_at, b->cleared_at);
 }
 
 /* What matters least makes room for something new. */
 static void
 make_room(struct poison *p)
 {
-	struct poison_word *least = NULL, *w;
+	struct poison_record *least = NULL, *w;
 	guint i;
 
-	if (p->words->len < POISON_MAX)
+	if (p->words->len < POISON_RECORDS_MAX)
 		return;
 	for (i = 0; i < p->words->len; i++) {
 		w = g_ptr_array_index(p->words, i);
@@ -178,55 +180,55 @@
 	g_ptr_array_remove_fast(p->words, least);
 }
 
-static struct poison_word *
+static struct poison_record *
 find_or_add(struct poison *p, struct fprint print)
 {
-	struct poison_word *w = find(p, print);
+	struct poison_record *w = find(p, print);
 
 	if (w != NULL)
 		return w;
 	make_room(p);
-	w = g_new0(struct poison_word, 1);
-	w->print = print;
+	w = g_new0(struct poison_record, 1);
+	w->fingerprint = print;
 	g_ptr_array_add(p->words, w);
 	return w;
 }
 
 static void
-add_trial(struct poison_word *w, uint64_t number)
+add_trial(struct poison_record *w, uint64_t number)
 {
 	unsigned i;
 
 	for (i = 0; i < POISON_TRIALS; i++)
-		if (w->trials[i] == number)
+		if (w->trial_ids[i] == number)
 			return;
 	for (i = 0; i < POISON_TRIALS; i++)
-		if (w->trials[i] == 0) {
-			w->trials[i] = number;
+		if (w->trial_ids[i] == 0) {
+			w->trial_ids[i] = number;
 			return;
 		}
 }
 
 /* Trials from before an answer, or from before its time was over, are void. */
 static void
-begin_anew(struct poison_word *w, int64_t now)
+begin_anew(struct poison_record *w, int64_t now)
 {
 	if (judge(w, now) == POISON_NONE)
-		memset(w->trials, 0, sizeof(w->trials));
+		memset(w->trial_ids, 0, sizeof(w->trial_ids));
 }
 
 void
-poison_ended(struct poison *p, struct fprint print, bool trial)
+poison_record_crash(struct poison *p, struct fprint print, bool trial)
 {
-	enum poison_verdict before = poison_look(p, print);
+	enum poison_status before = poison_status_of(p, print);
 	int64_t now = clk_ns(p->clk);
-	struct poison_word *w;
+	struct poison_record *w;
 
 	if (fprint_is_none(print))
 		return;
 	w = find_or_add(p, print);
 	begin_anew(w, now);
-	w->ended = MAX(now, w->cleared + 1);
+	w->crashed_at = MAX(now, w->cleared_at + 1);
 	if (trial)
 		add_trial(w, MAX(p->rnd->next(p->rnd->ctx), 1));
 	p->news = p->news || trial;
@@ -234,60 +236,61 @@
 }
 
 void
-poison_accuse(struct poison *p, struct fprint print)
+poison_mark_suspect(struct poison *p, struct fprint print)
 {
-	if (poison_look(p, print) == POISON_NONE)
-		poison_ended(p, print, false);
+	if (poison_status_of(p, print) == POISON_NONE)
+		poison_record_crash(p, print, false);
 }
 
 void
-poison_served(struct poison *p, struct fprint print)
+poison_record_success(struct poison *p, struct fprint print)
 {
-	enum poison_verdict before = poison_look(p, print);
-	struct poison_word *w;
+	enum poison_status before = poison_status_of(p, print);
+	struct poison_record *w;
 
 	if (before == POISON_NONE)
 		return;
 	w = find_or_add(p, print);
-	w->cleared = MAX(clk_ns(p->clk), w->ended);
-	memset(w->trials, 0, sizeof(w->trials));
+	w->cleared_at = MAX(clk_ns(p->clk), w->crashed_at);
+	memset(w->trial_ids, 0, sizeof(w->trial_ids));
 	note(p, print, before);
 }
 
 /* The union of both, without what an answer has made void. */
 static void
-merge(struct poison_word *w, const struct poison_word *told)
+merge(struct poison_record *w, const struct poison_record *told)
 {
 	unsigned i;
 
-	if (told->cleared > w->cleared + SAME_NS)
-		w->cleared = told->cleared;
-	if (told->ended > w->ended + SAME_NS)
-		w->ended = told->ended;
-	if (w->cleared >= w->ended) {
-		memset(w->trials, 0, sizeof(w->trials));
+	if (told->cleared_at > w->cleared_at + SAME_NS)
+		w->cleared_at = told->cleared_at;
+	if (told->crashed_at > w->crashed_at + SAME_NS)
+		w->crashed_at = told->crashed_at;
+	if (w->cleared_at >= w->crashed_at) {
+		memset(w->trial_ids, 0, sizeof(w->trial_ids));
 		return;
 	}
-	for (i = 0; told->ended > w->cleared && i < POISON_TRIALS; i++)
-		if (told->trials[i] != 0)
-			add_trial(w, told->trials[i]);
+	for (i = 0; told->crashed_at > w->cleared_at && i < POISON_TRIALS; i++)
+		if (told->trial_ids[i] != 0)
+			add_trial(w, told->trial_ids[i]);
 }
 
 void
-poison_take(struct poison *p, const struct poison_word *told)
+poison_merge(struct poison *p, const struct poison_record *told)
 {
-	enum poison_verdict before = poison_look(p, told->print);
+	enum poison_status before = poison_status_of(p, told->fingerprint);
 
-	if (fprint_is_none(told->print) || told->ended > clk_ns(p->clk))
+	if (fprint_is_none(told->fingerprint) ||
+	    told->crashed_at > clk_ns(p->clk))
 		return;
-	merge(find_or_add(p, told->print), told);
-	note(p, told->print, before);
+	merge(find_or_add(p, told->fingerprint), told);
+	note(p, told->fingerprint, before);
 }
 
 static gint
 by_weight(gconstpointer pa, gconstpointer pb)
 {
-	const struct poison_word *const *a = pa, *const *b = pb;
+	const struct poison_record *const *a = pa, *const *b = pb;
 
 	if (is_weightier(*a, *b))
 		return -1;
@@ -295,19 +298,19 @@
 }
 
 unsigned
-poison_words(struct poison *p, struct poison_word *out)
+poison_records(struct poison *p, struct poison_record *out)
 {
-	unsigned i, n = MIN(p->words->len, (guint)POISON_WORDS);
+	unsigned i, n = MIN(p->words->len, (guint)POISON_MSG_RECORDS_MAX);
 
 	g_ptr_array_sort(p->words, by_weight);
 	for (i = 0; i < n; i++)
-		out[i] =
-		    *(const struct poison_word *)g_ptr_array_index(p->words, i);
+		out[i] = *(const struct poison_record *)g_ptr_array_index(
+		    p->words, i);
 	return n;
 }
 
 bool
-poison_has_news(struct poison *p)
+poison_has_unsent_trial(struct poison *p)
 {
 	bool news = p->news;
 
@@ -317,14 +320,14 @@
 
 /* An answer is remembered as long as an end, so that no old word undoes it. */
 static bool
-is_over(const struct poison_word *w, int64_t now)
+is_over(const struct poison_record *w, int64_t now)
 {
 	return judge(w, now) == POISON_NONE &&
-	    now - MAX(w->ended, w->cleared) >= POISON_HOLD_NS;
+	    now - MAX(w->crashed_at, w->cleared_at) >= POISON_HOLD_NS;
 }
 
 void
-poison_tick(struct poison *p)
+poison_expire(struct poison *p)
 {
 	int64_t now = clk_ns(p->clk);
 	guint i;
@@ -335,15 +338,15 @@
 }
 
 unsigned
-poison_proved(const struct poison *p)
+poison_count_proved(const struct poison *p)
 {
-	const struct poison_word *w;
+	const struct poison_record *w;
 	unsigned n = 0;
 	guint i;
 
 	for (i = 0; i < p->words->len; i++) {
 		w = g_ptr_array_index(p->words, i);
-		n += poison_look(p, w->print) == POISON_PROVED;
+		n += poison_status_of(p, w->fingerprint) == POISON_PROVED;
 	}
 	return n;
 }
--- a/poison.h
+++ b/poison.h
@@ -41,9 +41,9 @@
 	POISON_TRIALS = 2,
 	POISON_CALLERS = 2,
 	/* Words that a box remembers: 56 bytes each, looked through in turn. */
-	POISON_MAX = 256,
+	POISON_RECORDS_MAX = 256,
 	/* Of these, how many a message carries: 70 bytes each. */
-	POISON_WORDS = 32
+	POISON_MSG_RECORDS_MAX = 32
 };
 
 /*
@@ -54,19 +54,20 @@
  */
 #define POISON_HOLD_NS (600 * NS_S)
 
-enum poison_verdict { POISON_NONE, POISON_SUSPECT, POISON_PROVED };
+enum poison_status { POISON_NONE, POISON_SUSPECT, POISON_PROVED };
 
 /* What is known of one request, as boxes tell each other. */
-struct poison_word {
-	struct fprint print;
+struct poison_record {
+	struct fprint fingerprint;
 	/* Numbers of the trials that ended so; 0: none. */
-	uint64_t trials[POISON_TRIALS];
-	int64_t ended; /* the last end; monotonic ns of whoever holds this */
-	int64_t cleared; /* the last answer; 0: none */
+	uint64_t trial_ids[POISON_TRIALS];
+	int64_t
+	    crashed_at; /* the last end; monotonic ns of whoever holds this */
+	int64_t cleared_at; /* the last answer; 0: none */
 };
 
 /* What is thought of a request has changed. */
-typedef void poison_fn(void *, struct fprint, enum poison_verdict);
+typedef void poison_changed_fn(void *, struct fprint, enum poison_status);
 
 struct poison;
 
@@ -74,39 +75,39 @@
 void poison_free(struct poison *);
 
 /* Call this whenever a word or an event changes what is thought. */
-void poison_listen(struct poison *, poison_fn *, void *);
+void poison_listen(struct poison *, poison_changed_fn *, void *);
 
 /* What is thought of a request now. */
-enum poison_verdict poison_look(const struct poison *, struct fprint);
+enum poison_status poison_status_of(const struct poison *, struct fprint);
 
 /* When a request that is proved to be poison may be tried again; ns. */
-int64_t poison_until(const struct poison *, struct fprint);
+int64_t poison_retry_at(const struct poison *, struct fprint);
 
 /* It was at a backend server when that ended; in a trial, or beside others. */
-void poison_ended(struct poison *, struct fprint, bool trial);
+void poison_record_crash(struct poison *, struct fprint, bool trial);
 
 /* A box that passed it on takes it for a suspect. */
-void poison_accuse(struct poison *, struct fprint);
+void poison_mark_suspect(struct poison *, struct fprint);
 
 /* A backend server answered it, below 500. */
-void poison_served(struct poison *, struct fprint);
+void poison_record_success(struct poison *, struct fprint);
 
 /* Take another box's word, its times in ns of our own clock. */
-void poison_take(struct poison *, const struct poison_word *);
+void poison_merge(struct poison *, const struct poison_record *);
 
 /*
- * The words worth telling, at most POISON_WORDS: those with trials first, then
- * the newest.
+ * The words worth telling, at most POISON_MSG_RECORDS_MAX: those with trials
+ * first, then the newest.
  */
-unsigned poison_words(struct poison *, struct poison_word *);
+unsigned poison_records(struct poison *, struct poison_record *);
 
 /* Has a trial ended, here, since this was asked last? */
-bool poison_has_news(struct poison *);
+bool poison_has_unsent_trial(struct poison *);
 
 /* Forget what is too old. */
-void poison_tick(struct poison *);
+void poison_expire(struct poison *);
 
 /* Requests that are refused now, by caller. */
-unsigned poison_proved(const struct poison *);
+unsigned poison_count_proved(const struct poison *);
 
 #endif
--- a/poison_msg.c
+++ b/poison_msg.c
@@ -26,31 +26,32 @@
 }
 
 static void
-write_word(struct msg_suspect *out, const struct poison_word *w, int64_t now)
+write_word(struct msg_suspect *out, const struct poison_record *w, int64_t now)
 {
-	out->print_hi = w->print.hi;
-	out->print_lo = w->print.lo;
-	out->print_caller = w->print.caller;
-	memcpy(out->trials, w->trials, sizeof(out->trials));
-	out->ended_ms = ms_ago(now, w->ended);
-	out->cleared_ms = ms_ago(now, w->cleared);
+	out->fingerprint_hi = w->fingerprint.hi;
+	out->fingerprint_lo = w->fingerprint.lo;
+	out->fingerprint_caller = w->fingerprint.caller;
+	memcpy(out->trials, w->trial_ids, sizeof(out->trials));
+	out->crash_age_ms = ms_ago(now, w->crashed_at);
+	out->cleared_age_ms = ms_ago(now, w->cleared_at);
 }
 
 static void
-read_word(struct poison_word *out, const struct msg_suspect *in, int64_t now)
+read_word(struct poison_record *out, const struct msg_suspect *in, int64_t now)
 {
-	*out = (struct poison_word){
-	    .print = {in->print_hi, in->print_lo, in->print_caller},
-	    .ended = ns_ago(now, in->ended_ms),
-	    .cleared = ns_ago(now, in->cleared_ms)};
-	memcpy(out->trials, in->trials, sizeof(out->trials));
+	*out = (struct poison_record){
+	    .fingerprint = {in->fingerprint_hi, in->fingerprint_lo,
+		in->fingerprint_caller},
+	    .crashed_at = ns_ago(now, in->crash_age_ms),
+	    .cleared_at = ns_ago(now, in->cleared_age_ms)};
+	memcpy(out->trial_ids, in->trials, sizeof(out->trial_ids));
 }
 
 unsigned
-poison_msg_write(struct poison *p, int64_t now, struct msg_suspect *out)
+poison_msg_encode(struct poison *p, int64_t now, struct msg_suspect *out)
 {
-	struct poison_word words[POISON_WORDS];
-	unsigned i, n = poison_words(p, words);
+	struct poison_record words[POISON_MSG_RECORDS_MAX];
+	unsigned i, n = poison_records(p, words);
 
 	for (i = 0; i < n; i++)
 		write_word(&out[i], &words[i], now);
@@ -58,14 +59,15 @@
 }
 
 void
-poison_msg_take(struct poison *p, int64_t now, const struct msg_suspects *m)
+poison_msg_merge(struct poison *p, int64_t now, const struct msg_suspects *m)
 {
 	const struct msg_suspect *v = m->suspects.items;
-	struct poison_word word;
+	struct poison_record word;
 	size_t i;
 
-	for (i = 0; i < MIN(m->suspects.n, (size_t)POISON_WORDS); i++) {
+	for (i = 0; i < MIN(m->suspects.n, (size_t)POISON_MSG_RECORDS_MAX);
+	     i++) {
 		read_word(&word, &v[i], now);
-		poison_take(p, &word);
+		poison_merge(p, &word);
 	}
 }
--- a/poison_msg.h
+++ b/poison_msg.h
@@ -16,10 +16,11 @@
 
 /* Words of poison.h as messages between processes: ages in place of times. */
 
-/* Write the words worth telling, at most POISON_WORDS; how many. */
-unsigned poison_msg_write(struct poison *, int64_t now, struct msg_suspect *);
+/* Write the words worth telling, at most POISON_MSG_RECORDS_MAX; how many. */
+unsigned poison_msg_encode(struct poison *, int64_t now, struct msg_suspect *);
 
 /* Take a message's words, no more of them than one may have. */
-void poison_msg_take(struct poison *, int64_t now, const struct msg_suspects *);
+void
+poison_msg_merge(struct poison *, int64_t now, const struct msg_suspects *);
 
 #endif
--- a/probe.c
+++ b/probe.c
@@ -19,7 +19,7 @@
 	int64_t interval, next;
 	bool wanted, out;
 	int fails;
-	enum msg_state state;
+	enum msg_health_state state;
 };
 
 struct probe {
@@ -33,7 +33,7 @@
 
 static void target_free(void *);
 static gboolean is_unwanted(gpointer, gpointer, gpointer);
-static void conclude(struct probe *, struct target *, enum msg_state);
+static void conclude(struct probe *, struct target *, enum msg_health_state);
 
 static void
 target_free(void *p)
@@ -67,7 +67,7 @@
 }
 
 void
-probe_begin(struct probe *p)
+probe_targets_begin(struct probe *p)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -88,7 +88,7 @@
 
 /* A new target's first probe comes at once, the others spread out. */
 void
-probe_want(struct probe *p, struct str backend, struct str address,
+probe_targets_add(struct probe *p, struct str backend, struct str address,
     struct str path, int64_t interval, int64_t now)
 {
 	char *key = g_strndup(backend.p, backend.n);
@@ -116,7 +116,7 @@
 }
 
 void
-probe_commit(struct probe *p)
+probe_targets_commit(struct probe *p)
 {
 	g_hash_table_foreach_remove(p->targets, is_unwanted, NULL);
 }
@@ -133,29 +133,29 @@
 		t = value;
 		if (t->out || now < t->next)
 			continue;
-		if (!limit_take(&p->budget, p->rate, now)) {
+		if (!limit_allow(&p->budget, p->rate, now)) {
 			p->put_off++;
 			return;
 		}
 		t->out = true;
 		t->next = now + rnd_jitter(p->rnd, t->interval);
 		p->started++;
-		p->ops.probe(p->ops.ctx, t->backend, t->address, t->path);
+		p->ops.start_probe(p->ops.ctx, t->backend, t->address, t->path);
 	}
 }
 
 static void
-conclude(struct probe *p, struct target *t, enum msg_state state)
+conclude(struct probe *p, struct target *t, enum msg_health_state state)
 {
 	if (t->state == state)
 		return;
 	t->state = state;
-	p->ops.changed(p->ops.ctx, t->backend, state);
+	p->ops.state_changed(p->ops.ctx, t->backend, state);
 }
 
 void
-probe_result(
-    struct probe *p, struct str backend, enum probe_found found, int64_t now)
+probe_record_outcome(
+    struct probe *p, struct str backend, enum probe_outcome found, int64_t now)
 {
 	char *key = g_strndup(backend.p, backend.n);
 	struct target *t = g_hash_table_lookup(p->targets, key);
@@ -168,15 +168,15 @@
 	if (found != PROBE_FAILED)
 		t->fails = 0;
 	if (found == PROBE_OK)
-		conclude(p, t, STATE_UP);
+		conclude(p, t, HEALTH_UP);
 	else if (found == PROBE_DRAINING)
-		conclude(p, t, STATE_DRAINING);
+		conclude(p, t, HEALTH_DRAINING);
 	else if (++t->fails >= FAILS_DOWN)
-		conclude(p, t, STATE_DOWN);
+		conclude(p, t, HEALTH_DOWN);
 }
 
 void
-probe_each(const struct probe *p, probe_visit_fn *visit, void *ctx)
+probe_each(const struct probe *p, probe_each_fn *visit, void *ctx)
 {
 	const struct target *t;
 	GHashTableIter it;
@@ -190,19 +190,19 @@
 }
 
 unsigned
-probe_count(const struct probe *p)
+probe_target_count(const struct probe *p)
 {
 	return g_hash_table_size(p->targets);
 }
 
 uint64_t
-probe_started(const struct probe *p)
+probe_started_count(const struct probe *p)
 {
 	return p->started;
 }
 
 uint64_t
-probe_put_off(const struct probe *p)
+probe_deferred_count(const struct probe *p)
 {
 	return p->put_off;
 }
--- a/probe.h
+++ b/probe.h
@@ -25,16 +25,18 @@
  * the probes of a box together, whatever there is to probe.
  */
 struct probe_ops {
-	/* Probe a backend server now; the result comes by probe_result(). */
-	void (*probe)(
+	/* Probe a backend server now; the result comes by
+	 * probe_record_outcome(). */
+	void (*start_probe)(
 	    void *, struct str backend, struct str address, struct str path);
 	/* What is thought of a backend server has changed. */
-	void (*changed)(void *, struct str backend, enum msg_state);
+	void (*state_changed)(
+	    void *, struct str backend, enum msg_health_state);
 	void *ctx;
 };
 
 /* What one probe found. */
-enum probe_found { PROBE_OK, PROBE_FAILED, PROBE_DRAINING };
+enum probe_outcome { PROBE_OK, PROBE_FAILED, PROBE_DRAINING };
 
 struct probe;
 
@@ -43,25 +45,25 @@
 void probe_free(struct probe *);
 
 /* The backend servers that this box has to probe, told anew each time. */
-void probe_begin(struct probe *);
-void probe_want(struct probe *, struct str backend, struct str address,
+void probe_targets_begin(struct probe *);
+void probe_targets_add(struct probe *, struct str backend, struct str address,
     struct str path, int64_t interval, int64_t now);
-void probe_commit(struct probe *);
+void probe_targets_commit(struct probe *);
 
 /* Start the probes that are due, as far as the budget allows. */
 void probe_tick(struct probe *, int64_t now);
 
-void
-probe_result(struct probe *, struct str backend, enum probe_found, int64_t now);
+void probe_record_outcome(
+    struct probe *, struct str backend, enum probe_outcome, int64_t now);
 
 /* Visit what is thought now. */
-typedef void probe_visit_fn(void *, struct str backend, enum msg_state);
-void probe_each(const struct probe *, probe_visit_fn *, void *);
+typedef void probe_each_fn(void *, struct str backend, enum msg_health_state);
+void probe_each(const struct probe *, probe_each_fn *, void *);
 
-unsigned probe_count(const struct probe *);
+unsigned probe_target_count(const struct probe *);
 
 /* Probes started, and those put off for want of budget. */
-uint64_t probe_started(const struct probe *);
-uint64_t probe_put_off(const struct probe *);
+uint64_t probe_started_count(const struct probe *);
+uint64_t probe_deferred_count(const struct probe *);
 
 #endif
--- a/queue.c
+++ b/queue.c
@@ -37,14 +37,14 @@
 		return a->rank < b->rank;
 	if (a->deadline != b->deadline)
 		return a->deadline < b->deadline;
-	return a->order < b->order;
+	return a->seq < b->seq;
 }
 
 static void
 put(struct queue *q, size_t at, struct queue_item *item)
 {
 	q->heap[at] = item;
-	item->at = at;
+	item->heap_index = at;
 }
 
 static void
@@ -87,13 +87,13 @@
 void
 queue_push(struct queue *q, struct queue_item *item)
 {
-	if (q->n == q->max) {
-		q->max = MAX(16, 2 * q->max);
-		q->heap = g_renew(struct queue_item *, q->heap, q->max);
+	if (q->n == q->capacity) {
+		q->capacity = MAX(16, 2 * q->capacity);
+		q->heap = g_renew(struct queue_item *, q->heap, q->capacity);
 	}
-	item->order = q->next_order++;
+	item->seq = q->next_seq++;
 	put(q, q->n++, item);
-	sift_up(q, item->at);
+	sift_up(q, item->heap_index);
 }
 
 struct queue_item *
@@ -115,12 +115,12 @@
 void
 queue_remove(struct queue *q, struct queue_item *item)
 {
-	size_t at = item->at;
+	size_t at = item->heap_index;
 	struct queue_item *last = q->heap[--q->n];
 
 	if (last == item)
 		return;
 	put(q, at, last);
 	sift_up(q, at);
-	sift_down(q, last->at);
+	sift_down(q, last->heap_index);
 }
--- a/queue.h
+++ b/queue.h
@@ -22,15 +22,15 @@
 struct queue_item {
 	int rank; /* the lower, the sooner; 0 where all are alike */
 	int64_t deadline; /* monotonic ns */
-	uint64_t order; /* ties go to the earlier */
-	size_t at; /* place in the heap, for queue_remove() */
+	uint64_t seq; /* ties go to the earlier */
+	size_t heap_index; /* place in the heap, for queue_remove() */
 	void *data;
 };
 
 struct queue {
 	struct queue_item **heap;
-	size_t n, max;
-	uint64_t next_order;
+	size_t n, capacity;
+	uint64_t next_seq;
 };
 
 void queue_init(struct queue *);
--- a/quota.c
+++ b/quota.c
@@ -28,44 +28,44 @@
 }
 
 bool
-quota_told(struct quota *q, double rate, int64_t sent, int64_t now)
+quota_update(struct quota *q, double rate, int64_t sent, int64_t now)
 {
 	bool is_lower;
 
 	rate = MIN(rate, QUOTA_RATE_MAX);
 	is_lower = rate > 0 && (q->rate == 0 || rate < q->rate);
 	if (rate == q->rate) {
-		q->told = now;
+		q->updated_at = now;
 		return false;
 	}
-	if (!is_lower && sent < q->told)
+	if (!is_lower && sent < q->updated_at)
 		return false;
 	if (q->rate == 0)
 		q->bucket = (struct bucket){0, now};
 	q->rate = rate;
-	q->told = now;
+	q->updated_at = now;
 	return true;
 }
 
 int
-quota_free(const struct quota *q, int64_t now)
+quota_available(const struct quota *q, int64_t now)
 {
 	if (q->rate == 0)
 		return INT_MAX;
-	return (int)bucket_holds(&q->bucket, q->rate, burst(q), now);
+	return (int)bucket_tokens(&q->bucket, q->rate, burst(q), now);
 }
 
 double
-quota_by(const struct quota *q, int64_t now, int64_t until)
+quota_available_by(const struct quota *q, int64_t now, int64_t until)
 {
-	double tokens = bucket_holds(&q->bucket, q->rate, burst(q), now);
+	double tokens = bucket_tokens(&q->bucket, q->rate, burst(q), now);
 
 	return floor(tokens + q->rate * (double)(until - now) / NS_S);
 }
 
 void
-quota_sent(struct quota *q, int64_t now)
+quota_consume(struct quota *q, int64_t now)
 {
 	if (q->rate > 0)
-		bucket_take(&q->bucket, q->rate, burst(q), now);
+		bucket_consume(&q->bucket, q->rate, burst(q), now);
 }
--- a/quota.h
+++ b/quota.h
@@ -27,7 +27,7 @@
 struct quota {
 	double rate; /* requests a second; 0: no limit */
 	/* When this rate was last reported, monotonic ns; 0: never. */
-	int64_t told;
+	int64_t updated_at;
 	struct bucket bucket;
 };
 
@@ -41,18 +41,18 @@
  * sent after the current limit was reported.  Returns whether the limit
  * changed.
  */
-bool quota_told(struct quota *, double rate, int64_t sent, int64_t now);
+bool quota_update(struct quota *, double rate, int64_t sent, int64_t now);
 
 /* Returns how many requests may be sent now; INT_MAX without a limit. */
-int quota_free(const struct quota *, int64_t now);
+int quota_available(const struct quota *, int64_t now);
 
 /*
  * Returns how many requests may be sent from now to a later time.  There must
  * be a limit.
  */
-double quota_by(const struct quota *, int64_t now, int64_t then);
+double quota_available_by(const struct quota *, int64_t now, int64_t then);
 
 /* Takes one request out of the bucket. */
-void quota_sent(struct quota *, int64_t now);
+void quota_consume(struct quota *, int64_t now);
 
 #endif
--- a/region.c
+++ b/region.c
@@ -40,7 +40,7 @@
 }
 
 bool
-region_is_near(const json_t *halls, struct str a, struct str b)
+region_is_same(const json_t *halls, struct str a, struct str b)
 {
 	return str_eq(region_of(halls, a), region_of(halls, b));
 }
@@ -58,7 +58,7 @@
 {
 	return h->slots > 0 &&
 	    region_allows(w->list, region_of(w->halls, h->hall)) &&
-	    (!w->near || region_is_near(w->halls, w->own, h->hall));
+	    (!w->near || region_is_same(w->halls, w->own, h->hall));
 }
 
 /* One of them, by slots at random; empty if there is none. */
--- a/region.h
+++ b/region.h
@@ -30,7 +30,7 @@
 struct str region_of(const json_t *halls, struct str hall);
 
 /* Are two halls in one region, as far as the table tells? */
-bool region_is_near(const json_t *halls, struct str a, struct str b);
+bool region_is_same(const json_t *halls, struct str a, struct str b);
 
 /*
  * The hall whose slots a request is to use: its box's own, if that may serve it
--- a/regress/bench_pick.cpp
+++ b/regress/bench_pick.cpp
@@ -59,7 +59,7 @@
 	struct disp_params p = {};
 	struct disp *d = disp_new(&ops, clk_system(), rnd_system());
 	std::vector<std::string> names;
-	std::vector<struct disp_backend> list;
+	std::vector<struct disp_backend_conf> list;
 	std::vector<struct disp_req> reqs(static_cast<size_t>(backends));
 
 	p.policy = pick_by_name(str_c(policy));
@@ -72,15 +72,15 @@
 	for (auto &n : names)
 		list.push_back({str_c(n.c_str()), STR_LIT("127.0.0.1:1"), 3,
 		    false, false, 0, 0, false});
-	disp_backends(d, list.data(), static_cast<unsigned>(backends));
+	disp_set_backends(d, list.data(), static_cast<unsigned>(backends));
 	auto step = [&](struct disp_req &r) {
-		if (r.at != nullptr)
-			disp_done(d, &r, DISP_OK);
-		r.tries = 0;
+		if (r.backend != nullptr)
+			disp_attempt_done(d, &r, DISP_OK);
+		r.attempt_count = 0;
 		r.repeatable = true;
 		r.deadline = clk_ns(clk_system()) + 1000 * NS_S;
-		if (!r.held)
-			disp_arrive(d, &r);
+		if (!r.queued)
+			disp_submit(d, &r);
 	};
 	for (int k = 0; k < 20; k++)
 		for (auto &r : reqs)
--- a/regress/disp_world.h
+++ b/regress/disp_world.h
@@ -111,7 +111,7 @@
 		w->trace.push_back("stop " + std::to_string(of(d)->id));
 		if (w->on_stop)
 			w->on_stop(of(d));
-		EXPECT_TRUE(disp_done(w->disp, d, DISP_SLOW));
+		EXPECT_TRUE(disp_attempt_done(w->disp, d, DISP_STOPPED_SLOW));
 	}
 
 	static void peek(void *ctx, struct pick_backend *b)
@@ -165,7 +165,7 @@
 	void
 	backends(int n, int slots, int drained = -1, bool evacuated = false)
 	{
-		std::vector<struct disp_backend> v;
+		std::vector<struct disp_backend_conf> v;
 		static std::vector<std::string> names;
 
 		if (names.empty())
@@ -176,7 +176,7 @@
 			    {str_c(names[static_cast<size_t>(i)].c_str()),
 				STR_LIT("127.0.0.1:1"), slots, i == drained,
 				evacuated, 0, 0, false});
-		disp_backends(disp, v.data(), static_cast<unsigned>(n));
+		disp_set_backends(disp, v.data(), static_cast<unsigned>(n));
 	}
 
 	Req *arrive(Req *r, int64_t deadline_ms = 1000,
@@ -186,17 +186,17 @@
 		r->arrived = now;
 		r->d.cls = cls;
 		r->d.repeatable = repeatable;
-		r->d.may_retry = true;
+		r->d.can_retry = true;
 		r->d.deadline = now + deadline_ms * NS_MS;
-		disp_arrive(disp, &r->d);
+		disp_submit(disp, &r->d);
 		return r;
 	}
 
 	bool done(Req *r, enum disp_outcome outcome)
 	{
-		if (outcome == DISP_CUT || outcome == DISP_FAILED)
+		if (outcome == DISP_CONN_BROKEN || outcome == DISP_SERVER_ERROR)
 			r->maybe_runs++;
-		bool again = disp_done(disp, &r->d, outcome);
+		bool again = disp_attempt_done(disp, &r->d, outcome);
 
 		if (!again && !r->ended)
 			r->ended = true;
@@ -211,7 +211,7 @@
 
 			arrive(&r);
 			now += 5 * NS_MS;
-			if (r.d.at != nullptr)
+			if (r.d.backend != nullptr)
 				done(&r, DISP_OK);
 		}
 	}
--- a/regress/fleet_http.cpp
+++ b/regress/fleet_http.cpp
@@ -178,9 +178,9 @@
 	rq.body = view(c->body);
 	rq.headers = c->list.data();
 	rq.nheaders = c->list.size();
-	rq.connect_ns = NS_S;
+	rq.connect_timeout_ns = NS_S;
 	/* What must not repeat is sent on a connection of its own. */
-	rq.fresh = method != "GET";
+	rq.new_connection = method != "GET";
 	tmr_set(&net().tmr, &c->timer,
 	    clk_ns(clk_system()) + timeout_ms * NS_MS, on_timeout, c);
 	c->up = up_start(net().up, &rq, &ops, c);
--- a/regress/load.cpp
+++ b/regress/load.cpp
@@ -360,7 +360,7 @@
 	Product *p = nullptr;
 	int hall = 0;
 	struct disp *disp = nullptr;
-	struct disp_room told = {};
+	struct disp_capacity told = {};
 };
 
 struct Product : World {
@@ -406,7 +406,8 @@
 		p->sent_evacuated += p->is_evacuated(v.hall);
 		p->count_cold(&v);
 		if (p->is_down(v)) {
-			p->end_later(a, p->gives_up(v), DISP_CONNECT, nullptr);
+			p->end_later(
+			    a, p->gives_up(v), DISP_CONNECT_FAILED, nullptr);
 			return;
 		}
 		if (p->refuses(v)) {
@@ -414,7 +415,7 @@
 			return;
 		}
 		if (v.running >= p->set.slots && !p->pat.queues) {
-			p->end_later(a, NS_MS, DISP_CUT, nullptr);
+			p->end_later(a, NS_MS, DISP_CONN_BROKEN, nullptr);
 			return;
 		}
 		p->begin(a, v);
@@ -458,12 +459,13 @@
 
 		a->run = 0;
 		if (how == DISP_OK && pat.tells)
-			disp_load_told(d, a->d.at, v->running, 0, pace(*v));
+			disp_load_reported(
+			    d, a->d.backend, v->running, 0, pace(*v));
 		if (how == DISP_OK)
 			finish(a, true);
-		if (!disp_done(d, &a->d, how) && how != DISP_OK)
+		if (!disp_attempt_done(d, &a->d, how) && how != DISP_OK)
 			come_back(
-			    a, how == DISP_REFUSED ? DISP_REFUSED_AGAIN_NS : 0);
+			    a, how == DISP_REFUSED ? DISP_REFUSED_RETRY_NS : 0);
 	}
 
 	void finish(Attempt *a, bool served)
@@ -513,7 +515,7 @@
 		Product *p = static_cast<Home *>(ctx)->p;
 		Attempt *a = of(d);
 
-		d->may_pass = false;
+		d->can_forward = false;
 		a->home = atoi(std::string(hall.p + 1, hall.n - 1).c_str());
 		p->in(1400 * NS_US, [p, a] {
 			if (!a->over)
@@ -527,7 +529,7 @@
 		Attempt *a = of(d);
 
 		a->run = 0;
-		if (!disp_done(h->disp, d, DISP_SLOW))
+		if (!disp_attempt_done(h->disp, d, DISP_STOPPED_SLOW))
 			h->p->come_back(a, 0);
 	}
 
@@ -542,12 +544,13 @@
 				    : 400 * NS_US,
 		    [p, h, d, &v] {
 			    if (h->disp == d && !p->is_down(v))
-				    disp_cold_told(d, str_c(v.name.c_str()),
+				    disp_cold_reported(d, str_c(v.name.c_str()),
 					std::max<int64_t>(
 					    v.cold_until - p->now, 0));
 			    if (h->disp == d)
-				    disp_peeked(d, str_c(v.name.c_str()),
-					!p->is_down(v), v.running, v.queued,
+				    disp_load_query_done(d,
+					str_c(v.name.c_str()), !p->is_down(v),
+					v.running, v.queued,
 					p->pat.tells ? p->pace(v) : 0);
 		    });
 	}
@@ -563,7 +566,7 @@
 			lost(a->wish, a->left, a->copy);
 			return;
 		}
-		disp_arrive(homes[static_cast<size_t>(a->home)]->disp, &a->d);
+		disp_submit(homes[static_cast<size_t>(a->home)]->disp, &a->d);
 	}
 
 	/* Nobody is there: the caller tries a connection each half second. */
@@ -595,9 +598,9 @@
 		a->home = w->hall;
 		a->d.cls = CLASS_INTERACTIVE;
 		a->d.repeatable = w->kind->repeatable;
-		a->d.may_retry = a->d.may_pass = true;
-		a->d.attempts = 2;
-		a->d.came_back = !copy && left < RETRIES;
+		a->d.can_retry = a->d.can_forward = true;
+		a->d.max_attempts = 2;
+		a->d.previously_refused = !copy && left < RETRIES;
 		a->d.rank = w->kind->rank;
 		a->d.kind = static_cast<unsigned>(w->kind->target_ms);
 		a->d.target = NS_S + w->at + w->kind->target_ms * NS_MS;
@@ -615,10 +618,10 @@
 			return;
 		a->over = true;
 		a->run = 0;
-		if (a->d.held)
-			disp_forget(h->disp, &a->d);
-		else if (a->d.at != nullptr)
-			disp_done(h->disp, &a->d, DISP_GONE);
+		if (a->d.queued)
+			disp_cancel(h->disp, &a->d);
+		else if (a->d.backend != nullptr)
+			disp_attempt_done(h->disp, &a->d, DISP_CANCELED);
 	}
 
 	void open_home(Home *h)
@@ -639,12 +642,12 @@
 		prm.queue_max = 1000;
 		prm.bulk_percent = 40;
 		prm.retry_percent = 15;
-		prm.retry_max = 60;
+		prm.retry_budget_max = 60;
 		prm.cold = {pat.cold_rate, COLD_BURST, COLD_NS};
 		disp_configure(h->disp, &prm);
 		for (int o = 0; o < set.halls; o++)
 			if (o != h->hall)
-				disp_hall(h->disp,
+				disp_set_hall_slots(h->disp,
 				    str_c(hall_names[static_cast<size_t>(o)]
 					      .c_str()),
 				    is_evacuated(o) ? 0
@@ -654,7 +657,7 @@
 
 	void list_servers(Home *h)
 	{
-		std::vector<struct disp_backend> v;
+		std::vector<struct disp_backend_conf> v;
 
 		if (h->disp == nullptr)
 			return;
@@ -663,7 +666,7 @@
 				v.push_back({str_c(s->name.c_str()),
 				    STR_LIT("127.0.0.1:1"), set.slots, false,
 				    is_evacuated(h->hall), 0, 0, false});
-		disp_backends(
+		disp_set_backends(
 		    h->disp, v.data(), static_cast<unsigned>(v.size()));
 	}
 
@@ -674,21 +677,22 @@
 
 		for (auto &a : attempts)
 			if (a->home == h->hall &&
-			    (a->d.held || a->d.at != nullptr))
+			    (a->d.queued || a->d.backend != nullptr))
 				its.push_back(a.get());
 		for (Attempt *a : its) {
 			bool was = a->over;
 
 			a->over = true;
 			a->run = 0;
-			if (a->d.held)
-				disp_forget(h->disp, &a->d);
+			if (a->d.queued)
+				disp_cancel(h->disp, &a->d);
 			if (!was)
 				lost(a->wish, a->left, a->copy);
 		}
 		for (Attempt *a : its)
-			if (a->d.at != nullptr)
-				disp_done(h->disp, &a->d, DISP_GONE);
+			if (a->d.backend != nullptr)
+				disp_attempt_done(
+				    h->disp, &a->d, DISP_CANCELED);
 		disp_free(h->disp);
 		h->disp = nullptr;
 	}
@@ -698,13 +702,13 @@
 		for (auto &h : homes) {
 			if (h->disp == nullptr)
 				continue;
-			struct disp_room room = disp_room_of(h->disp);
+			struct disp_capacity room = disp_capacity_of(h->disp);
 			int hall = h->hall;
 			in(1400 * NS_US, [this, room, hall] {
 				for (auto &o : homes)
 					if (o->hall != hall &&
 					    o->disp != nullptr)
-						disp_remote(o->disp,
+						disp_set_hall_capacity(o->disp,
 						    str_c(
 							hall_names[static_cast<
 								       size_t>(
@@ -763,7 +767,8 @@
 			if (h->hall == e.hall)
 				list_servers(h.get());
 			else
-				disp_hall(h->disp, str_c(hall.c_str()),
+				disp_set_hall_slots(h->disp,
+				    str_c(hall.c_str()),
 				    begins ? 0 : set.servers * set.slots);
 		}
 	}
@@ -863,11 +868,11 @@
 	/* A cold server gets no more than the product may send it. */
 	bool may_get(Server *v) const
 	{
-		struct cold_bound bound = {pat.cold_rate, COLD_BURST, COLD_NS};
+		struct cold_limit bound = {pat.cold_rate, COLD_BURST, COLD_NS};
 
-		cold_told(
+		cold_set_reported(
 		    &v->bucket, std::max<int64_t>(v->cold_until - now, 0), now);
-		return cold_may(&v->bucket, &bound, now);
+		return cold_can_send(&v->bucket, &bound, now);
 	}
 
 	/* The free server that would do it soonest; NULL: none. */
@@ -946,11 +951,11 @@
 
 	void start(const Wish *w, Server *v, double x)
 	{
-		struct cold_bound bound = {pat.cold_rate, COLD_BURST, COLD_NS};
+		struct cold_limit bound = {pat.cold_rate, COLD_BURST, COLD_NS};
 		uint64_t run = ++runs;
 
 		v->running++;
-		cold_sent(&v->bucket, &bound, now);
+		cold_record_send(&v->bucket, &bound, now);
 		out[w] = run;
 		in(static_cast<int64_t>(static_cast<double>(w->work) * x),
 		    [this, w, v, run] {
--- a/regress/objects.cpp
+++ b/regress/objects.cpp
@@ -31,7 +31,7 @@
 {
 	char *text = json_dumps(body, JSON_COMPACT | JSON_ENCODE_ANY);
 
-	hsrv_answer(req, status, answer_type, str_c(text));
+	hsrv_send_response(req, status, answer_type, str_c(text));
 	free(text);
 	json_decref(body);
 }
@@ -192,7 +192,7 @@
 	auto cut = waiters;
 
 	for (Waiter *w : cut)
-		hsrv_cut(w->req);
+		hsrv_abort(w->req);
 }
 
 void
@@ -536,12 +536,12 @@
 		if (left > 0)
 			add_header(req, "fernjunction-slow-start-ms",
 			    std::to_string(left / NS_MS));
-		hsrv_answer(req, 200, "text/plain", STR_LIT("well"));
+		hsrv_send_response(req, 200, "text/plain", STR_LIT("well"));
 		return;
 	}
 	add_header(req, "fernjunction-request-id", id);
 	if (want != b->id) {
-		hsrv_answer(req, 421, "text/plain", STR_LIT("another"));
+		hsrv_send_response(req, 421, "text/plain", STR_LIT("another"));
 		return;
 	}
 	b->came.push_back(clk_ns(clk_system()));
@@ -549,19 +549,19 @@
 		add_header(req, s.first.c_str(), s.second);
 	if (b->refuse) {
 		add_header(req, "fernjunction-not-executed", "1");
-		hsrv_answer(req, 503, "text/plain", STR_LIT("full"));
+		hsrv_send_response(req, 503, "text/plain", STR_LIT("full"));
 		return;
 	}
 	b->ran.push_back(id);
 	b->owner->heard[id] = headers_text(req);
 	if (b->fail) {
-		hsrv_answer(req, 500, "text/plain", STR_LIT("failed"));
+		hsrv_send_response(req, 500, "text/plain", STR_LIT("failed"));
 		return;
 	}
 	if (b->hold)
 		return;
 	if (b->lose) {
-		hsrv_cut(req);
+		hsrv_abort(req);
 		return;
 	}
 	Objects *o = b->owner;
@@ -612,7 +612,7 @@
 		return;
 	}
 	add_header(w->req, "fernjunction-response-signature", b->id + "-" + id);
-	hsrv_answer(w->req, 200, "text/plain", STR_LIT("the answer"));
+	hsrv_send_response(w->req, 200, "text/plain", STR_LIT("the answer"));
 }
 
 /* What runs there is cut, and so are the connections at rest. */
@@ -622,10 +622,10 @@
 	auto cut = b->works;
 
 	ended.push_back(clk_ns(clk_system()));
-	hsrv_stop(b->srv);
+	hsrv_stop_accepting(b->srv);
 	for (Work *w : cut) {
 		tmr_clear(&tmr, &w->timer);
-		hsrv_cut(w->req);
+		hsrv_abort(w->req);
 	}
 	hsrv_close_idle(b->srv, 0);
 	tmr_set(&tmr, &b->back, clk_ns(clk_system()) + back_after_ms * NS_MS,
--- a/regress/standin_backend.c
+++ b/regress/standin_backend.c
@@ -140,7 +140,7 @@
 		add_header(w->req, "fern-ran", "no");
 	if (st.v[K_DRAIN])
 		add_header(w->req, "fern-drain", "yes");
-	hsrv_answer(w->req, status, "text/plain", str_c("refused\n"));
+	hsrv_send_response(w->req, status, "text/plain", str_c("refused\n"));
 }
 
 /* The journal's line is written before any work is done. */
@@ -296,8 +296,8 @@
 	st.probes++;
 	if (st.v[K_DRAIN])
 		add_header(req, "fern-drain", "yes");
-	hsrv_answer(req, st.v[K_SICK] && !st.v[K_LIE] ? 500 : 200, "text/plain",
-	    str_c("health\n"));
+	hsrv_send_response(req, st.v[K_SICK] && !st.v[K_LIE] ? 500 : 200,
+	    "text/plain", str_c("health\n"));
 }
 
 static void
@@ -311,7 +311,8 @@
 	    (unsigned long long)st.probes, st.running, st.queue.length, st.peak,
 	    (unsigned long long)st.cancelled);
 
-	hsrv_answer(req, 200, "application/json", str_n(text, (size_t)n));
+	hsrv_send_response(
+	    req, 200, "application/json", str_n(text, (size_t)n));
 }
 
 static void
@@ -323,7 +324,7 @@
 	for (i = 0; i < K_MAX; i++)
 		if (str_u64(hsrv_query(req, key_names[i]), &v))
 			st.v[i] = v;
-	hsrv_answer(req, 200, "text/plain", str_c("set\n"));
+	hsrv_send_response(req, 200, "text/plain", str_c("set\n"));
 	start_next();
 }
 
--- a/regress/standin_platform.c
+++ b/regress/standin_platform.c
@@ -84,7 +84,7 @@
 {
 	char *text = json_dumps(body, JSON_COMPACT);
 
-	hsrv_answer(req, status, "application/json", str_c(text));
+	hsrv_send_response(req, status, "application/json", str_c(text));
 	free(text);
 	json_decref(body);
 }
--- a/regress/standin_proxy.c
+++ b/regress/standin_proxy.c
@@ -286,7 +286,8 @@
 			set_mode((enum mode)i);
 	n = snprintf(text, sizeof(text), "{\"connections\":%llu,\"open\":%u}\n",
 	    (unsigned long long)st.connections, st.conns.length);
-	hsrv_answer(req, 200, "application/json", str_n(text, (size_t)n));
+	hsrv_send_response(
+	    req, 200, "application/json", str_n(text, (size_t)n));
 }
 
 static bool
--- a/regress/test_cold.cpp
+++ b/regress/test_cold.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-constexpr struct cold_bound BOUND = {3.75, 4, 3 * NS_S};
+constexpr struct cold_limit BOUND = {3.75, 4, 3 * NS_S};
 /* What one bears in any second: 2.5 a second, half as much again, and 8. */
 constexpr size_t BEARS = 11;
 
@@ -43,8 +43,8 @@
 send_all(struct cold *c, int64_t from, int64_t to, std::vector<int64_t> *sent)
 {
 	for (int64_t now = from; now < to; now += 5 * NS_MS)
-		if (cold_may(c, &BOUND, now)) {
-			cold_sent(c, &BOUND, now);
+		if (cold_can_send(c, &BOUND, now)) {
+			cold_record_send(c, &BOUND, now);
 			sent->push_back(now);
 		}
 }
@@ -74,11 +74,11 @@
 	struct cold c = {};
 	std::vector<int64_t> sent;
 
-	cold_suspect(&c, 3 * NS_S, NS_S);
+	cold_set_suspected(&c, 3 * NS_S, NS_S);
 	send_all(&c, NS_S, 4 * NS_S, &sent);
 	EXPECT_LT(8u, sent.size()); /* nor is it starved */
 	EXPECT_GE(BEARS, worst(&sent));
-	EXPECT_FALSE(cold_is(&c, 4 * NS_S));
+	EXPECT_FALSE(cold_is_cold(&c, 4 * NS_S));
 }
 
 /* The old home's burst and the new one's rate; neither knows of the other. */
@@ -88,10 +88,10 @@
 		struct cold a = {}, b = {};
 		std::vector<int64_t> sent;
 
-		cold_told(&a, 3 * NS_S, NS_S);
+		cold_set_reported(&a, 3 * NS_S, NS_S);
 		/* It rested, and then is asked for all at once. */
 		send_all(&a, moved - 40 * NS_MS, moved, &sent);
-		cold_suspect(&b, 3 * NS_S, moved);
+		cold_set_suspected(&b, 3 * NS_S, moved);
 		send_all(&b, moved, 4 * NS_S, &sent);
 		EXPECT_GE(BEARS, worst(&sent)) << moved;
 	}
@@ -105,36 +105,36 @@
 
 	send_all(&c, NS_S, 2 * NS_S, &sent);
 	EXPECT_EQ(200u, sent.size());
-	cold_told(&c, NS_S, 2 * NS_S);
-	EXPECT_FALSE(cold_may(&c, &BOUND, 2 * NS_S));
-	EXPECT_TRUE(cold_may(&c, &BOUND, 2 * NS_S + 300 * NS_MS));
+	cold_set_reported(&c, NS_S, 2 * NS_S);
+	EXPECT_FALSE(cold_can_send(&c, &BOUND, 2 * NS_S));
+	EXPECT_TRUE(cold_can_send(&c, &BOUND, 2 * NS_S + 300 * NS_MS));
 }
 
 TEST(Cold, ItsOwnWordEndsTheDoubt)
 {
 	struct cold c = {};
 
-	cold_suspect(&c, 3 * NS_S, NS_S);
-	EXPECT_TRUE(cold_in_doubt(&c, NS_S));
-	cold_told(&c, 0, NS_S);
-	EXPECT_FALSE(cold_is(&c, NS_S));
-	cold_told(&c, NS_S, NS_S);
-	EXPECT_TRUE(cold_is(&c, NS_S));
-	EXPECT_FALSE(cold_in_doubt(&c, NS_S));
-	cold_suspect(&c, 3 * NS_S, NS_S);
-	EXPECT_TRUE(cold_in_doubt(&c, NS_S));
+	cold_set_suspected(&c, 3 * NS_S, NS_S);
+	EXPECT_TRUE(cold_is_unconfirmed(&c, NS_S));
+	cold_set_reported(&c, 0, NS_S);
+	EXPECT_FALSE(cold_is_cold(&c, NS_S));
+	cold_set_reported(&c, NS_S, NS_S);
+	EXPECT_TRUE(cold_is_cold(&c, NS_S));
+	EXPECT_FALSE(cold_is_unconfirmed(&c, NS_S));
+	cold_set_suspected(&c, 3 * NS_S, NS_S);
+	EXPECT_TRUE(cold_is_unconfirmed(&c, NS_S));
 }
 
 /* Where a service has no bound, nothing is held back. */
 TEST(Cold, WithoutABoundNothingChanges)
 {
-	struct cold_bound none = {};
+	struct cold_limit none = {};
 	struct cold c = {};
 
-	cold_told(&c, NS_S, NS_S);
+	cold_set_reported(&c, NS_S, NS_S);
 	for (int i = 0; i < 100; i++) {
-		EXPECT_TRUE(cold_may(&c, &none, NS_S));
-		cold_sent(&c, &none, NS_S);
+		EXPECT_TRUE(cold_can_send(&c, &none, NS_S));
+		cold_record_send(&c, &none, NS_S);
 	}
 }
 
--- a/regress/test_conf.cpp
+++ b/regress/test_conf.cpp
@@ -51,7 +51,7 @@
 	if (o.what == 'l') {
 		GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
 
-		conf_complete(c, o.version, keys);
+		conf_apply_list(c, o.version, keys);
 		g_hash_table_destroy(keys);
 		return;
 	}
@@ -70,12 +70,13 @@
 	const struct conf_entry *e = conf_get(c, view(key));
 
 	if (e == nullptr || e->version == 0 || e->deleted)
-		return e != nullptr && e->bad_version > 0
-		    ? "none, bad " + std::to_string(e->bad_version)
+		return e != nullptr && e->rejected_version > 0
+		    ? "none, bad " + std::to_string(e->rejected_version)
 		    : "none";
 	return std::to_string(e->version) +
-	    (e->bad_version > 0 ? ", bad " + std::to_string(e->bad_version)
-				: "");
+	    (e->rejected_version > 0
+		    ? ", bad " + std::to_string(e->rejected_version)
+		    : "");
 }
 
 } // namespace
@@ -153,8 +154,9 @@
 	tell(c, {"service/a", 2, 'b'});
 	e = conf_get(c, STR_LIT("service/a"));
 	EXPECT_EQ(1u, e->version);
-	EXPECT_EQ(2u, e->bad_version);
-	EXPECT_NE(nullptr, strstr(e->bad_why, "the nearest known name"));
+	EXPECT_EQ(2u, e->rejected_version);
+	EXPECT_NE(
+	    nullptr, strstr(e->rejected_reason, "the nearest known name"));
 	tell(c, {"service/a", 3, 'g'});
 	EXPECT_EQ("3", state(c, "service/a"));
 	conf_free(c);
@@ -215,13 +217,14 @@
 
 		ASSERT_TRUE(
 		    msg_decode(w.second.data(), w.second.size(), &m, nullptr));
-		sync_take(&peers[w.first].sync, &m);
-		msg_done(&m);
+		sync_on_message(&peers[w.first].sync, &m);
+		msg_release(&m);
 	}
 
 	void compare(const std::string &a, const std::string &b)
 	{
-		struct msg_holds holds = sync_holds(&peers[b].sync);
+		struct msg_conf_summary holds =
+		    sync_conf_summary(&peers[b].sync);
 
 		sync_compare(&peers[a].sync, view(b), &holds);
 	}
@@ -297,7 +300,7 @@
 	GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
 	g_hash_table_add(keys, const_cast<char *>("service/kept"));
 	tell(net.peers["fresh"].conf, {"service/kept", 6, 'g'});
-	conf_complete(net.peers["fresh"].conf, 9, keys);
+	conf_apply_list(net.peers["fresh"].conf, 9, keys);
 	g_hash_table_destroy(keys);
 	for (int i = 0; i < 4; i++) {
 		net.compare("old", "fresh");
@@ -321,7 +324,7 @@
 
 	net.add("all");
 	net.add("rules");
-	net.peers["rules"].sync.partial = true;
+	net.peers["rules"].sync.rules_only = true;
 	struct conf *all = net.peers["all"].conf;
 	struct conf *rules = net.peers["rules"].conf;
 	tell(all, {"service/s", 1, 'g'});
@@ -338,8 +341,9 @@
 	exchange();
 	EXPECT_EQ("1", state(rules, "service/s"));
 	EXPECT_EQ(1u, conf_count(rules));
-	struct msg_holds holds = sync_holds(&net.peers["all"].sync);
-	EXPECT_TRUE(sync_equal(&net.peers["rules"].sync, &holds));
+	struct msg_conf_summary holds =
+	    sync_conf_summary(&net.peers["all"].sync);
+	EXPECT_TRUE(sync_is_equal(&net.peers["rules"].sync, &holds));
 	net.sent = 0;
 	exchange();
 	EXPECT_EQ(0u, net.sent);
@@ -351,7 +355,7 @@
 	tell(all, {"backend/late", 90, 'g'});
 	EXPECT_EQ("90", state(all, "backend/late"));
 	/* From now on it holds all, and what it missed is no deletion. */
-	net.peers["rules"].sync.partial = false;
+	net.peers["rules"].sync.rules_only = false;
 	exchange();
 	EXPECT_EQ(42u, conf_count(rules));
 	EXPECT_EQ(conf_digest(all), conf_digest(rules));
@@ -399,7 +403,7 @@
 	int first = 0, second = 0;
 	struct conf *c = conf_new(count_change, &first);
 
-	conf_listen(c, count_change, &second);
+	conf_add_listener(c, count_change, &second);
 	tell(c, {"service/s1", 1, 'g'});
 	tell(c, {"service/s1", 1, 'g'});
 	EXPECT_EQ(1, first);
@@ -442,7 +446,7 @@
 	for (auto n : {"p0", "p1"})
 		net.add(n);
 	auto &from = net.peers["p0"], &to = net.peers["p1"];
-	EXPECT_EQ(CONF_NEWER,
+	EXPECT_EQ(CONF_APPLIED,
 	    conf_offer(from.conf, STR_LIT("backend/b1"), 7, false, spec,
 		STR_LIT("platform"), nullptr));
 	json_decref(spec);
@@ -481,30 +485,30 @@
 	struct conf *b = conf_new(nullptr, nullptr);
 	struct sync told = {a, nullptr, nullptr, false, 0, &clk, 0};
 	struct sync hears = {b, nullptr, nullptr, true, 0, &clk, 0};
-	struct msg_holds holds = sync_holds(&told);
+	struct msg_conf_summary holds = sync_conf_summary(&told);
 
 	tell(a, {"service/s1", 1, 'g'});
 	/* Nobody was told anything. */
-	sync_hear(&hears, &holds);
+	sync_confirm_from_peer(&hears, &holds);
 	EXPECT_EQ(-1, sync_age_ms(&told));
 	EXPECT_EQ(-1, sync_age_ms(&hears));
 	sync_confirm(&told);
 	now.tv_sec += 2;
 	/* Other rules: what holds for those says nothing of ours. */
-	holds = sync_holds(&told);
-	sync_hear(&hears, &holds);
+	holds = sync_conf_summary(&told);
+	sync_confirm_from_peer(&hears, &holds);
 	EXPECT_EQ(-1, sync_age_ms(&hears));
 	tell(b, {"service/s1", 1, 'g'});
 	tell(b, {"backend/b1", 2, 'g'});
-	sync_hear(&hears, &holds);
+	sync_confirm_from_peer(&hears, &holds);
 	EXPECT_EQ(2000, sync_age_ms(&hears));
 	/* An older word does not undo a newer one. */
 	now.tv_sec += 1;
 	sync_confirm(&hears);
-	sync_hear(&hears, &holds);
+	sync_confirm_from_peer(&hears, &holds);
 	EXPECT_EQ(0, sync_age_ms(&hears));
-	holds.confirmed = UINT64_MAX;
-	sync_hear(&hears, &holds);
+	holds.confirmed_age = UINT64_MAX;
+	sync_confirm_from_peer(&hears, &holds);
 	EXPECT_EQ(0, sync_age_ms(&hears));
 	conf_free(a);
 	conf_free(b);
--- a/regress/test_customer.cpp
+++ b/regress/test_customer.cpp
@@ -209,7 +209,7 @@
 
 	for (int i = 0; i < 20000; i++) {
 		now += static_cast<int64_t>(rnd_split(&seed) % (5 * NS_MS));
-		if (bucket_lend(&b, 100, 50, 100 * NS_MS, now, &wait)) {
+		if (bucket_reserve(&b, 100, 50, 100 * NS_MS, now, &wait)) {
 			begun.push_back(now + wait);
 			continue;
 		}
--- a/regress/test_disp.cpp
+++ b/regress/test_disp.cpp
@@ -31,16 +31,16 @@
 	static bool possible(const Req &r, int kind)
 	{
 		if (kind == ARRIVE)
-			return r.sends == 0 && !r.ended && !r.d.held;
+			return r.sends == 0 && !r.ended && !r.d.queued;
 		if (kind == FORGET)
-			return r.d.held;
-		return r.d.at != nullptr;
+			return r.d.queued;
+		return r.d.backend != nullptr;
 	}
 
 	static void apply(World &w, std::vector<Req> &reqs, int ev)
 	{
-		static const enum disp_outcome outcomes[] = {
-		    DISP_OK, DISP_OK, DISP_REFUSED, DISP_CONNECT, DISP_CUT};
+		static const enum disp_outcome outcomes[] = {DISP_OK, DISP_OK,
+		    DISP_REFUSED, DISP_CONNECT_FAILED, DISP_CONN_BROKEN};
 		Req *r = &reqs[static_cast<size_t>(ev / KINDS % 2)];
 
 		if (ev == TICK) {
@@ -52,7 +52,7 @@
 			r->id = ev / KINDS;
 			w.arrive(r, 1000, CLASS_INTERACTIVE, r->id == 0);
 		} else if (ev % KINDS == FORGET) {
-			disp_forget(w.disp, &r->d);
+			disp_cancel(w.disp, &r->d);
 			r->ended = true;
 		} else {
 			w.done(r, outcomes[ev % KINDS]);
@@ -64,12 +64,13 @@
 		unsigned at = 0;
 
 		for (auto &r : reqs) {
-			at += r.d.at != nullptr;
+			at += r.d.backend != nullptr;
 			/* Held, out, ended or not yet there: just one. */
-			ASSERT_LE((r.d.at != nullptr) + r.d.held + r.ended, 1);
+			ASSERT_LE(
+			    (r.d.backend != nullptr) + r.d.queued + r.ended, 1);
 			if (!r.d.repeatable && r.maybe_runs > 0) {
-				ASSERT_EQ(nullptr, r.d.at);
-				ASSERT_FALSE(r.d.held);
+				ASSERT_EQ(nullptr, r.d.backend);
+				ASSERT_FALSE(r.d.queued);
 			}
 		}
 		ASSERT_EQ(at, disp_inflight(w.disp));
@@ -93,10 +94,11 @@
 				    reqs[static_cast<size_t>(ev / KINDS)],
 				    ev % KINDS);
 			for (auto &r : reqs) {
-				if (r.d.held)
-					disp_forget(w.disp, &r.d);
-				if (r.d.at != nullptr)
-					disp_done(w.disp, &r.d, DISP_GONE);
+				if (r.d.queued)
+					disp_cancel(w.disp, &r.d);
+				if (r.d.backend != nullptr)
+					disp_attempt_done(
+					    w.disp, &r.d, DISP_CANCELED);
 			}
 		}
 		orders++;
@@ -138,7 +140,7 @@
 	w.arrive(&r[3], 300);
 	w.arrive(&r[4], 500);
 	for (int i : {0, 3, 4, 2, 1}) {
-		ASSERT_NE(nullptr, r[static_cast<size_t>(i)].d.at) << i;
+		ASSERT_NE(nullptr, r[static_cast<size_t>(i)].d.backend) << i;
 		w.now += NS_MS;
 		w.done(&r[static_cast<size_t>(i)], DISP_OK);
 	}
@@ -160,49 +162,50 @@
 	EXPECT_GE(busy, 15);
 	EXPECT_LE(busy, 25);
 	for (auto &q : r)
-		if (q.d.held)
-			disp_forget(w.disp, &q.d);
+		if (q.d.queued)
+			disp_cancel(w.disp, &q.d);
 	for (auto &q : r)
-		if (q.d.at != nullptr)
-			w.done(&q, DISP_GONE);
+		if (q.d.backend != nullptr)
+			w.done(&q, DISP_CANCELED);
 }
 
 /* It holds and knows nothing of what was before, whatever that was. */
 TEST(Disp, ANewLifeUnderAnOldNameStartsAnew)
 {
 	World w;
-	struct disp_backend one = {STR_LIT("b0"), STR_LIT("127.0.0.1:1"), 3,
-	    false, false, 0, 1000, false};
+	struct disp_backend_conf one = {STR_LIT("b0"), STR_LIT("127.0.0.1:1"),
+	    3, false, false, 0, 1000, false};
 	Req first, second;
 
-	disp_backends(w.disp, &one, 1);
+	disp_set_backends(w.disp, &one, 1);
 	w.warm(1);
 	w.arrive(&first);
-	ASSERT_NE(nullptr, first.d.at);
-	EXPECT_EQ(2, disp_room_of(w.disp).free);
+	ASSERT_NE(nullptr, first.d.backend);
+	EXPECT_EQ(2, disp_capacity_of(w.disp).free_slots);
 	/* The same word again changes nothing, a later start all. */
-	disp_backends(w.disp, &one, 1);
-	EXPECT_EQ(2, disp_room_of(w.disp).free);
-	one.born_ms = 2000;
-	disp_backends(w.disp, &one, 1);
-	EXPECT_EQ(1, disp_room_of(w.disp).free); /* it is cold */
+	disp_set_backends(w.disp, &one, 1);
+	EXPECT_EQ(2, disp_capacity_of(w.disp).free_slots);
+	one.started_ms = 2000;
+	disp_set_backends(w.disp, &one, 1);
+	EXPECT_EQ(1, disp_capacity_of(w.disp).free_slots); /* it is cold */
 	w.arrive(&second);
-	ASSERT_NE(nullptr, second.d.at);
-	EXPECT_NE(first.d.at, second.d.at);
-	EXPECT_EQ(1, second.d.at->inflight);
+	ASSERT_NE(nullptr, second.d.backend);
+	EXPECT_NE(first.d.backend, second.d.backend);
+	EXPECT_EQ(1, second.d.backend->inflight);
 	/* What ends in the earlier life speaks against that one only. */
-	w.done(&first, DISP_CUT);
-	EXPECT_EQ(0, second.d.at->bad_row);
+	w.done(&first, DISP_CONN_BROKEN);
+	EXPECT_EQ(0, second.d.backend->consecutive_bad);
 	w.done(&second, DISP_OK);
-	if (first.d.at != nullptr)
+	if (first.d.backend != nullptr)
 		w.done(&first, DISP_OK);
-	else if (first.d.held)
-		disp_forget(w.disp, &first.d);
+	else if (first.d.queued)
+		disp_cancel(w.disp, &first.d);
 }
 
 TEST(Disp, WhatMustNotRepeatIsNotSentTwice)
 {
-	for (enum disp_outcome o : {DISP_FAILED, DISP_CUT, DISP_LATE}) {
+	for (enum disp_outcome o :
+	    {DISP_SERVER_ERROR, DISP_CONN_BROKEN, DISP_TIMED_OUT}) {
 		World w;
 		Req r;
 
@@ -211,7 +214,7 @@
 		EXPECT_FALSE(w.done(&r, o));
 		EXPECT_EQ(1, r.sends);
 	}
-	for (enum disp_outcome o : {DISP_REFUSED, DISP_CONNECT}) {
+	for (enum disp_outcome o : {DISP_REFUSED, DISP_CONNECT_FAILED}) {
 		World w;
 		Req r;
 
@@ -229,10 +232,10 @@
 	Req r;
 
 	w.backends(3, 3);
-	r.d.retried = true;
+	r.d.is_retry = true;
 	w.arrive(&r);
 	EXPECT_TRUE(w.done(&r, DISP_REFUSED));
-	EXPECT_FALSE(w.done(&r, DISP_FAILED));
+	EXPECT_FALSE(w.done(&r, DISP_SERVER_ERROR));
 	EXPECT_EQ(2, r.sends);
 }
 
@@ -247,7 +250,7 @@
 	for (auto &r : bulk)
 		w.arrive(&r, 100000, CLASS_BULK);
 	for (auto &r : bulk)
-		out += r.d.at != nullptr;
+		out += r.d.backend != nullptr;
 	/* At most 40 % of the slots, and it does move. */
 	EXPECT_GE(out, 3);
 	EXPECT_LE(out, 4);
@@ -255,17 +258,17 @@
 		w.arrive(&r);
 	out = 0;
 	for (auto &r : more)
-		out += r.d.at != nullptr;
+		out += r.d.backend != nullptr;
 	EXPECT_GE(out, 8);
 	for (auto &r : bulk)
-		if (r.d.held)
-			disp_forget(w.disp, &r.d);
+		if (r.d.queued)
+			disp_cancel(w.disp, &r.d);
 	for (auto *set : {&bulk, &more}) {
 		for (auto &r : *set) {
-			if (r.d.held)
-				disp_forget(w.disp, &r.d);
-			if (r.d.at != nullptr)
-				w.done(&r, DISP_GONE);
+			if (r.d.queued)
+				disp_cancel(w.disp, &r.d);
+			if (r.d.backend != nullptr)
+				w.done(&r, DISP_CANCELED);
 		}
 	}
 }
@@ -281,11 +284,11 @@
 
 		w.arrive(&r, 1000, CLASS_INTERACTIVE, false);
 		w.now += NS_MS;
-		ASSERT_NE(nullptr, r.d.at);
-		w.done(&r, DISP_FAILED);
+		ASSERT_NE(nullptr, r.d.backend);
+		w.done(&r, DISP_SERVER_ERROR);
 	}
-	EXPECT_GE(disp_usable(w.disp), 3u);
-	EXPECT_LT(disp_usable(w.disp), 6u);
+	EXPECT_GE(disp_usable_backends(w.disp), 3u);
+	EXPECT_LT(disp_usable_backends(w.disp), 6u);
 	/* Time and good answers bring all of them back. */
 	for (int i = 0; i < 200; i++) {
 		Req r;
@@ -294,10 +297,10 @@
 		disp_tick(w.disp);
 		w.arrive(&r);
 		w.now += 5 * NS_MS;
-		if (r.d.at != nullptr)
+		if (r.d.backend != nullptr)
 			w.done(&r, DISP_OK);
 	}
-	EXPECT_EQ(6u, disp_usable(w.disp));
+	EXPECT_EQ(6u, disp_usable_backends(w.disp));
 }
 
 TEST(Disp, PassesOnWhereAnotherHallHasRoom)
@@ -307,14 +310,14 @@
 
 	w.backends(1, 1);
 	w.warm(1);
-	disp_hall(w.disp, STR_LIT("south"), 6);
+	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
 	w.arrive(&r[0]);
 	for (auto &q : r)
-		q.d.may_pass = true;
+		q.d.can_forward = true;
 	w.arrive(&r[1]);
-	EXPECT_TRUE(r[1].d.held); /* nothing is known of the other hall */
-	struct disp_room room = {6, 4, 0};
-	disp_remote(w.disp, STR_LIT("south"), &room);
+	EXPECT_TRUE(r[1].d.queued); /* nothing is known of the other hall */
+	struct disp_capacity room = {6, 4, 0};
+	disp_set_hall_capacity(w.disp, STR_LIT("south"), &room);
 	EXPECT_TRUE(r[1].passed);
 	w.arrive(&r[2]);
 	w.arrive(&r[3]);
@@ -322,8 +325,8 @@
 	EXPECT_TRUE(r[3].passed);
 	w.arrive(&r[4]);
 	EXPECT_FALSE(r[4].passed); /* one slot is left to the other hall */
-	disp_forget(w.disp, &r[4].d);
-	w.done(&r[0], DISP_GONE);
+	disp_cancel(w.disp, &r[4].d);
+	w.done(&r[0], DISP_CANCELED);
 }
 
 /* Its own region's halls first, and never one that its rule does not allow. */
@@ -331,33 +334,34 @@
 {
 	World w;
 	std::vector<Req> r(5);
-	struct disp_room some = {6, 3, 0}, more = {6, 6, 0};
+	struct disp_capacity some = {6, 3, 0}, more = {6, 6, 0};
 
 	w.backends(1, 1);
 	w.warm(1);
-	disp_hall(w.disp, STR_LIT("south"), 6);
-	disp_hall(w.disp, STR_LIT("overseas"), 6);
-	disp_hall_region(w.disp, STR_LIT("south"), STR_LIT("here"), true);
-	disp_hall_region(w.disp, STR_LIT("overseas"), STR_LIT("there"), false);
-	disp_remote(w.disp, STR_LIT("south"), &some);
-	disp_remote(w.disp, STR_LIT("overseas"), &more);
+	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
+	disp_set_hall_slots(w.disp, STR_LIT("overseas"), 6);
+	disp_set_hall_region(w.disp, STR_LIT("south"), STR_LIT("here"), true);
+	disp_set_hall_region(
+	    w.disp, STR_LIT("overseas"), STR_LIT("there"), false);
+	disp_set_hall_capacity(w.disp, STR_LIT("south"), &some);
+	disp_set_hall_capacity(w.disp, STR_LIT("overseas"), &more);
 	w.arrive(&r[0]);
 	for (auto &q : r)
-		q.d.may_pass = true;
+		q.d.can_forward = true;
 	w.arrive(&r[1]);
 	EXPECT_EQ("pass 0 south", w.trace.back());
-	r[2].d.regions = STR_LIT("there");
+	r[2].d.allowed_regions = STR_LIT("there");
 	w.arrive(&r[2]);
 	EXPECT_EQ("pass 0 overseas", w.trace.back());
-	r[3].d.regions = STR_LIT("nowhere");
+	r[3].d.allowed_regions = STR_LIT("nowhere");
 	w.arrive(&r[3]);
-	EXPECT_TRUE(r[3].d.held);
+	EXPECT_TRUE(r[3].d.queued);
 	/* Nor where nothing here may be used any more. */
 	w.backends(1, 1, -1, true);
 	disp_tick(w.disp);
 	EXPECT_FALSE(r[3].passed);
 	EXPECT_EQ(ERR_NO_BACKEND, r[3].kind);
-	w.done(&r[0], DISP_GONE);
+	w.done(&r[0], DISP_CANCELED);
 }
 
 /* What runs is finished; what is held, or comes, goes to another hall. */
@@ -368,17 +372,17 @@
 
 	w.backends(1, 2);
 	w.warm(1);
-	disp_hall(w.disp, STR_LIT("south"), 6);
+	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
 	for (size_t i = 0; i < 3; i++) {
-		r[i].d.may_pass = true;
+		r[i].d.can_forward = true;
 		w.arrive(&r[i]);
 	}
-	EXPECT_TRUE(r[2].d.held);
+	EXPECT_TRUE(r[2].d.queued);
 	w.backends(1, 2, -1, true);
 	EXPECT_TRUE(r[2].passed); /* whatever the other hall said last */
-	EXPECT_EQ(0, disp_room_of(w.disp).slots);
+	EXPECT_EQ(0, disp_capacity_of(w.disp).slots);
 	/* One whose backend server fails it is not tried again here. */
-	r[0].d.may_pass = true;
+	r[0].d.can_forward = true;
 	EXPECT_TRUE(w.done(&r[0], DISP_REFUSED));
 	EXPECT_TRUE(r[0].passed);
 	/* One that was passed to us has nowhere to go. */
@@ -389,11 +393,11 @@
 	/* Back, it begins as if it had just started: one at a time. */
 	w.now += NS_S;
 	w.backends(1, 2);
-	r[4].d.may_pass = r[5].d.may_pass = false;
+	r[4].d.can_forward = r[5].d.can_forward = false;
 	w.arrive(&r[4]);
 	w.arrive(&r[5]);
-	EXPECT_NE(nullptr, r[4].d.at);
-	EXPECT_TRUE(r[5].d.held);
+	EXPECT_NE(nullptr, r[4].d.backend);
+	EXPECT_TRUE(r[5].d.queued);
 	w.done(&r[4], DISP_OK);
 	w.done(&r[5], DISP_OK);
 }
@@ -403,26 +407,26 @@
 {
 	World w;
 	std::vector<Req> r(12);
-	struct disp_room none = {0, 0, 0}, some = {6, 0, 0};
+	struct disp_capacity none = {0, 0, 0}, some = {6, 0, 0};
 
 	w.backends(1, 1);
 	w.warm(1);
-	disp_hall(w.disp, STR_LIT("south"), 6);
-	disp_remote(w.disp, STR_LIT("south"), &none);
+	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
+	disp_set_hall_capacity(w.disp, STR_LIT("south"), &none);
 	for (auto &q : r) {
-		q.d.may_pass = true;
+		q.d.can_forward = true;
 		w.arrive(&q);
 		EXPECT_FALSE(q.passed);
 	}
-	disp_remote(w.disp, STR_LIT("south"), &some);
+	disp_set_hall_capacity(w.disp, STR_LIT("south"), &some);
 	Req late;
-	late.d.may_pass = true;
+	late.d.can_forward = true;
 	w.arrive(&late);
 	EXPECT_TRUE(late.passed);
 	for (auto &q : r)
-		if (q.d.held)
-			disp_forget(w.disp, &q.d);
-	w.done(&r[0], DISP_GONE);
+		if (q.d.queued)
+			disp_cancel(w.disp, &q.d);
+	w.done(&r[0], DISP_CANCELED);
 }
 
 namespace
@@ -500,7 +504,7 @@
 
 		if (i == fails_fast) {
 			events.emplace(w.now + NS_MS / 2,
-			    [&, r] { finish(r, DISP_FAILED); });
+			    [&, r] { finish(r, DISP_SERVER_ERROR); });
 			return;
 		}
 		if (s.busy < SLOTS)
@@ -576,7 +580,7 @@
 	}
 	w.backends(2, 3);
 	w.arrive(&r);
-	EXPECT_TRUE(str_eq(r.d.at->name, STR_LIT("b1")));
+	EXPECT_TRUE(str_eq(r.d.backend->name, STR_LIT("b1")));
 	w.done(&r, DISP_OK);
 }
 
@@ -589,15 +593,15 @@
 	w.backends(2, 3);
 	w.warm(2);
 	w.arrive(&old, 1000, CLASS_INTERACTIVE, false);
-	slow = old.d.at;
+	slow = old.d.backend;
 	w.now += 60 * NS_MS;
 	for (auto &r : fresh)
 		w.arrive(&r);
-	EXPECT_NE(slow, fresh[0].d.at);
-	EXPECT_NE(slow, fresh[1].d.at);
+	EXPECT_NE(slow, fresh[0].d.backend);
+	EXPECT_NE(slow, fresh[1].d.backend);
 	/* The other one is fuller now, and still the better choice. */
 	w.arrive(&next);
-	EXPECT_NE(slow, next.d.at);
+	EXPECT_NE(slow, next.d.backend);
 	for (auto *r : {&old, &fresh[0], &fresh[1], &next})
 		w.done(r, DISP_OK);
 }
@@ -612,13 +616,13 @@
 	w.warm(2);
 	w.arrive(&pay, 1000, CLASS_INTERACTIVE, false);
 	w.arrive(&r);
-	first = r.d.at;
+	first = r.d.backend;
 	w.now += 30 * NS_MS;
 	disp_tick(w.disp);
-	EXPECT_EQ(first, r.d.at); /* no sooner than 40 ms */
+	EXPECT_EQ(first, r.d.backend); /* no sooner than 40 ms */
 	w.now += 30 * NS_MS;
 	disp_tick(w.disp);
-	EXPECT_NE(first, r.d.at);
+	EXPECT_NE(first, r.d.backend);
 	EXPECT_EQ(2, r.sends);
 	w.now += 100 * NS_MS;
 	disp_tick(w.disp);
--- a/regress/test_gossip.cpp
+++ b/regress/test_gossip.cpp
@@ -156,7 +156,7 @@
 		uint64_t start = b.starts;
 
 		b.busy = std::max(b.busy, now) +
-		    ns * MEMB_POWER_UNIT / static_cast<int64_t>(b.power);
+		    ns * MEMB_POWER_ONE_CPU / static_cast<int64_t>(b.power);
 		in(b.busy - now, [&b, start, fn] {
 			if (b.up && b.starts == start)
 				fn();
@@ -188,16 +188,19 @@
 
 			ASSERT_TRUE(msg_decode(
 			    text->data(), text->size(), &m, nullptr));
-			if (m.kind == MSG_HELLO) {
-				gossip_take_hello(
-				    to.gossip, m.from, &m.u.hello);
-				to.hears_of(m.u.hello.holds.rules);
-			} else if (m.kind == MSG_BEAT) {
-				gossip_take_beat(to.gossip, m.from, &m.u.beat);
-				to.hears_of(m.u.beat.holds.rules);
+			if (m.kind == MSG_ANNOUNCEMENT) {
+				gossip_on_announcement(
+				    to.gossip, m.from, &m.u.announcement);
+				to.hears_of(
+				    m.u.announcement.conf_summary.rules_digest);
+			} else if (m.kind == MSG_HEARTBEAT) {
+				gossip_on_heartbeat(
+				    to.gossip, m.from, &m.u.heartbeat);
+				to.hears_of(
+				    m.u.heartbeat.conf_summary.rules_digest);
 			} else
-				gossip_take_members(to.gossip, &m.u.members);
-			msg_done(&m);
+				gossip_on_members(to.gossip, &m.u.members);
+			msg_release(&m);
 			to.fleet->look(to);
 		});
 	}
@@ -221,29 +224,31 @@
 		    [f, &b, &peer, text] { f->deliver(b, peer, text, 0); });
 	}
 
-	static void hello(void *ctx, struct str to, const struct msg_hello *h)
+	static void
+	announcement(void *ctx, struct str to, const struct msg_announcement *h)
 	{
 		struct msg m = {};
 
-		m.kind = MSG_HELLO;
-		m.u.hello = *h;
+		m.kind = MSG_ANNOUNCEMENT;
+		m.u.announcement = *h;
 		send(*static_cast<Box *>(ctx), to, &m);
 	}
 
-	static void beat(void *ctx, struct str to, const struct msg_beat *b)
+	static void
+	beat(void *ctx, struct str to, const struct msg_heartbeat *b)
 	{
 		struct msg m = {};
 
-		m.kind = MSG_BEAT;
-		m.u.beat = *b;
+		m.kind = MSG_HEARTBEAT;
+		m.u.heartbeat = *b;
 		send(*static_cast<Box *>(ctx), to, &m);
 	}
 
-	static struct msg_holds holds(void *ctx)
+	static struct msg_conf_summary holds(void *ctx)
 	{
-		struct msg_holds h = {};
+		struct msg_conf_summary h = {};
 
-		h.rules = static_cast<Box *>(ctx)->version;
+		h.rules_digest = static_cast<Box *>(ctx)->version;
 		return h;
 	}
 
@@ -283,9 +288,9 @@
 			info.hall = view(e.second->hall);
 			info.inbox = view(e.second->inbox);
 			info.power = e.second->power;
-			memb_listed(b.memb, &info);
+			memb_list_add(b.memb, &info);
 		}
-		gossip_listed(b.gossip);
+		gossip_list_received(b.gossip);
 		look(b);
 	}
 
@@ -295,10 +300,10 @@
 		int64_t next = gossip_run(b.gossip);
 		uint64_t start = b.starts;
 
-		if (!b.ready && gossip_settled(b.gossip)) {
+		if (!b.ready && gossip_is_settled(b.gossip)) {
 			b.ready = true;
 			memb_self(b.memb)->ready = true;
-			memb_changed(b.memb);
+			memb_self_changed(b.memb);
 			if (memb_is_hub(b.memb, view(b.name)))
 				gossip_announce(b.gossip, false);
 			next = now;
@@ -340,15 +345,16 @@
 	{
 		struct memb_info self = {};
 		const struct gossip_ops ops = {
-		    hello, beat, members, holds, list, &b};
-		const struct gossip_set set = {
+		    announcement, beat, members, holds, list, &b};
+		const struct gossip_settings set = {
 		    NS_S, 15 * NS_S, 60 * NS_S, 6, seeds};
 
 		self.box = view(b.name);
 		self.hall = view(b.hall);
-		self.inbox = self.pass = self.gate_inbox = view(b.inbox);
+		self.inbox = self.forward_address = self.gate_inbox =
+		    view(b.inbox);
 		self.power = b.power;
-		self.boot = static_cast<uint64_t>(now / NS_MS);
+		self.started_ms = static_cast<uint64_t>(now / NS_MS);
 		b.up = true;
 		b.starts++;
 		b.ready = b.listed = false;
@@ -373,7 +379,7 @@
 	void start_later(Box &b, int64_t after)
 	{
 		in(after + static_cast<int64_t>(rnd_below(&rnd, 300 * NS_MS)) +
-			30 * NS_MS * MEMB_POWER_UNIT /
+			30 * NS_MS * MEMB_POWER_ONE_CPU /
 			    static_cast<int64_t>(b.power),
 		    [this, &b] { start(b); });
 	}
@@ -407,7 +413,7 @@
 					    [this, &b, name = other->name] {
 						    if (!b.up)
 							    return;
-						    gossip_doubt(
+						    gossip_check_suspect(
 							b.gossip, view(name));
 						    look(b);
 					    });
@@ -425,7 +431,7 @@
 			s.push_back({view(name), nullptr});
 		for (auto &name : hubs)
 			gates.push_back({view(name), 0, nullptr});
-		home_deal(
+		home_assign(
 		    view(hall), s.data(), s.size(), gates.data(), gates.size());
 		for (auto &one : s)
 			out[std::string(one.name.p, one.name.n)] =
@@ -438,7 +444,7 @@
 	std::map<std::string, std::string>
 	homes_by(Box &b, const std::string &hall)
 	{
-		const struct memb_info *hubs[MEMB_HUBS];
+		const struct memb_info *hubs[MEMB_HUBS_MAX];
 		std::vector<std::string> names;
 		size_t n = memb_hubs(b.memb, view(hall), hubs);
 
@@ -581,7 +587,7 @@
 		}
 		EXPECT_EQ(1.0, f.agreement()) << n;
 		/* Hubs alone tell of themselves on the platform. */
-		EXPECT_LE(f.writes, 6u * MEMB_HUBS) << n;
+		EXPECT_LE(f.writes, 6u * MEMB_HUBS_MAX) << n;
 		EXPECT_GE(f.writes, 18u) << n;
 	}
 }
@@ -644,7 +650,7 @@
 static int
 wrong_hubs(Fleet &f)
 {
-	const struct memb_info *hubs[MEMB_HUBS];
+	const struct memb_info *hubs[MEMB_HUBS_MAX];
 	int wrong = 0;
 
 	for (auto &b : f.boxes) {
@@ -671,7 +677,7 @@
 
 	ASSERT_TRUE(hub.strong);
 	memb_self(hub.memb)->leaving = true;
-	memb_changed(hub.memb);
+	memb_self_changed(hub.memb);
 	gossip_announce(hub.gossip, true);
 	f->run_for(NS_S);
 	f->stop(hub);
@@ -777,7 +783,7 @@
 	auto f = settled_fleet(400, 4);
 
 	for (auto &b : f->boxes)
-		EXPECT_LE(75u, gossip_crowd(b->gossip)) << b->name;
+		EXPECT_LE(75u, gossip_serving_gates(b->gossip)) << b->name;
 }
 
 TEST(Gossip, AtRestNoLeafTakesItselfForUnattended)
@@ -857,7 +863,7 @@
 			s.push_back({view(n), nullptr});
 		for (auto &b : boxes)
 			g.push_back({view(b), 0, nullptr});
-		home_deal(view(hall), s.data(), s.size(), g.data(), g.size());
+		home_assign(view(hall), s.data(), s.size(), g.data(), g.size());
 		for (auto &one : s)
 			out[std::string(one.name.p, one.name.n)] =
 			    std::string(one.gate->box.p, one.gate->box.n);
@@ -937,7 +943,7 @@
 			    memb_find(from->memb, view(to->name));
 
 			if (m != nullptr &&
-			    spread_to(from->memb, m, origin, large))
+			    spread_should_send(from->memb, m, origin, large))
 				n[to->name]++;
 		}
 	}
@@ -952,7 +958,8 @@
 	auto f = settled_fleet(120);
 
 	for (auto &from : f->boxes) {
-		auto small = senders(*f, SPREAD_TOLD, false, from.get());
+		auto small =
+		    senders(*f, SPREAD_FROM_PLATFORM, false, from.get());
 
 		if (!from->strong) {
 			EXPECT_EQ(0u, small.size());
@@ -966,7 +973,8 @@
 			    << from->name << " " << to->name;
 			if (to->strong && to.get() != from.get()) {
 				EXPECT_EQ(1u,
-				    senders(*f, SPREAD_TOLD, true, from.get())
+				    senders(*f, SPREAD_FROM_PLATFORM, true,
+					from.get())
 					.count(to->name));
 			}
 		}
@@ -979,7 +987,7 @@
 	auto f = settled_fleet(120);
 
 	for (bool large : {false, true}) {
-		auto n = senders(*f, SPREAD_HEARD, large, nullptr);
+		auto n = senders(*f, SPREAD_FROM_BOX, large, nullptr);
 
 		for (auto &b : f->boxes) {
 			if (b->strong) {
@@ -1004,7 +1012,7 @@
 	f.start_all();
 	f.run_for(20 * NS_S);
 	for (bool large : {false, true})
-		for (auto &n : senders(f, SPREAD_HEARD, large, nullptr)) {
+		for (auto &n : senders(f, SPREAD_FROM_BOX, large, nullptr)) {
 			EXPECT_LE(2, n.second) << n.first;
 			EXPECT_GE(large ? 2 : 3, n.second) << n.first;
 		}
@@ -1018,28 +1026,28 @@
 {
 	struct spread_difference d = {};
 
-	d.seeing = true;
+	d.hall_has_platform = true;
 	EXPECT_TRUE(spread_should_compare(&d)); /* equal: floors are told */
-	d.lasts = 1;
+	d.duration_ns = 1;
 	EXPECT_FALSE(spread_should_compare(&d));
-	d.near = true;
+	d.same_hall = true;
 	EXPECT_TRUE(spread_should_compare(&d));
-	d.near = false;
-	d.lasts = 800 * NS_MS; /* the lists do not come */
+	d.same_hall = false;
+	d.duration_ns = 800 * NS_MS; /* the lists do not come */
 	EXPECT_TRUE(spread_should_compare(&d));
-	d.complete = true;
+	d.lists_complete = true;
 	EXPECT_FALSE(spread_should_compare(&d));
-	d.lasts = 1600 * NS_MS;
+	d.duration_ns = 1600 * NS_MS;
 	EXPECT_TRUE(spread_should_compare(&d));
 	/* A hub of our hall does not answer: at once. */
-	d.lasts = 1;
-	d.alone = true;
+	d.duration_ns = 1;
+	d.hall_box_silent = true;
 	EXPECT_TRUE(spread_should_compare(&d));
-	d.alone = false;
+	d.hall_box_silent = false;
 	/* Nobody near hears from the platform: at once. */
-	d.lasts = 1;
-	d.seeing = false;
+	d.duration_ns = 1;
+	d.hall_has_platform = false;
 	EXPECT_TRUE(spread_should_compare(&d));
-	d.complete = false;
+	d.lists_complete = false;
 	EXPECT_TRUE(spread_should_compare(&d));
 }
--- a/regress/test_hsrv.cpp
+++ b/regress/test_hsrv.cpp
@@ -90,7 +90,7 @@
 		    body_max, on_request, this, &err);
 		if (srv == nullptr)
 			throw std::runtime_error(err->message);
-		hsrv_side_by_side(srv, beside);
+		hsrv_allow_concurrent(srv, beside);
 	}
 
 	/* Turn the loop until a condition holds, for some seconds at most. */
@@ -114,7 +114,7 @@
 		ASSERT_NE(nullptr, reqs[i]);
 		if (!keep)
 			reqs[i]->http1_is_persistent = 0;
-		hsrv_answer(reqs[i], 200, "text/plain",
+		hsrv_send_response(reqs[i], 200, "text/plain",
 		    str_n(body.data(), body.size()));
 	}
 };
@@ -438,7 +438,7 @@
 	Caller c(s);
 	std::string head = "GET / HTTP/1.1\r\nHost: a\r\nX-Slow: ";
 
-	hsrv_limits(s.srv, 1000, 150);
+	hsrv_set_limits(s.srv, 1000, 150);
 	c.say(head);
 	EXPECT_TRUE(s.until(
 	    [&] {
--- a/regress/test_paced.cpp
+++ b/regress/test_paced.cpp
@@ -32,7 +32,7 @@
 			aim(&r);
 			answer(100);
 			now += 20 * NS_MS;
-			if (r.d.at != nullptr)
+			if (r.d.backend != nullptr)
 				done(&r, DISP_OK);
 			now += NS_S;
 		}
@@ -44,7 +44,7 @@
 	{
 		r->d.target = now + target_ms * NS_MS;
 		r->d.kind = 1;
-		r->d.attempts = attempts;
+		r->d.max_attempts = attempts;
 		return arrive(r, 400, CLASS_INTERACTIVE, repeatable);
 	}
 
@@ -55,7 +55,7 @@
 
 		names.swap(asked);
 		for (auto &b : names)
-			disp_peeked(
+			disp_load_query_done(
 			    disp, str_n(b.data(), b.size()), true, 0, 0, pace);
 	}
 };
@@ -68,15 +68,15 @@
 	Req r;
 
 	w.aim(&r);
-	EXPECT_EQ(nullptr, r.d.at);
+	EXPECT_EQ(nullptr, r.d.backend);
 	EXPECT_EQ(3u, w.asked.size());
 	w.answer(500);
-	EXPECT_EQ(nullptr, r.d.at);
+	EXPECT_EQ(nullptr, r.d.backend);
 	w.now += 15 * NS_MS;
 	disp_tick(w.disp);
 	EXPECT_FALSE(w.asked.empty()); /* they are asked again */
 	w.answer(100);
-	ASSERT_NE(nullptr, r.d.at);
+	ASSERT_NE(nullptr, r.d.backend);
 	w.now += 20 * NS_MS;
 	w.done(&r, DISP_OK);
 
@@ -84,12 +84,12 @@
 	Req late;
 	int64_t began = w.now += NS_S;
 	w.aim(&late);
-	while (late.d.at == nullptr && w.now < began + NS_S) {
+	while (late.d.backend == nullptr && w.now < began + NS_S) {
 		w.answer(500);
 		w.now += 5 * NS_MS;
 		disp_tick(w.disp);
 	}
-	ASSERT_NE(nullptr, late.d.at);
+	ASSERT_NE(nullptr, late.d.backend);
 	EXPECT_GT(w.now - began, 40 * NS_MS);
 	EXPECT_LT(w.now - began, 100 * NS_MS);
 	w.done(&late, DISP_OK);
@@ -103,23 +103,23 @@
 
 	/* Spells are five times as slow, as is told often enough: 100 ms. */
 	for (int i = 0; i < 500; i++)
-		disp_peeked(w.disp, STR_LIT("b0"), true, 0, 0, 500);
+		disp_load_query_done(w.disp, STR_LIT("b0"), true, 0, 0, 500);
 	w.now += NS_S;
 	w.aim(&r, true, 2, 80);
 	w.answer(100);
 	w.aim(&pay, false, 2, 80);
 	w.answer(100);
-	ASSERT_NE(nullptr, r.d.at);
-	ASSERT_NE(nullptr, pay.d.at);
-	first = r.d.at;
+	ASSERT_NE(nullptr, r.d.backend);
+	ASSERT_NE(nullptr, pay.d.backend);
+	first = r.d.backend;
 	w.now += 25 * NS_MS;
 	disp_tick(w.disp);
 	w.answer(100);
-	EXPECT_EQ(first, r.d.at); /* not overdue yet */
+	EXPECT_EQ(first, r.d.backend); /* not overdue yet */
 	w.now += 16 * NS_MS;
 	disp_tick(w.disp);
 	w.answer(100);
-	EXPECT_NE(first, r.d.at);
+	EXPECT_NE(first, r.d.backend);
 	EXPECT_EQ(2, r.sends);
 	EXPECT_EQ(1, pay.sends);
 	/* Two are all that its rule allows. */
@@ -140,7 +140,7 @@
 	w.answer(100);
 	EXPECT_TRUE(w.done(&r, DISP_REFUSED));
 	w.answer(100);
-	ASSERT_NE(nullptr, r.d.at);
+	ASSERT_NE(nullptr, r.d.backend);
 	EXPECT_FALSE(w.done(&r, DISP_REFUSED));
 	EXPECT_EQ(2, r.sends);
 }
@@ -160,11 +160,11 @@
 	EXPECT_GE(refused, 35);
 	EXPECT_LE(refused, 55);
 	for (auto &q : r)
-		if (q.d.held)
-			disp_forget(w.disp, &q.d);
+		if (q.d.queued)
+			disp_cancel(w.disp, &q.d);
 	for (auto &q : r)
-		if (q.d.at != nullptr)
-			w.done(&q, DISP_GONE);
+		if (q.d.backend != nullptr)
+			w.done(&q, DISP_CANCELED);
 }
 
 /* Also where it came later and may be answered later. */
@@ -185,21 +185,22 @@
 	urgent.d.kind = 1;
 	w.arrive(&urgent, 2000);
 	w.answer(100);
-	ASSERT_TRUE(common.d.held);
-	ASSERT_TRUE(urgent.d.held);
+	ASSERT_TRUE(common.d.queued);
+	ASSERT_TRUE(urgent.d.queued);
 	w.now += 20 * NS_MS;
 	for (auto &q : full)
-		if (q.d.at != nullptr && common.d.held && urgent.d.held) {
+		if (q.d.backend != nullptr && common.d.queued &&
+		    urgent.d.queued) {
 			w.done(&q, DISP_OK);
 			w.answer(100);
 		}
-	EXPECT_NE(nullptr, urgent.d.at);
-	EXPECT_EQ(nullptr, common.d.at);
+	EXPECT_NE(nullptr, urgent.d.backend);
+	EXPECT_EQ(nullptr, common.d.backend);
 	for (auto &q : {&full[0], &full[1], &full[2], &common, &urgent})
-		if (q->d.at != nullptr)
-			w.done(q, DISP_GONE);
-		else if (q->d.held)
-			disp_forget(w.disp, &q->d);
+		if (q->d.backend != nullptr)
+			w.done(q, DISP_CANCELED);
+		else if (q->d.queued)
+			disp_cancel(w.disp, &q->d);
 }
 
 /* One that stands behind more urgent ones is not forgotten. */
@@ -219,16 +220,16 @@
 	}
 	common.d.rank = 2;
 	w.arrive(&common, 400);
-	ASSERT_TRUE(common.d.held);
+	ASSERT_TRUE(common.d.queued);
 	w.now += 400 * NS_MS;
 	disp_tick(w.disp);
 	EXPECT_EQ(ERR_DEADLINE, common.kind);
-	EXPECT_TRUE(urgent[0].d.held && urgent[1].d.held);
+	EXPECT_TRUE(urgent[0].d.queued && urgent[1].d.queued);
 	for (auto &q : urgent)
-		disp_forget(w.disp, &q.d);
+		disp_cancel(w.disp, &q.d);
 	for (auto &q : full)
-		if (q.d.at != nullptr)
-			w.done(&q, DISP_GONE);
+		if (q.d.backend != nullptr)
+			w.done(&q, DISP_CANCELED);
 }
 
 TEST(Paced, NoSlotIsLeftIdleWhileALateRequestWaits)
@@ -240,7 +241,7 @@
 	r.d.kind = 1;
 	w.now += 95 * NS_MS; /* it can no longer be in time */
 	w.arrive(&r, 300);
-	EXPECT_NE(nullptr, r.d.at);
+	EXPECT_NE(nullptr, r.d.backend);
 	w.done(&r, DISP_OK);
 }
 
@@ -253,23 +254,23 @@
 	for (int i = 0; i < 40; i++) {
 		Req r;
 
-		r.d.tries = 1;
+		r.d.attempt_count = 1;
 		w.aim(&r, true, 3);
 		w.answer(100);
-		sent += r.d.at != nullptr;
-		if (r.d.at != nullptr)
-			w.done(&r, DISP_GONE);
+		sent += r.d.backend != nullptr;
+		if (r.d.backend != nullptr)
+			w.done(&r, DISP_CANCELED);
 	}
 	EXPECT_GT(sent, 0);
 	EXPECT_LT(sent, 30);
 	/* What another home moved here was charged there. */
 	Req paid;
-	paid.d.tries = 1;
-	paid.d.paid = true;
+	paid.d.attempt_count = 1;
+	paid.d.budget_charged = true;
 	w.aim(&paid, true, 3);
 	w.answer(100);
-	EXPECT_NE(nullptr, paid.d.at);
-	w.done(&paid, DISP_GONE);
+	EXPECT_NE(nullptr, paid.d.backend);
+	w.done(&paid, DISP_CANCELED);
 }
 
 TEST(Paced, OneThatTellsNoLoadIsAskedOnce)
@@ -282,14 +283,15 @@
 	w.arrive(&r, 400);
 	EXPECT_EQ(2u, w.asked.size());
 	for (auto &b : std::vector<std::string>(w.asked))
-		disp_peeked(w.disp, str_n(b.data(), b.size()), true, 0, 0, 0);
-	EXPECT_NE(nullptr, r.d.at);
+		disp_load_query_done(
+		    w.disp, str_n(b.data(), b.size()), true, 0, 0, 0);
+	EXPECT_NE(nullptr, r.d.backend);
 	w.asked.clear();
 	w.now += NS_S;
 	next.d.target = w.now + 100 * NS_MS;
 	w.arrive(&next, 400);
 	EXPECT_TRUE(w.asked.empty());
-	EXPECT_NE(nullptr, next.d.at);
+	EXPECT_NE(nullptr, next.d.backend);
 	w.done(&r, DISP_OK);
 	w.done(&next, DISP_OK);
 }
@@ -304,17 +306,17 @@
 		Req r;
 
 		for (auto &b : std::vector<std::string>(w.asked))
-			disp_peeked(
+			disp_load_query_done(
 			    w.disp, str_n(b.data(), b.size()), true, 0, 0, 0);
 		w.asked.clear();
 		r.d.target = w.now + 300 * NS_MS;
 		r.d.kind = 1;
 		w.arrive(&r, 1000);
 		for (auto &b : std::vector<std::string>(w.asked))
-			disp_peeked(
+			disp_load_query_done(
 			    w.disp, str_n(b.data(), b.size()), true, 0, 0, 0);
-		ASSERT_NE(nullptr, r.d.at);
-		bool slow = str_eq(r.d.at->name, STR_LIT("b0"));
+		ASSERT_NE(nullptr, r.d.backend);
+		bool slow = str_eq(r.d.backend->name, STR_LIT("b0"));
 
 		there += slow && i >= 20;
 		w.now += (slow ? 80 : 20) * NS_MS;
@@ -345,36 +347,36 @@
 		q.d.target = w.now - NS_MS;
 		q.d.kind = 1;
 		w.arrive(&q, 400);
-		EXPECT_EQ(nullptr, q.d.at);
+		EXPECT_EQ(nullptr, q.d.backend);
 	}
 	/* One is warm and gets them at once, the other bears a few a second. */
-	disp_cold_told(w.disp, STR_LIT("b0"), 0);
-	disp_peeked(w.disp, STR_LIT("b0"), true, 0, 0, 100);
-	disp_cold_told(w.disp, STR_LIT("b1"), 3 * NS_S);
-	disp_peeked(w.disp, STR_LIT("b1"), true, 0, 0, 100);
+	disp_cold_reported(w.disp, STR_LIT("b0"), 0);
+	disp_load_query_done(w.disp, STR_LIT("b0"), true, 0, 0, 100);
+	disp_cold_reported(w.disp, STR_LIT("b1"), 3 * NS_S);
+	disp_load_query_done(w.disp, STR_LIT("b1"), true, 0, 0, 100);
 	size_t sent = 0;
 	for (auto &q : r) {
-		sent += q.d.at != nullptr;
-		EXPECT_TRUE(
-		    q.d.at == nullptr || str_eq(q.d.at->name, STR_LIT("b0")));
+		sent += q.d.backend != nullptr;
+		EXPECT_TRUE(q.d.backend == nullptr ||
+		    str_eq(q.d.backend->name, STR_LIT("b0")));
 	}
 	EXPECT_LT(0u, sent);
 	/* One that cannot be reached may be back cold: it is asked again. */
 	w.asked.clear();
 	w.now += 60 * NS_MS;
 	for (auto &q : r)
-		if (q.d.at != nullptr) {
-			w.done(&q, DISP_CONNECT);
+		if (q.d.backend != nullptr) {
+			w.done(&q, DISP_CONNECT_FAILED);
 			break;
 		}
 	disp_tick(w.disp);
 	EXPECT_EQ(std::vector<std::string>{"b0"}, w.asked);
 	for (auto &q : r)
-		if (q.d.held)
-			disp_forget(w.disp, &q.d);
+		if (q.d.queued)
+			disp_cancel(w.disp, &q.d);
 	for (auto &q : r)
-		if (q.d.at != nullptr)
-			w.done(&q, DISP_GONE);
+		if (q.d.backend != nullptr)
+			w.done(&q, DISP_CANCELED);
 }
 
 /* A hall of hundreds that has gone dark must not drown its home in questions.
@@ -398,8 +400,8 @@
 		std::string b = w.asked.front();
 		w.asked.erase(w.asked.begin());
 		all.insert(b);
-		disp_cold_told(w.disp, str_c(b.c_str()), 0);
-		disp_peeked(w.disp, str_c(b.c_str()), true, 0, 0, 100);
+		disp_cold_reported(w.disp, str_c(b.c_str()), 0);
+		disp_load_query_done(w.disp, str_c(b.c_str()), true, 0, 0, 100);
 	}
 	EXPECT_EQ(static_cast<size_t>(n), all.size());
 	EXPECT_GE(32u, most);
@@ -408,7 +410,7 @@
 	w.asked.clear();
 	for (int i = 0; i < n; i++)
 		for (int k = 0; k < 2; k++)
-			disp_peeked(w.disp,
+			disp_load_query_done(w.disp,
 			    str_c(("b" + std::to_string(i)).c_str()), false, 0,
 			    0, 0);
 	most = w.asked.size();
@@ -423,7 +425,8 @@
 		asked += out.size();
 		for (auto &b : out) {
 			all.insert(b);
-			disp_peeked(w.disp, str_c(b.c_str()), false, 0, 0, 0);
+			disp_load_query_done(
+			    w.disp, str_c(b.c_str()), false, 0, 0, 0);
 		}
 	}
 	EXPECT_EQ(static_cast<size_t>(n), all.size());
@@ -439,11 +442,12 @@
 	w.aim(&r);
 	ASSERT_EQ(2u, w.asked.size());
 	std::string silent = w.asked[0], good = w.asked[1];
-	disp_peeked(
+	disp_load_query_done(
 	    w.disp, str_n(silent.data(), silent.size()), false, 0, 0, 0);
-	disp_peeked(w.disp, str_n(good.data(), good.size()), true, 0, 0, 100);
-	ASSERT_NE(nullptr, r.d.at);
-	EXPECT_EQ(good, std::string(r.d.at->name.p, r.d.at->name.n));
+	disp_load_query_done(
+	    w.disp, str_n(good.data(), good.size()), true, 0, 0, 100);
+	ASSERT_NE(nullptr, r.d.backend);
+	EXPECT_EQ(good, std::string(r.d.backend->name.p, r.d.backend->name.n));
 	w.done(&r, DISP_OK);
 }
 
@@ -455,31 +459,32 @@
 
 	w.aim(&r[0]);
 	w.answer(100);
-	ASSERT_NE(nullptr, r[0].d.at);
+	ASSERT_NE(nullptr, r[0].d.backend);
 	/* The next is free in 50 ms, and the one after it in 100. */
-	EXPECT_TRUE(disp_quota_told(w.disp, r[0].d.at, 20, r[0].d.sent));
+	EXPECT_TRUE(
+	    disp_quota_reported(w.disp, r[0].d.backend, 20, r[0].d.sent_at));
 	w.now += 20 * NS_MS;
 	w.done(&r[0], DISP_OK);
 	w.aim(&r[1]);
 	w.aim(&r[2]);
-	EXPECT_TRUE(r[1].d.held);
+	EXPECT_TRUE(r[1].d.queued);
 	EXPECT_TRUE(r[2].ended);
 	EXPECT_EQ(ERR_BUSY, r[2].kind);
 	w.now += 25 * NS_MS;
 	disp_tick(w.disp);
-	EXPECT_TRUE(r[1].d.held);
+	EXPECT_TRUE(r[1].d.queued);
 	w.now += 10 * NS_MS;
 	disp_tick(w.disp);
 	w.answer(100);
-	ASSERT_NE(nullptr, r[1].d.at);
-	EXPECT_EQ(AGAINST_NOTHING, r[1].d.against);
+	ASSERT_NE(nullptr, r[1].d.backend);
+	EXPECT_EQ(VIOLATION_NONE, r[1].d.violation);
 	w.now += 20 * NS_MS;
 	w.done(&r[1], DISP_OK);
 	/* One that turns late behind others does not wait on for its end. */
 	w.aim(&r[3], true, 2, 60);
-	EXPECT_TRUE(r[3].d.held);
-	EXPECT_TRUE(
-	    disp_quota_told(w.disp, disp_find(w.disp, STR_LIT("b0")), 2, 0));
+	EXPECT_TRUE(r[3].d.queued);
+	EXPECT_TRUE(disp_quota_reported(
+	    w.disp, disp_find_backend(w.disp, STR_LIT("b0")), 2, 0));
 	w.now += 85 * NS_MS;
 	disp_tick(w.disp);
 	EXPECT_TRUE(r[3].ended);
@@ -493,25 +498,25 @@
 	Req r[4];
 
 	for (const char *b : {"b0", "b1"})
-		EXPECT_TRUE(disp_rest_told(
-		    w.disp, disp_find(w.disp, str_c(b)), 50 * NS_MS));
+		EXPECT_TRUE(disp_pause_reported(
+		    w.disp, disp_find_backend(w.disp, str_c(b)), 50 * NS_MS));
 	w.aim(&r[0]);
-	EXPECT_TRUE(r[0].d.held);
+	EXPECT_TRUE(r[0].d.queued);
 	w.now += 45 * NS_MS;
 	disp_tick(w.disp);
-	EXPECT_TRUE(r[0].d.held);
+	EXPECT_TRUE(r[0].d.queued);
 	w.now += 10 * NS_MS;
 	disp_tick(w.disp);
 	w.answer(100);
-	ASSERT_NE(nullptr, r[0].d.at);
+	ASSERT_NE(nullptr, r[0].d.backend);
 	w.now += 20 * NS_MS;
 	w.done(&r[0], DISP_OK);
 	/* A shorter rest does not end one that was asked for before. */
 	for (const char *b : {"b0", "b1"}) {
-		EXPECT_TRUE(disp_rest_told(
-		    w.disp, disp_find(w.disp, str_c(b)), 3 * NS_S));
-		EXPECT_FALSE(disp_rest_told(
-		    w.disp, disp_find(w.disp, str_c(b)), 10 * NS_MS));
+		EXPECT_TRUE(disp_pause_reported(
+		    w.disp, disp_find_backend(w.disp, str_c(b)), 3 * NS_S));
+		EXPECT_FALSE(disp_pause_reported(
+		    w.disp, disp_find_backend(w.disp, str_c(b)), 10 * NS_MS));
 	}
 	w.now += 20 * NS_MS;
 	w.aim(&r[1]);
@@ -520,12 +525,12 @@
 	/* Nobody is asked meanwhile, and one is enough to end the wait. */
 	EXPECT_TRUE(w.asked.empty());
 	w.now += 3 * NS_S;
-	EXPECT_TRUE(
-	    disp_rest_told(w.disp, disp_find(w.disp, STR_LIT("b0")), 3 * NS_S));
+	EXPECT_TRUE(disp_pause_reported(
+	    w.disp, disp_find_backend(w.disp, STR_LIT("b0")), 3 * NS_S));
 	w.aim(&r[2]);
 	w.answer(100);
-	ASSERT_NE(nullptr, r[2].d.at);
-	EXPECT_TRUE(str_eq(r[2].d.at->name, STR_LIT("b1")));
+	ASSERT_NE(nullptr, r[2].d.backend);
+	EXPECT_TRUE(str_eq(r[2].d.backend->name, STR_LIT("b1")));
 	w.now += 20 * NS_MS;
 	w.done(&r[2], DISP_OK);
 }
--- a/regress/test_platform.cpp
+++ b/regress/test_platform.cpp
@@ -136,7 +136,7 @@
 	std::string s = std::string(ex.method) + " " + ex.path;
 
 	g_free(ex.path);
-	g_free(ex.value);
+	g_free(ex.header_value);
 	free(ex.body);
 	return s;
 }
@@ -163,7 +163,7 @@
 TEST(Platform, AConfigurationBecomesABundle)
 {
 	Json in{std::string(config)};
-	Json spec(pf_bundle(in.v));
+	Json spec(pf_bundle_spec(in.v));
 	GError *err = nullptr;
 	Table t;
 
@@ -172,7 +172,7 @@
 	ASSERT_NE(nullptr, o) << err->message;
 	EXPECT_EQ(6u, o->u.bundle.objects->len);
 	obj_free(o);
-	EXPECT_EQ(CONF_NEWER, t.offer("bundle/main", 7, spec.v));
+	EXPECT_EQ(CONF_APPLIED, t.offer("bundle/main", 7, spec.v));
 	t.build();
 	EXPECT_EQ("buy", t.match("shop.example", "/buy/1"));
 	EXPECT_EQ("look", t.match("SHOP.example", "/other"));
@@ -186,7 +186,7 @@
 	EXPECT_EQ(300, r->obj->target_ms);
 	EXPECT_EQ(2, r->obj->attempts);
 	EXPECT_EQ(1, r->obj->rank);
-	EXPECT_FALSE(route_repeatable(r->obj, STR_LIT("GET"), false));
+	EXPECT_FALSE(route_is_repeatable(r->obj, STR_LIT("GET"), false));
 	EXPECT_EQ(1000, route_listener(t.routes)->body_max);
 	EXPECT_EQ(15000, route_listener(t.routes)->idle_ms);
 }
@@ -194,7 +194,7 @@
 TEST(Platform, SplitsAreDrawnByTheirWeights)
 {
 	Json in{std::string(config)};
-	Json spec(pf_bundle(in.v));
+	Json spec(pf_bundle_spec(in.v));
 	struct route_query q = {};
 	int old = 0;
 	Table t;
@@ -206,19 +206,19 @@
 	q.path = STR_LIT("/");
 	const struct route_rule *r = route_match(t.routes, &q);
 	for (int i = 0; i < 10000; i++)
-		old +=
-		    str_eq(route_choose(r, rnd_system())->name, STR_LIT("old"));
+		old += str_eq(route_choose_service(r, rnd_system())->name,
+		    STR_LIT("old"));
 	EXPECT_NEAR(9000, old, 200);
 }
 
 TEST(Platform, ABundleIsTakenWholeOrNotAtAll)
 {
 	Json in{std::string(config)};
-	Json good(pf_bundle(in.v));
+	Json good(pf_bundle_spec(in.v));
 	uint64_t version = 7;
 	Table t;
 
-	EXPECT_EQ(CONF_NEWER, t.offer("bundle/main", version, good.v));
+	EXPECT_EQ(CONF_APPLIED, t.offer("bundle/main", version, good.v));
 	/* One route without a service, one with a broken time-out. */
 	for (const char *spec :
 	    {R"({"host":"a.example","pathPrefix":"/","routeType":"safe"})",
@@ -227,25 +227,25 @@
 		Json bad(std::string(R"({"resources":[
 		    {"resourceType":"routes","metadata":{"name":"r"},"spec":)") +
 		    spec + "}]}");
-		Json bundle(pf_bundle(bad.v));
+		Json bundle(pf_bundle_spec(bad.v));
 
 		EXPECT_EQ(
 		    CONF_REJECTED, t.offer("bundle/main", ++version, bundle.v));
 		const struct conf_entry *e =
 		    conf_get(t.conf, STR_LIT("bundle/main"));
 		EXPECT_EQ(7u, e->version);
-		EXPECT_NE(nullptr, strstr(e->bad_why, "rule r"));
+		EXPECT_NE(nullptr, strstr(e->rejected_reason, "rule r"));
 		t.build();
 		EXPECT_EQ("buy", t.match("shop.example", "/buy/1"));
 	}
 	/* What is older than that never comes back. */
-	Json newer(pf_bundle(in.v));
+	Json newer(pf_bundle_spec(in.v));
 	json_object_set_new(
 	    json_object_get(newer.v, "rule"), "gone", json_null());
 	json_object_del(json_object_get(newer.v, "rule"), "gone");
 	json_object_del(json_object_get(newer.v, "rule"), "buy");
-	EXPECT_EQ(CONF_NEWER, t.offer("bundle/main", 10, newer.v));
-	EXPECT_EQ(CONF_OLDER, t.offer("bundle/main", 7, good.v));
+	EXPECT_EQ(CONF_APPLIED, t.offer("bundle/main", 10, newer.v));
+	EXPECT_EQ(CONF_STALE, t.offer("bundle/main", 7, good.v));
 	t.build();
 	EXPECT_EQ("look", t.match("shop.example", "/buy/1"));
 }
@@ -257,7 +257,7 @@
 	    "slowStart_time":"3s","seq":4,"born":1700000000123})")};
 	Json leaving{std::string(R"({"service":"till","addr":"10.1.0.9:80",
 	    "zone":"north","slots":5,"state":"draining"})")};
-	Json a(pf_backend(ready.v)), b(pf_backend(leaving.v));
+	Json a(pf_backend_spec(ready.v)), b(pf_backend_spec(leaving.v));
 
 	EXPECT_EQ(R"({"address":"10.1.0.9:80","born_ms":1700000000123,)"
 		  R"("drain":false,"hall":"north",)"
@@ -267,7 +267,7 @@
 	EXPECT_TRUE(json_is_true(json_object_get(b.v, "drain")));
 	/* Cut short: judged as any object is, with the field's name. */
 	Json cut{std::string(R"({"service":"till","zone":"north"})")};
-	Json c(pf_backend(cut.v));
+	Json c(pf_backend_spec(cut.v));
 	GError *err = nullptr;
 	EXPECT_EQ(
 	    nullptr, obj_read(OBJ_BACKEND, STR_LIT("b"), c.v, nullptr, &err));
@@ -290,14 +290,14 @@
 
 	rq.op = PLAT_LIST;
 	rq.kind = STR_LIT("backend");
-	Json in(plat_parse(str_n(body.data(), body.size())));
+	Json in(plat_parse_json(str_n(body.data(), body.size())));
 	ASSERT_NE(nullptr, in.v);
 	Json out(pf_codec.decode(&rq, PLAT_OK, in.v, &after));
 	std::string text = out.text();
 	EXPECT_NE(std::string::npos, text.find("\"i-1\""));
 	EXPECT_EQ(std::string::npos, text.find("\"i-2"));
 	EXPECT_NE(std::string::npos, text.find("\"i-3\""));
-	EXPECT_EQ(nullptr, plat_parse(STR_LIT("no JSON")));
+	EXPECT_EQ(nullptr, plat_parse_json(STR_LIT("no JSON")));
 }
 
 TEST(Platform, CallsOfTheStore)
@@ -312,12 +312,12 @@
 	struct plat_exchange first = {};
 	stale.op = PLAT_LIST;
 	stale.kind = STR_LIT("backend");
-	stale.stale = true;
+	stale.allow_stale = true;
 	pf_codec.encode(&stale, STR_LIT("i-9"), &first);
 	EXPECT_STREQ("/api/objects/servers?allowStale=1&after=i-9", first.path);
 	g_free(first.path);
 	EXPECT_EQ("GET /api/objects/boxes?allowStale=1",
-	    line(PLAT_BOXES, nullptr, nullptr, 0));
+	    line(PLAT_LIST_BOXES, nullptr, nullptr, 0));
 	EXPECT_EQ(
 	    "POST /api/objects/boxes", line(PLAT_CREATE, "status", "b1", 0));
 	EXPECT_EQ(
@@ -330,7 +330,7 @@
 		     R"("spec":{"spec":{"a":1},"change":"c"}})",
 	    ex.body);
 	g_free(ex.path);
-	g_free(ex.value);
+	g_free(ex.header_value);
 	free(ex.body);
 }
 
@@ -368,7 +368,7 @@
 		    "spec":{"spec":{"a":1},"change":"c"}})"));
 	EXPECT_EQ(R"({"boxes":[{"hall":"n","inbox":"10.0.0.1:1",)"
 		  R"("leaving":false,"name":"b1"}]})",
-	    decode(PLAT_BOXES, "", PLAT_OK,
+	    decode(PLAT_LIST_BOXES, "", PLAT_OK,
 		R"({"items":[{"metadata":{"name":"b1","rev":4},"spec":{"spec":
 		    {"box":"b1","hall":"n","inbox":"10.0.0.1:1",
 		     "leaving":false}}}],"hasMore":false})"));
@@ -381,61 +381,63 @@
 	read.op = PLAT_LIST;
 	write.op = PLAT_UPDATE;
 	for (int down : {429, 503}) {
-		EXPECT_EQ(PLAT_DOWN, pf_codec.result(&read, down));
+		EXPECT_EQ(
+		    PLAT_UNAVAILABLE, pf_codec.result_from_status(&read, down));
 		/* Nothing was done, so it need not be looked up. */
-		EXPECT_EQ(PLAT_DOWN, pf_codec.result(&write, down));
+		EXPECT_EQ(PLAT_UNAVAILABLE,
+		    pf_codec.result_from_status(&write, down));
 	}
-	EXPECT_EQ(PLAT_UNSURE, pf_codec.result(&write, 500));
-	EXPECT_EQ(PLAT_DOWN, pf_codec.result(&read, 500));
-	EXPECT_EQ(PLAT_TOO_OLD, pf_codec.result(&read, 410));
-	EXPECT_EQ(PLAT_CONFLICT, pf_codec.result(&write, 409));
-	EXPECT_EQ(PLAT_NONE, pf_codec.result(&write, 404));
+	EXPECT_EQ(PLAT_UNKNOWN, pf_codec.result_from_status(&write, 500));
+	EXPECT_EQ(PLAT_UNAVAILABLE, pf_codec.result_from_status(&read, 500));
+	EXPECT_EQ(PLAT_TOO_OLD, pf_codec.result_from_status(&read, 410));
+	EXPECT_EQ(PLAT_CONFLICT, pf_codec.result_from_status(&write, 409));
+	EXPECT_EQ(PLAT_NOT_FOUND, pf_codec.result_from_status(&write, 404));
 }
 
 TEST(Platform, HeadersOfBackendServers)
 {
-	const struct dial *d = platform_form.dial;
+	const struct dialect *d = platform_form.dialect;
 	h2o_iovec_t name = {
 	    const_cast<char *>("fernjunction-not-executed"), 25};
 	h2o_iovec_t load = {
 	    const_cast<char *>("fernjunction-backend-load"), 25};
 	h2o_header_t h = {};
-	struct dial_word w = {};
+	struct dial_report w = {};
 	const struct dial_load &l = w.load;
 
 	h.name = &name;
 	h.value = h2o_iovec_init("1", 1);
-	EXPECT_TRUE(d->refused(503, &h, 1));
-	EXPECT_FALSE(d->refused(503, &h, 0));
-	EXPECT_TRUE(d->refused(421, &h, 0));
-	EXPECT_TRUE(d->moved(421, &h, 0));
-	EXPECT_FALSE(d->moved(503, &h, 1));
+	EXPECT_TRUE(d->not_executed(503, &h, 1));
+	EXPECT_FALSE(d->not_executed(503, &h, 0));
+	EXPECT_TRUE(d->not_executed(421, &h, 0));
+	EXPECT_TRUE(d->address_reassigned(421, &h, 0));
+	EXPECT_FALSE(d->address_reassigned(503, &h, 1));
 	h.name = &load;
 	h.value = h2o_iovec_init("3,1,8,250", 9);
-	d->word(200, &h, 1, &w);
-	ASSERT_TRUE(w.tells_load);
+	d->parse_report(200, &h, 1, &w);
+	ASSERT_TRUE(w.has_load);
 	EXPECT_EQ(3, l.running);
 	EXPECT_EQ(1, l.waiting);
 	EXPECT_EQ(8, l.slots);
-	EXPECT_EQ(250, l.pace);
+	EXPECT_EQ(250, l.latency_percent);
 	h.value = h2o_iovec_init("3,0,8", 5);
-	d->word(200, &h, 1, &w);
-	ASSERT_TRUE(w.tells_load);
-	EXPECT_EQ(100, l.pace);
+	d->parse_report(200, &h, 1, &w);
+	ASSERT_TRUE(w.has_load);
+	EXPECT_EQ(100, l.latency_percent);
 	for (const char *bad : {"", "3,0", "3,0,0", "a,b,c", "3,0,8,0"}) {
 		h.value = h2o_iovec_init(bad, strlen(bad));
-		d->word(200, &h, 1, &w);
-		EXPECT_FALSE(w.tells_load) << bad;
+		d->parse_report(200, &h, 1, &w);
+		EXPECT_FALSE(w.has_load) << bad;
 	}
 }
 
 /* How many requests a second a backend server takes, as it says it. */
 TEST(Platform, WhatABackendServerTakes)
 {
-	const struct dial *d = platform_form.dial;
+	const struct dialect *d = platform_form.dialect;
 	h2o_iovec_t name = {const_cast<char *>("server-limit"), 12};
 	h2o_header_t h = {};
-	struct dial_word w = {};
+	struct dial_report w = {};
 
 	h.name = &name;
 	struct {
@@ -445,31 +447,31 @@
 	    {"7.", 7}, {"0", DIAL_RATE_MIN}, {"0.0001", DIAL_RATE_MIN}};
 	for (auto &g : good) {
 		h.value = h2o_iovec_init(g.text, strlen(g.text));
-		d->word(200, &h, 1, &w);
+		d->parse_report(200, &h, 1, &w);
 		EXPECT_FALSE(w.malformed) << g.text;
-		EXPECT_DOUBLE_EQ(g.rate, w.limit) << g.text;
+		EXPECT_DOUBLE_EQ(g.rate, w.rate_limit) << g.text;
 	}
 	const std::string digits(100, '9');
 	for (const char *bad :
 	    {"", " ", "-1", "+1", "nan", "inf", "1e308", "0x10", "1,5", "1.2.3",
 		".", "5/s", "Thu, 01 Jan 2026", digits.c_str()}) {
 		h.value = h2o_iovec_init(bad, strlen(bad));
-		d->word(200, &h, 1, &w);
+		d->parse_report(200, &h, 1, &w);
 		EXPECT_TRUE(w.malformed) << bad;
-		EXPECT_EQ(0, w.limit) << bad;
+		EXPECT_EQ(0, w.rate_limit) << bad;
 	}
-	d->word(200, &h, 0, &w);
+	d->parse_report(200, &h, 0, &w);
 	EXPECT_FALSE(w.malformed);
-	EXPECT_EQ(0, w.limit);
+	EXPECT_EQ(0, w.rate_limit);
 }
 
 /* For how long one that turns a request away wants nothing more. */
 TEST(Platform, WhatRestABackendServerAsksFor)
 {
-	const struct dial *d = platform_form.dial;
+	const struct dialect *d = platform_form.dialect;
 	h2o_iovec_t name = {const_cast<char *>("retry-after"), 11};
 	h2o_header_t h = {};
-	struct dial_word w = {};
+	struct dial_report w = {};
 
 	h.name = &name;
 	struct {
@@ -479,37 +481,37 @@
 	    {"31536000", DIAL_MS_MAX}, {"9999999999999999", DIAL_MS_MAX}};
 	for (auto &g : good) {
 		h.value = h2o_iovec_init(g.text, strlen(g.text));
-		d->word(503, &h, 1, &w);
+		d->parse_report(503, &h, 1, &w);
 		EXPECT_FALSE(w.malformed) << g.text;
-		EXPECT_EQ(g.ms, w.rest_ms) << g.text;
+		EXPECT_EQ(g.ms, w.retry_after_ms) << g.text;
 	}
 	const std::string digits(100, '9');
 	for (const char *bad : {"", "-1", "nan", "inf", "1e308", "3s", "3,5",
 		 digits.c_str(), "Thu, 01 Jan 2026 00:00:00 GMT"}) {
 		h.value = h2o_iovec_init(bad, strlen(bad));
-		d->word(503, &h, 1, &w);
+		d->parse_report(503, &h, 1, &w);
 		EXPECT_TRUE(w.malformed) << bad;
-		EXPECT_EQ(0, w.rest_ms) << bad;
+		EXPECT_EQ(0, w.retry_after_ms) << bad;
 		/* Elsewhere it is none of our concern. */
-		d->word(200, &h, 1, &w);
+		d->parse_report(200, &h, 1, &w);
 		EXPECT_FALSE(w.malformed) << bad;
 	}
 }
 
 TEST(Platform, WhetherABackendServerSaysThatItLeaves)
 {
-	const struct dial *d = platform_form.dial;
+	const struct dialect *d = platform_form.dialect;
 	h2o_iovec_t name = {const_cast<char *>("server-leaving"), 14};
 	h2o_header_t h = {};
-	struct dial_word w = {};
+	struct dial_report w = {};
 
 	h.name = &name;
 	h.value = h2o_iovec_init("1", 1);
 	for (int status : {200, 421, 500, 503}) {
-		d->word(status, &h, 1, &w);
-		EXPECT_TRUE(w.leaves) << status;
-		d->word(status, &h, 0, &w);
-		EXPECT_FALSE(w.leaves) << status;
+		d->parse_report(status, &h, 1, &w);
+		EXPECT_TRUE(w.leaving) << status;
+		d->parse_report(status, &h, 0, &w);
+		EXPECT_FALSE(w.leaving) << status;
 	}
 }
 
@@ -517,14 +519,15 @@
 {
 	struct plat_bounds b = {};
 
-	pf_bounds(STR_LIT(R"({"retryBudgetRatio":0.2,"retryBudgetSlack":56,)"
-			  R"("grace":"6s","later":"1ms"})"),
+	pf_parse_bounds(
+	    STR_LIT(R"({"retryBudgetRatio":0.2,"retryBudgetSlack":56,)"
+		    R"("grace":"6s","later":"1ms"})"),
 	    &b);
 	EXPECT_DOUBLE_EQ(0.2, b.retry_ratio);
 	EXPECT_EQ(56, b.retry_slack);
-	EXPECT_EQ(6000, b.grace_ms);
+	EXPECT_EQ(6000, b.stop_grace_ms);
 	struct plat_bounds none = {};
-	pf_bounds(STR_LIT("not a table"), &none);
+	pf_parse_bounds(STR_LIT("not a table"), &none);
 	EXPECT_EQ(0, none.retry_slack);
 }
 
@@ -535,8 +538,9 @@
 	    "duration":"12s"})");
 	Json done(R"({"state":"rolled_back","targetVersion":"v2"})");
 	Json other(R"({"state":"completed","targetVersion":"v1"})");
-	Json a(pf_rollout(order.v, nullptr)), b(pf_rollout(order.v, done.v));
-	Json c(pf_rollout(order.v, other.v));
+	Json a(pf_rollout_spec(order.v, nullptr)),
+	    b(pf_rollout_spec(order.v, done.v));
+	Json c(pf_rollout_spec(order.v, other.v));
 
 	EXPECT_EQ(
 	    R"({"duration_ms":12000,"state":"open","version":"v2"})", a.text());
@@ -546,7 +550,7 @@
 	EXPECT_EQ(a.text(), c.text());
 	Json ours(R"({"state":"completed","version":"v2"})");
 	struct plat_exchange ex =
-	    encode(PLAT_STATUS, "rollout", "till", 7, ours.v);
+	    encode(PLAT_UPDATE_STATUS, "rollout", "till", 7, ours.v);
 	EXPECT_STREQ("PUT", ex.method);
 	EXPECT_STREQ("/api/objects/rollouts/till/status", ex.path);
 	Json body(ex.body);
@@ -554,13 +558,13 @@
 		  R"("status":{"state":"completed","targetVersion":"v2"}})",
 	    body.text());
 	g_free(ex.path);
-	g_free(ex.value);
+	g_free(ex.header_value);
 	free(ex.body);
 }
 
 TEST(Platform, WhatItHasNotIsNotWatched)
 {
-	const struct plat_form *f = &platform_form;
+	const struct plat_adapter *f = &platform_form;
 
 	EXPECT_TRUE(f->has_feed(STR_LIT("base,rollout"), "rollout"));
 	EXPECT_FALSE(f->has_feed(STR_LIT("base,rollouts"), "rollout"));
@@ -572,48 +576,48 @@
 
 TEST(Pass, WhatIsWrittenIsRead)
 {
-	struct gate_pass in = {}, out = {};
+	struct gate_forward in = {}, out = {};
 	char text[320];
 
 	in.hops = 1;
 	in.repeatable = true;
-	in.paid = true;
-	in.left_ms = 780;
+	in.within_retry_budget = true;
+	in.caller_deadline_ms = 780;
 	in.waited_ms = 20;
 	in.tries = 1;
-	in.attempts = 3;
+	in.max_attempts = 3;
 	in.rank = 2;
 	in.kind = 250;
 	in.target_ms = 140;
-	in.print = {0xfeed, 0xffffffffffffffff, 0xcafe};
+	in.fingerprint = {0xfeed, 0xffffffffffffffff, 0xcafe};
 	in.suspect = true;
-	in.hall = STR_LIT("north");
+	in.target_hall = STR_LIT("north");
 	in.regions = STR_LIT("here,there");
 	in.customer = STR_LIT("-anna");
 	in.service = STR_LIT("till");
-	size_t n = gate_pass_write(&in, text, sizeof(text));
-	ASSERT_TRUE(gate_pass_read(str_n(text, n), &out));
+	size_t n = gate_forward_write(&in, text, sizeof(text));
+	ASSERT_TRUE(gate_forward_read(str_n(text, n), &out));
 	EXPECT_EQ(1u, out.hops);
 	EXPECT_TRUE(out.repeatable);
 	EXPECT_FALSE(out.bulk);
 	EXPECT_FALSE(out.retried);
-	EXPECT_TRUE(out.paid);
-	EXPECT_EQ(780, out.left_ms);
+	EXPECT_TRUE(out.within_retry_budget);
+	EXPECT_EQ(780, out.caller_deadline_ms);
 	EXPECT_EQ(20, out.waited_ms);
 	EXPECT_EQ(1u, out.tries);
-	EXPECT_EQ(3u, out.attempts);
+	EXPECT_EQ(3u, out.max_attempts);
 	EXPECT_EQ(2u, out.rank);
 	EXPECT_EQ(250u, out.kind);
 	EXPECT_EQ(140, out.target_ms);
-	EXPECT_TRUE(fprint_eq(in.print, out.print));
+	EXPECT_TRUE(fprint_eq(in.fingerprint, out.fingerprint));
 	EXPECT_TRUE(out.suspect);
-	EXPECT_TRUE(str_eq(STR_LIT("north"), out.hall));
+	EXPECT_TRUE(str_eq(STR_LIT("north"), out.target_hall));
 	EXPECT_TRUE(str_eq(STR_LIT("here,there"), out.regions));
 	EXPECT_TRUE(str_eq(STR_LIT("till"), out.service));
 	EXPECT_TRUE(str_eq(STR_LIT("-anna"), out.customer));
 	in.customer = str_c(nullptr);
-	n = gate_pass_write(&in, text, sizeof(text));
-	ASSERT_TRUE(gate_pass_read(str_n(text, n), &out));
+	n = gate_forward_write(&in, text, sizeof(text));
+	ASSERT_TRUE(gate_forward_read(str_n(text, n), &out));
 	EXPECT_EQ(0u, out.customer.n);
 	for (const char *bad : {"", "1", "1 0 1 0 1 1 3 2 250 140 780 20",
 		 "x 0 1 0 1 1 3 2 250 140 780 20 north till",
@@ -628,7 +632,7 @@
 		 "1 0 1 0 1 1 3 2 250 140 780 20 feed beef 1 north - ",
 		 "1 0 1 0 1 1 3 2 250 140 780 20 fe be ca 1 north - till",
 		 "1 0 1 0 1 1 3 2 250 140 780 20 fe be ca 1 north - anna till"})
-		EXPECT_FALSE(gate_pass_read(str_c(bad), &out)) << bad;
+		EXPECT_FALSE(gate_forward_read(str_c(bad), &out)) << bad;
 }
 
 TEST(Err, AStatusThatPromisesIsTrue)
@@ -654,16 +658,16 @@
 	struct pick_backend b = {};
 
 	b.slots = 3;
-	EXPECT_DOUBLE_EQ(2, pace_now(&b, 2, NS_S));
-	b.told_pace = 500;
-	b.told_at = NS_S;
-	EXPECT_DOUBLE_EQ(5, pace_now(&b, 2, NS_S));
-	EXPECT_LT(pace_now(&b, 2, NS_S + 100 * NS_MS), 4);
-	EXPECT_NEAR(2, pace_now(&b, 2, 3 * NS_S), 0.01);
-	EXPECT_EQ(50 * NS_MS, pace_time(&b, 10 * NS_MS, 2, NS_S));
-	EXPECT_TRUE(pace_is_fresh(&b, NS_S));
-	EXPECT_FALSE(pace_is_good(&b, NS_S));
-	b.told_pace = 100;
-	EXPECT_TRUE(pace_is_good(&b, NS_S));
-	EXPECT_FALSE(pace_is_good(&b, NS_S + 100 * NS_MS));
+	EXPECT_DOUBLE_EQ(2, pace_latency_factor(&b, 2, NS_S));
+	b.reported_latency_percent = 500;
+	b.reported_at = NS_S;
+	EXPECT_DOUBLE_EQ(5, pace_latency_factor(&b, 2, NS_S));
+	EXPECT_LT(pace_latency_factor(&b, 2, NS_S + 100 * NS_MS), 4);
+	EXPECT_NEAR(2, pace_latency_factor(&b, 2, 3 * NS_S), 0.01);
+	EXPECT_EQ(50 * NS_MS, pace_service_time(&b, 10 * NS_MS, 2, NS_S));
+	EXPECT_TRUE(pace_report_is_fresh(&b, NS_S));
+	EXPECT_FALSE(pace_is_near_usual(&b, NS_S));
+	b.reported_latency_percent = 100;
+	EXPECT_TRUE(pace_is_near_usual(&b, NS_S));
+	EXPECT_FALSE(pace_is_near_usual(&b, NS_S + 100 * NS_MS));
 }
--- a/regress/test_poison.cpp
+++ b/regress/test_poison.cpp
@@ -56,14 +56,14 @@
 	/* Tell another box all; its times are a little later there. */
 	void tell(Memory *other, int64_t delay = 0)
 	{
-		struct poison_word words[POISON_WORDS];
-		unsigned n = poison_words(p, words);
+		struct poison_record words[POISON_MSG_RECORDS_MAX];
+		unsigned n = poison_records(p, words);
 
 		for (unsigned i = 0; i < n; i++) {
-			words[i].ended += delay;
-			if (words[i].cleared != 0)
-				words[i].cleared += delay;
-			poison_take(other->p, &words[i]);
+			words[i].crashed_at += delay;
+			if (words[i].cleared_at != 0)
+				words[i].cleared_at += delay;
+			poison_merge(other->p, &words[i]);
 		}
 	}
 };
@@ -97,7 +97,7 @@
 		prm.queue_max = 1000;
 		prm.bulk_percent = 40;
 		prm.retry_percent = 20;
-		prm.retry_max = 60;
+		prm.retry_budget_max = 60;
 		prm.poison = memory.p;
 		prm.hall = STR_LIT("north");
 		disp_configure(disp, &prm);
@@ -122,16 +122,18 @@
 		int sends = r->sends;
 
 		if (dead_until[b] > now) {
-			in(0, [=] { finish(r, sends, b, DISP_CONNECT); });
+			in(0,
+			    [=] { finish(r, sends, b, DISP_CONNECT_FAILED); });
 			return;
 		}
 		there[b].insert(r);
 		for (Req *other : there[b])
-			trials_beside += other->d.trial && there[b].size() > 1;
+			trials_beside +=
+			    other->d.in_trial && there[b].size() > 1;
 		in(work, [=] {
 			if (there[b].count(r) == 0 || r->sends != sends)
 				return;
-			if (poison.count(r->d.print.lo) != 0)
+			if (poison.count(r->d.fingerprint.lo) != 0)
 				end(r, b);
 			else
 				finish(r, sends, b, DISP_OK);
@@ -142,7 +144,7 @@
 	    Req *r, int sends, const std::string &b, enum disp_outcome outcome)
 	{
 		there[b].erase(r);
-		if (r->d.at != nullptr && r->sends == sends)
+		if (r->d.backend != nullptr && r->sends == sends)
 			done(r, outcome);
 	}
 
@@ -151,7 +153,7 @@
 	{
 		std::set<Req *> cut;
 
-		ends[r->d.print.lo]++;
+		ends[r->d.fingerprint.lo]++;
 		full_until[b] = now + 3 * NS_MS;
 		if (cuts_only)
 			cut.insert(r);
@@ -161,11 +163,12 @@
 			dead_until[b] = now + back;
 		for (Req *one : cut)
 			if (!dark)
-				finish(one, one->sends, b, DISP_CUT);
+				finish(one, one->sends, b, DISP_CONN_BROKEN);
 			else
 				in(one->d.deadline - now,
 				    [=, sends = one->sends] {
-					    finish(one, sends, b, DISP_LATE);
+					    finish(
+						one, sends, b, DISP_TIMED_OUT);
 				    });
 	}
 
@@ -179,12 +182,13 @@
 				bool lives = dead_until[b] <= now;
 
 				if (lives)
-					disp_reached(
+					disp_load_query_connected(
 					    disp, str_n(b.data(), b.size()));
 				lives =
 				    lives && (answers || full_until[b] <= now);
-				disp_peeked(disp, str_n(b.data(), b.size()),
-				    lives, 0, 0, lives ? 100 : 0);
+				disp_load_query_done(disp,
+				    str_n(b.data(), b.size()), lives, 0, 0,
+				    lives ? 100 : 0);
 			});
 	}
 
@@ -213,9 +217,9 @@
 		Req *r = reqs.back().get();
 
 		r->id = static_cast<int>(reqs.size());
-		r->d.print = print;
+		r->d.fingerprint = print;
 		r->d.kind = 1;
-		r->d.attempts = attempts;
+		r->d.max_attempts = attempts;
 		r->d.target = now + 300 * NS_MS;
 		arrive(r, 800);
 		return r;
@@ -227,7 +231,7 @@
 		size_t n = 0;
 
 		for (auto &r : reqs)
-			n += fprint_eq(r->d.print, print) && r->ended &&
+			n += fprint_eq(r->d.fingerprint, print) && r->ended &&
 			    r->kind == kind;
 		return n;
 	}
@@ -238,7 +242,7 @@
 		size_t n = 0;
 
 		for (auto &r : reqs)
-			n += fprint_eq(r->d.print, print) &&
+			n += fprint_eq(r->d.fingerprint, print) &&
 			    (r->kind != ERR_NONE || r->maybe_runs == r->sends);
 		return n;
 	}
@@ -262,7 +266,7 @@
 		w.run(200 * NS_MS);
 	}
 	EXPECT_EQ(30, w.ends[BAD.lo]);
-	EXPECT_EQ(POISON_NONE, poison_look(w.memory.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(w.memory.p, BAD));
 	EXPECT_EQ(0u, w.ended_as(BAD, ERR_POISON));
 }
 
@@ -273,22 +277,22 @@
 	int64_t now = NS_S;
 	Memory m(&now, 1);
 
-	EXPECT_EQ(POISON_NONE, poison_look(m.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, BAD));
 	for (int i = 0; i < 5; i++)
-		poison_ended(m.p, BAD, false);
-	EXPECT_EQ(POISON_SUSPECT, poison_look(m.p, BAD));
-	EXPECT_FALSE(poison_has_news(m.p));
-	poison_ended(m.p, BAD, true);
-	EXPECT_EQ(POISON_SUSPECT, poison_look(m.p, BAD));
-	EXPECT_TRUE(poison_has_news(m.p));
-	poison_ended(m.p, BAD, true);
-	EXPECT_EQ(POISON_PROVED, poison_look(m.p, BAD));
-	EXPECT_EQ(1u, poison_proved(m.p));
-	EXPECT_EQ(now + POISON_HOLD_NS, poison_until(m.p, BAD));
-	EXPECT_EQ(POISON_NONE, poison_look(m.p, OTHER));
+		poison_record_crash(m.p, BAD, false);
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
+	EXPECT_FALSE(poison_has_unsent_trial(m.p));
+	poison_record_crash(m.p, BAD, true);
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
+	EXPECT_TRUE(poison_has_unsent_trial(m.p));
+	poison_record_crash(m.p, BAD, true);
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
+	EXPECT_EQ(1u, poison_count_proved(m.p));
+	EXPECT_EQ(now + POISON_HOLD_NS, poison_retry_at(m.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, OTHER));
 	/* One that is not known is never blamed. */
-	poison_ended(m.p, {}, true);
-	EXPECT_EQ(POISON_NONE, poison_look(m.p, {}));
+	poison_record_crash(m.p, {}, true);
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, {}));
 }
 
 TEST(Poison, AnAnswerClears)
@@ -296,14 +300,14 @@
 	int64_t now = NS_S;
 	Memory m(&now, 1);
 
-	poison_ended(m.p, BAD, true);
+	poison_record_crash(m.p, BAD, true);
 	now += NS_S;
-	poison_served(m.p, BAD);
-	EXPECT_EQ(POISON_NONE, poison_look(m.p, BAD));
+	poison_record_success(m.p, BAD);
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, BAD));
 	/* What was before does not count any more. */
 	now += NS_S;
-	poison_ended(m.p, BAD, true);
-	EXPECT_EQ(POISON_SUSPECT, poison_look(m.p, BAD));
+	poison_record_crash(m.p, BAD, true);
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
 }
 
 TEST(Poison, ItEndsWithTimeAndOneMoreTrialDecides)
@@ -311,23 +315,23 @@
 	int64_t now = NS_S;
 	Memory m(&now, 1);
 
-	poison_ended(m.p, OTHER, false);
-	poison_ended(m.p, BAD, true);
-	poison_ended(m.p, BAD, true);
+	poison_record_crash(m.p, OTHER, false);
+	poison_record_crash(m.p, BAD, true);
+	poison_record_crash(m.p, BAD, true);
 	now += POISON_HOLD_NS - 1;
-	EXPECT_EQ(POISON_SUSPECT, poison_look(m.p, OTHER));
-	EXPECT_EQ(POISON_PROVED, poison_look(m.p, BAD));
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, OTHER));
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
 	now++;
-	poison_tick(m.p);
-	EXPECT_EQ(POISON_NONE, poison_look(m.p, OTHER));
-	EXPECT_EQ(POISON_SUSPECT, poison_look(m.p, BAD));
-	poison_ended(m.p, BAD, true);
-	EXPECT_EQ(POISON_PROVED, poison_look(m.p, BAD));
+	poison_expire(m.p);
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, OTHER));
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
+	poison_record_crash(m.p, BAD, true);
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
 	now += 2 * POISON_HOLD_NS;
-	EXPECT_EQ(POISON_NONE, poison_look(m.p, BAD));
-	poison_tick(m.p);
-	struct poison_word words[POISON_WORDS];
-	EXPECT_EQ(0u, poison_words(m.p, words));
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, BAD));
+	poison_expire(m.p);
+	struct poison_record words[POISON_MSG_RECORDS_MAX];
+	EXPECT_EQ(0u, poison_records(m.p, words));
 }
 
 /* Backend servers do not see who sends it: two callers' trials will do. */
@@ -337,16 +341,16 @@
 	Memory m(&now, 1);
 	const struct fprint second = {1, 2, 6}, third = {1, 2, 7};
 
-	poison_ended(m.p, BAD, false);
-	EXPECT_EQ(POISON_SUSPECT, poison_look(m.p, second));
-	poison_ended(m.p, BAD, true);
-	poison_ended(m.p, BAD, true);
-	EXPECT_EQ(POISON_PROVED, poison_look(m.p, BAD));
-	EXPECT_EQ(POISON_SUSPECT, poison_look(m.p, second));
-	poison_ended(m.p, second, true);
-	EXPECT_EQ(POISON_PROVED, poison_look(m.p, second));
-	EXPECT_EQ(POISON_PROVED, poison_look(m.p, third));
-	EXPECT_EQ(now + POISON_HOLD_NS, poison_until(m.p, third));
+	poison_record_crash(m.p, BAD, false);
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, second));
+	poison_record_crash(m.p, BAD, true);
+	poison_record_crash(m.p, BAD, true);
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, second));
+	poison_record_crash(m.p, second, true);
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, second));
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, third));
+	EXPECT_EQ(now + POISON_HOLD_NS, poison_retry_at(m.p, third));
 }
 
 /* What others' requests do is not held against who gets answers to the same. */
@@ -356,41 +360,41 @@
 	Memory m(&now, 1), other(&now, 2);
 	const struct fprint served = {1, 2, 6};
 
-	poison_ended(m.p, BAD, true);
+	poison_record_crash(m.p, BAD, true);
 	now += NS_S;
-	poison_served(m.p, served);
-	EXPECT_EQ(POISON_NONE, poison_look(m.p, served));
-	EXPECT_EQ(POISON_SUSPECT, poison_look(m.p, BAD));
+	poison_record_success(m.p, served);
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, served));
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
 	now += NS_S;
-	poison_ended(m.p, BAD, true);
-	EXPECT_EQ(POISON_PROVED, poison_look(m.p, BAD));
+	poison_record_crash(m.p, BAD, true);
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
 	/* After an end it has to run by itself once more, and is not refused.
 	 */
 	now += NS_S;
-	EXPECT_EQ(POISON_SUSPECT, poison_look(m.p, served));
-	poison_served(m.p, served);
-	EXPECT_EQ(POISON_NONE, poison_look(m.p, served));
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, served));
+	poison_record_success(m.p, served);
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, served));
 	/* Another box is told of both. */
 	m.tell(&other);
-	EXPECT_EQ(POISON_NONE, poison_look(other.p, served));
-	EXPECT_EQ(POISON_PROVED, poison_look(other.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(other.p, served));
+	EXPECT_EQ(POISON_PROVED, poison_status_of(other.p, BAD));
 }
 
 /* Each order, and each word twice: the verdict is the same. */
 TEST(Poison, WordsMayComeInAnyOrder)
 {
 	int64_t now = NS_S;
-	std::vector<struct poison_word> words;
-	struct poison_word all[POISON_WORDS];
+	std::vector<struct poison_record> words;
+	struct poison_record all[POISON_MSG_RECORDS_MAX];
 
 	for (uint64_t box = 1; box <= 3; box++) {
 		Memory m(&now, box);
 
 		now += NS_S;
-		poison_ended(m.p, BAD, box > 1);
+		poison_record_crash(m.p, BAD, box > 1);
 		if (box == 1)
-			poison_served(m.p, BAD);
-		ASSERT_EQ(1u, poison_words(m.p, all));
+			poison_record_success(m.p, BAD);
+		ASSERT_EQ(1u, poison_records(m.p, all));
 		words.push_back(all[0]);
 		words.push_back(all[0]);
 	}
@@ -399,8 +403,8 @@
 		Memory m(&now, 9);
 
 		for (size_t i : order)
-			poison_take(m.p, &words[i]);
-		EXPECT_EQ(POISON_PROVED, poison_look(m.p, BAD));
+			poison_merge(m.p, &words[i]);
+		EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
 	} while (std::next_permutation(order.begin(), order.end()));
 }
 
@@ -410,15 +414,15 @@
 	int64_t now = NS_S;
 	Memory a(&now, 1), b(&now, 2);
 
-	poison_ended(a.p, BAD, true);
+	poison_record_crash(a.p, BAD, true);
 	a.tell(&b);
-	EXPECT_EQ(POISON_SUSPECT, poison_look(b.p, BAD));
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(b.p, BAD));
 	now += NS_S;
-	poison_served(b.p, BAD);
+	poison_record_success(b.p, BAD);
 	a.tell(&b);
-	EXPECT_EQ(POISON_NONE, poison_look(b.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(b.p, BAD));
 	b.tell(&a);
-	EXPECT_EQ(POISON_NONE, poison_look(a.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(a.p, BAD));
 }
 
 /* Told to and fro for hours, an end does not become younger. */
@@ -427,14 +431,14 @@
 	int64_t now = NS_S;
 	Memory a(&now, 1), b(&now, 2);
 
-	poison_ended(a.p, BAD, false);
+	poison_record_crash(a.p, BAD, false);
 	for (int i = 0; i < 1210; i++) {
 		a.tell(&b, 5 * NS_MS);
 		b.tell(&a, 5 * NS_MS);
 		now += 500 * NS_MS;
 	}
-	EXPECT_EQ(POISON_NONE, poison_look(a.p, BAD));
-	EXPECT_EQ(POISON_NONE, poison_look(b.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(a.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(b.p, BAD));
 }
 
 /* However many there are, and what is proved is kept. */
@@ -442,20 +446,20 @@
 {
 	int64_t now = NS_S;
 	Memory m(&now, 1);
-	struct poison_word words[POISON_WORDS];
+	struct poison_record words[POISON_MSG_RECORDS_MAX];
 
-	poison_ended(m.p, BAD, true);
-	poison_ended(m.p, BAD, true);
+	poison_record_crash(m.p, BAD, true);
+	poison_record_crash(m.p, BAD, true);
 	for (uint64_t i = 10; i < 10000; i++) {
 		now += NS_MS;
-		poison_ended(m.p, {i, i, 0}, false);
+		poison_record_crash(m.p, {i, i, 0}, false);
 	}
-	EXPECT_EQ(POISON_PROVED, poison_look(m.p, BAD));
-	EXPECT_EQ(POISON_SUSPECT, poison_look(m.p, {9999, 9999, 0}));
-	EXPECT_EQ(POISON_NONE, poison_look(m.p, {10, 10, 0}));
-	EXPECT_EQ(
-	    static_cast<unsigned>(POISON_WORDS), poison_words(m.p, words));
-	EXPECT_TRUE(fprint_eq(BAD, words[0].print));
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, {9999, 9999, 0}));
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, {10, 10, 0}));
+	EXPECT_EQ(static_cast<unsigned>(POISON_MSG_RECORDS_MAX),
+	    poison_records(m.p, words));
+	EXPECT_TRUE(fprint_eq(BAD, words[0].fingerprint));
 }
 
 /* A word from the future, or one of nothing, is not taken. */
@@ -463,13 +467,13 @@
 {
 	int64_t now = NS_S;
 	Memory m(&now, 1);
-	struct poison_word word = {BAD, {5, 6}, now + NS_S, 0};
+	struct poison_record word = {BAD, {5, 6}, now + NS_S, 0};
 
-	poison_take(m.p, &word);
-	EXPECT_EQ(POISON_NONE, poison_look(m.p, BAD));
+	poison_merge(m.p, &word);
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, BAD));
 	word = {{}, {5, 6}, now, 0};
-	poison_take(m.p, &word);
-	EXPECT_EQ(0u, poison_proved(m.p));
+	poison_merge(m.p, &word);
+	EXPECT_EQ(0u, poison_count_proved(m.p));
 }
 
 TEST(Trial, ThreeEndsAndThenItIsRefusedAtOnce)
@@ -500,7 +504,7 @@
 		w.reqs.push_back(std::make_unique<Req>());
 		Req *r = w.reqs.back().get();
 
-		r->d.print = BAD;
+		r->d.fingerprint = BAD;
 		r->d.target = w.now + 300 * NS_MS;
 		w.arrive(r, 800, CLASS_INTERACTIVE, false);
 		w.run(300 * NS_MS);
@@ -581,7 +585,7 @@
 	EXPECT_EQ(0u, w.ended_as(OTHER, ERR_POISON));
 	for (auto &r : w.reqs)
 		EXPECT_TRUE(r->kind != ERR_POISON ||
-		    w.poison.count(r->d.print.lo) != 0);
+		    w.poison.count(r->d.fingerprint.lo) != 0);
 	EXPECT_EQ(0u, w.trials_beside);
 	/* Each of the twenty ended two backend servers: its rule allows two. */
 	for (uint64_t bad : w.poison)
@@ -612,7 +616,7 @@
 		cut.swap(w.there[name]);
 		w.dead_until[name] = w.now + 3 * NS_S;
 		for (Req *one : cut)
-			w.finish(one, one->sends, name, DISP_CUT);
+			w.finish(one, one->sends, name, DISP_CONN_BROKEN);
 	}
 	for (int i = 0; i < 40; i++) {
 		w.send({2, static_cast<uint64_t>(2000 + i), 0});
@@ -638,7 +642,7 @@
 		for (int at = 0; at < 2; at++) {
 			Servers w(3);
 			struct disp_params prm = {};
-			struct disp_room room = {9, 9, 0};
+			struct disp_capacity room = {9, 9, 0};
 			std::string other = halls[1 - at];
 
 			prm.policy = pick_by_name(STR_LIT("pace"));
@@ -646,14 +650,15 @@
 			prm.poison = w.memory.p;
 			prm.hall = str_c(halls[at]);
 			disp_configure(w.disp, &prm);
-			disp_hall(w.disp, str_c(other.c_str()), 9);
-			disp_remote(w.disp, str_c(other.c_str()), &room);
-			poison_ended(w.memory.p, print, false);
+			disp_set_hall_slots(w.disp, str_c(other.c_str()), 9);
+			disp_set_hall_capacity(
+			    w.disp, str_c(other.c_str()), &room);
+			poison_record_crash(w.memory.p, print, false);
 			w.reqs.push_back(std::make_unique<Req>());
 			Req *r = w.reqs.back().get();
 
-			r->d.print = print;
-			r->d.may_pass = true;
+			r->d.fingerprint = print;
+			r->d.can_forward = true;
 			w.arrive(r, 800);
 			to[at] = r->passed ? other : halls[at];
 			passed += r->passed;
--- a/regress/test_policy.cpp
+++ b/regress/test_policy.cpp
@@ -134,15 +134,15 @@
 
 	void ended(Attempt *a, Server &v)
 	{
-		struct pick_backend *b = a->d.at;
+		struct pick_backend *b = a->d.backend;
 
 		if (fleet.tells)
-			disp_load_told(disp, b, v.running, 0, v.pace);
+			disp_load_reported(disp, b, v.running, 0, v.pace);
 		if (now - a->first <= fleet.target_ms * NS_MS)
 			seconds[a->first / NS_S].in_time++;
 		else if (now <= a->deadline)
 			seconds[a->first / NS_S].late++;
-		disp_done(disp, &a->d, DISP_OK);
+		disp_attempt_done(disp, &a->d, DISP_OK);
 	}
 
 	static void pass(void *, struct disp_req *, struct str)
@@ -167,7 +167,7 @@
 		Sim *s = static_cast<Sim *>(ctx);
 
 		of(d)->run = 0;
-		EXPECT_TRUE(disp_done(s->disp, d, DISP_SLOW));
+		EXPECT_TRUE(disp_attempt_done(s->disp, d, DISP_STOPPED_SLOW));
 	}
 
 	static void peek(void *ctx, struct pick_backend *b)
@@ -176,8 +176,8 @@
 		Server &v = s->server(b);
 
 		s->in(400 * NS_US, [s, &v] {
-			disp_peeked(s->disp, str_c(v.name.c_str()), true,
-			    v.running, 0, s->fleet.tells ? v.pace : 0);
+			disp_load_query_done(s->disp, str_c(v.name.c_str()),
+			    true, v.running, 0, s->fleet.tells ? v.pace : 0);
 		});
 	}
 
@@ -201,12 +201,12 @@
 		a->left = left;
 		a->d.cls = CLASS_INTERACTIVE;
 		a->d.repeatable = true;
-		a->d.may_retry = true;
-		a->d.attempts = 3;
+		a->d.can_retry = true;
+		a->d.max_attempts = 3;
 		a->d.kind = 1;
 		a->d.target = a->first + fleet.target_ms * NS_MS;
 		a->d.deadline = a->deadline;
-		disp_arrive(disp, &a->d);
+		disp_submit(disp, &a->d);
 	}
 
 	void arrive()
@@ -290,7 +290,7 @@
 		p.queue_max = 1000;
 		p.bulk_percent = 40;
 		p.retry_percent = 20;
-		p.retry_max = 60;
+		p.retry_budget_max = 60;
 		disp_configure(disp, &p);
 		for (int i = 0; i < fleet.servers; i++)
 			name_server();
@@ -308,13 +308,14 @@
 
 	void list_servers()
 	{
-		std::vector<struct disp_backend> v;
+		std::vector<struct disp_backend_conf> v;
 
 		for (auto &s : servers)
 			v.push_back({str_c(s.second.name.c_str()),
 			    STR_LIT("127.0.0.1:1"), fleet.slots, false, false,
 			    0, 0, false});
-		disp_backends(disp, v.data(), static_cast<unsigned>(v.size()));
+		disp_set_backends(
+		    disp, v.data(), static_cast<unsigned>(v.size()));
 	}
 
 	void add_server()
@@ -327,11 +328,11 @@
 	~Sim()
 	{
 		for (auto &a : attempts)
-			if (a->d.held)
-				disp_forget(disp, &a->d);
+			if (a->d.queued)
+				disp_cancel(disp, &a->d);
 		for (auto &a : attempts)
-			if (a->d.at != nullptr)
-				disp_done(disp, &a->d, DISP_GONE);
+			if (a->d.backend != nullptr)
+				disp_attempt_done(disp, &a->d, DISP_CANCELED);
 		disp_free(disp);
 	}
 
@@ -491,7 +492,7 @@
 	sim.load(20, 3 * NS_S);
 	sim.run_to(4 * NS_S);
 	for (int i = 0; i < 300; i++)
-		disp_peeked(sim.disp, STR_LIT("b0"), true, 0, 0, 500);
+		disp_load_query_done(sim.disp, STR_LIT("b0"), true, 0, 0, 500);
 	second = sim.now / NS_S;
 	for (int i = 0; i < 30; i++)
 		sim.arrive();
@@ -529,18 +530,18 @@
 	struct callers c = {};
 
 	for (int i = 0; i < 100; i++) {
-		EXPECT_EQ(0, callers_waited(&c, 4000));
-		EXPECT_EQ(0, callers_waited(&c, 900));
+		EXPECT_EQ(0, callers_elapsed_ms(&c, 4000));
+		EXPECT_EQ(0, callers_elapsed_ms(&c, 900));
 	}
-	EXPECT_EQ(1234, callers_waited(&c, 4000 - 1234));
+	EXPECT_EQ(1234, callers_elapsed_ms(&c, 4000 - 1234));
 	/* The least that it can have been. */
-	EXPECT_EQ(200, callers_waited(&c, 700));
-	EXPECT_EQ(0, callers_waited(&c, 6000));
+	EXPECT_EQ(200, callers_elapsed_ms(&c, 700));
+	EXPECT_EQ(0, callers_elapsed_ms(&c, 6000));
 	/* Many that come again do not hide the first attempts. */
 	for (int i = 0; i < 2000; i++)
-		callers_waited(&c, i % 3 == 0 ? 4000 : 100 + i);
-	EXPECT_EQ(0, callers_waited(&c, 4000));
-	EXPECT_EQ(500, callers_waited(&c, 3500));
+		callers_elapsed_ms(&c, i % 3 == 0 ? 4000 : 100 + i);
+	EXPECT_EQ(0, callers_elapsed_ms(&c, 4000));
+	EXPECT_EQ(500, callers_elapsed_ms(&c, 3500));
 }
 
 TEST(Caller, WithoutACommonDeadlineNothingIsKnown)
@@ -548,7 +549,7 @@
 	struct callers c = {};
 
 	for (int i = 0; i < 1000; i++)
-		EXPECT_EQ(0, callers_waited(&c, 1000 + (i * 37) % 997));
+		EXPECT_EQ(0, callers_elapsed_ms(&c, 1000 + (i * 37) % 997));
 }
 
 /* Callers that change their deadline are followed. */
@@ -557,11 +558,11 @@
 	struct callers c = {};
 
 	for (int i = 0; i < 1000; i++)
-		callers_waited(&c, 4000);
+		callers_elapsed_ms(&c, 4000);
 	for (int i = 0; i < 3000; i++)
-		callers_waited(&c, 1000);
-	EXPECT_EQ(0, callers_waited(&c, 1000));
-	EXPECT_EQ(100, callers_waited(&c, 900));
+		callers_elapsed_ms(&c, 1000);
+	EXPECT_EQ(0, callers_elapsed_ms(&c, 1000));
+	EXPECT_EQ(100, callers_elapsed_ms(&c, 900));
 }
 
 /*
--- a/regress/test_roll.cpp
+++ b/regress/test_roll.cpp
@@ -61,15 +61,15 @@
 
 	verdict_open(&v);
 	for (int i = 0; i < 400; i++)
-		verdict_old(
+		verdict_add_old(
 		    &v, 1, uniform(&seed) < t.old_share ? t.bad : VERDICT_GOOD);
 	for (int i = 0; i < t.answers && !found; i++) {
 		for (int j = 0; j < 20; j++)
-			verdict_old(&v, 1,
+			verdict_add_old(&v, 1,
 			    uniform(&seed) < t.old_share ? t.bad
 							 : VERDICT_GOOD);
 		found =
-		    verdict_new(&v, 1,
+		    verdict_add_new(&v, 1,
 			uniform(&seed) < t.new_share ? t.bad : VERDICT_GOOD) !=
 		    nullptr;
 		if (after != nullptr)
@@ -115,7 +115,7 @@
 
 	roll_tick(r.get(), true, 1);
 	for (int i = 0; i < 40; i++)
-		roll_ended(r.get(), true, 1, VERDICT_GOOD);
+		roll_request_ended(r.get(), true, 1, VERDICT_GOOD);
 	roll_tick(r.get(), true, at);
 	return r;
 }
@@ -132,7 +132,7 @@
 
 	explicit Shard(int new_servers = 4)
 	{
-		std::vector<struct disp_backend> v;
+		std::vector<struct disp_backend_conf> v;
 		static const char *const names[] = {
 		    "o0", "o1", "o2", "o3", "n0", "n1", "n2", "n3"};
 
@@ -140,22 +140,23 @@
 		p.chart = World::chart;
 		p.queue_max = 1000;
 		p.retry_percent = 10;
-		p.roll = roll.get();
+		p.rollout = roll.get();
 		for (int i = 0; i < 4 + new_servers; i++) {
-			struct disp_backend b = {};
+			struct disp_backend_conf b = {};
 
 			b.name = str_c(names[i]);
 			b.address = STR_LIT("127.0.0.1:1");
 			b.slots = 3;
-			b.is_new = i >= 4;
+			b.is_new_version = i >= 4;
 			v.push_back(b);
 		}
 		disp_configure(disp, &p);
-		disp_backends(disp, v.data(), static_cast<unsigned>(v.size()));
+		disp_set_backends(
+		    disp, v.data(), static_cast<unsigned>(v.size()));
 		roll_tick(roll.get(), true, now);
 		on_send = [this](disp_world::Req *, struct pick_backend *b) {
 			sent++;
-			sent_new += b->is_new;
+			sent_new += b->is_new_version;
 		};
 	}
 
@@ -166,8 +167,8 @@
 
 			arrive(&r);
 			now += 2 * NS_MS;
-			while (r.d.at != nullptr)
-				done(&r, outcome(r.d.at->is_new));
+			while (r.d.backend != nullptr)
+				done(&r, outcome(r.d.backend->is_new_version));
 			disp_tick(disp);
 		}
 	}
@@ -216,14 +217,14 @@
 
 	verdict_open(&v);
 	for (int i = 0; i < 300; i++) {
-		verdict_old(&v, 1, VERDICT_GOOD);
-		verdict_old(&v, 2, VERDICT_GOOD);
+		verdict_add_old(&v, 1, VERDICT_GOOD);
+		verdict_add_old(&v, 2, VERDICT_GOOD);
 	}
 	for (; why == nullptr && answers < 200; answers++) {
 		for (int j = 0; j < 9 && why == nullptr; j++)
-			why = verdict_new(&v, 1, VERDICT_GOOD);
+			why = verdict_add_new(&v, 1, VERDICT_GOOD);
 		if (why == nullptr)
-			why = verdict_new(&v, 2, VERDICT_FAILED);
+			why = verdict_add_new(&v, 2, VERDICT_FAILED);
 	}
 	EXPECT_NE(nullptr, why);
 	EXPECT_LE(answers, 12);
@@ -252,26 +253,29 @@
 	roll_tick(r.get(), false, 8 * NS_S);
 	EXPECT_EQ(ROLL_WAITING, roll_state(r.get()));
 	roll_tick(r.get(), false, 9 * NS_S);
-	EXPECT_EQ(ROLL_BACK, roll_state(r.get()));
-	EXPECT_EQ(ROLLED_BACK, roll_wants(r.get(), nullptr, 0, 0, 9 * NS_S));
+	EXPECT_EQ(ROLL_ROLLED_BACK, roll_state(r.get()));
+	EXPECT_EQ(ROLLOUT_ROLLED_BACK,
+	    roll_state_to_write(r.get(), nullptr, 0, 0, 9 * NS_S));
 }
 
 /* A home that starts goes on where the others are. */
 TEST(Roll, TheAgeOfTheOrderAndABadVerdictComeFromOtherHomes)
 {
 	struct obj_rollout o = order("v2", 10000);
-	struct roll_word w = {4 * NS_S, ROLL_SMALL, 100, 0, 3};
+	struct roll_report w = {4 * NS_S, ROLL_SMALL, 100, 0, 3};
 	Roll r(roll_new(&o, roll_chart(), 0.05, 10 * NS_S));
 
-	roll_told(r.get(), STR_LIT("b2"), STR_LIT("south"), &w, 10 * NS_S);
+	roll_merge_report(
+	    r.get(), STR_LIT("b2"), STR_LIT("south"), &w, 10 * NS_S);
 	roll_tick(r.get(), true, 10 * NS_S);
 	roll_tick(r.get(), true, 11 * NS_S);
 	EXPECT_EQ(ROLL_WIDER, roll_state(r.get()));
-	w.state = ROLL_BACK;
-	roll_told(r.get(), STR_LIT("b2"), STR_LIT("south"), &w, 11 * NS_S);
-	EXPECT_EQ(ROLL_BACK, roll_state(r.get()));
-	EXPECT_FALSE(roll_may_send(r.get(), true));
-	EXPECT_TRUE(roll_may_send(r.get(), false));
+	w.state = ROLL_ROLLED_BACK;
+	roll_merge_report(
+	    r.get(), STR_LIT("b2"), STR_LIT("south"), &w, 11 * NS_S);
+	EXPECT_EQ(ROLL_ROLLED_BACK, roll_state(r.get()));
+	EXPECT_FALSE(roll_allows(r.get(), true));
+	EXPECT_TRUE(roll_allows(r.get(), false));
 }
 
 /* Old servers end at once then: nobody may have a request there. */
@@ -279,27 +283,32 @@
 {
 	struct obj_rollout o = order("v2", 10000);
 	struct str halls[] = {STR_LIT("south")};
-	struct roll_word left = {6 * NS_S, ROLL_ALL, 9, 0, 0};
-	struct roll_word busy = left, before = left;
+	struct roll_report left = {6 * NS_S, ROLL_ALL, 9, 0, 0};
+	struct roll_report busy = left, before = left;
 	Roll r = proved(5 * NS_S, o);
 	int64_t t = 6 * NS_S;
 
-	busy.old_out = 1;
+	busy.old_in_flight = 1;
 	before.state = ROLL_WIDER;
 	roll_tick(r.get(), true, t);
 	ASSERT_EQ(ROLL_ALL, roll_state(r.get()));
 	t += NS_S;
-	EXPECT_EQ(ROLLED_RUNNING, roll_wants(r.get(), halls, 1, 0, t));
-	roll_told(r.get(), STR_LIT("b2"), halls[0], &busy, t);
-	EXPECT_EQ(ROLLED_RUNNING, roll_wants(r.get(), halls, 1, 0, t));
-	roll_told(r.get(), STR_LIT("b2"), halls[0], &before, t);
-	EXPECT_EQ(ROLLED_RUNNING, roll_wants(r.get(), halls, 1, 0, t));
-	roll_told(r.get(), STR_LIT("b2"), halls[0], &left, t);
-	EXPECT_EQ(ROLLED_RUNNING, roll_wants(r.get(), halls, 1, 2, t));
-	EXPECT_EQ(ROLLED_COMPLETED, roll_wants(r.get(), halls, 1, 0, t));
-	/* A word of before is none. */
 	EXPECT_EQ(
-	    ROLLED_RUNNING, roll_wants(r.get(), halls, 1, 0, t + 2 * NS_S));
+	    ROLLOUT_RUNNING, roll_state_to_write(r.get(), halls, 1, 0, t));
+	roll_merge_report(r.get(), STR_LIT("b2"), halls[0], &busy, t);
+	EXPECT_EQ(
+	    ROLLOUT_RUNNING, roll_state_to_write(r.get(), halls, 1, 0, t));
+	roll_merge_report(r.get(), STR_LIT("b2"), halls[0], &before, t);
+	EXPECT_EQ(
+	    ROLLOUT_RUNNING, roll_state_to_write(r.get(), halls, 1, 0, t));
+	roll_merge_report(r.get(), STR_LIT("b2"), halls[0], &left, t);
+	EXPECT_EQ(
+	    ROLLOUT_RUNNING, roll_state_to_write(r.get(), halls, 1, 2, t));
+	EXPECT_EQ(
+	    ROLLOUT_COMPLETED, roll_state_to_write(r.get(), halls, 1, 0, t));
+	/* A word of before is none. */
+	EXPECT_EQ(ROLLOUT_RUNNING,
+	    roll_state_to_write(r.get(), halls, 1, 0, t + 2 * NS_S));
 }
 
 TEST(Roll, AnOrderIsNewWhereThePlatformHadEndedTheOther)
@@ -307,11 +316,11 @@
 	struct obj_rollout o = order("v2", 10000), again = o;
 	Roll r(roll_new(&o, roll_chart(), 0.05, 0));
 
-	o.state = ROLLED_BACK;
-	EXPECT_TRUE(roll_is(r.get(), &o));
-	roll_settle(r.get(), ROLLED_BACK);
-	EXPECT_TRUE(roll_is(r.get(), &o));
-	EXPECT_FALSE(roll_is(r.get(), &again));
+	o.state = ROLLOUT_ROLLED_BACK;
+	EXPECT_TRUE(roll_matches(r.get(), &o));
+	roll_set_platform_state(r.get(), ROLLOUT_ROLLED_BACK);
+	EXPECT_TRUE(roll_matches(r.get(), &o));
+	EXPECT_FALSE(roll_matches(r.get(), &again));
 }
 
 /* Its servers are empty and quick, and would draw most requests. */
@@ -331,10 +340,10 @@
 
 	s.ask(200);
 	s.outcome = [](bool is_new) {
-		return is_new ? DISP_FAILED : DISP_OK;
+		return is_new ? DISP_SERVER_ERROR : DISP_OK;
 	};
 	s.ask(400);
-	EXPECT_EQ(ROLL_BACK, roll_state(s.roll.get()));
+	EXPECT_EQ(ROLL_ROLLED_BACK, roll_state(s.roll.get()));
 	before = s.sent_new;
 	EXPECT_LE(before, 200 * 0.05 + 3 + 10);
 	s.ask(400);
@@ -348,10 +357,11 @@
 		Shard s(servers);
 
 		s.outcome = [](bool is_new) {
-			return is_new ? DISP_FAILED : DISP_OK;
+			return is_new ? DISP_SERVER_ERROR : DISP_OK;
 		};
 		s.ask(3000);
-		EXPECT_EQ(ROLL_BACK, roll_state(s.roll.get())) << servers;
+		EXPECT_EQ(ROLL_ROLLED_BACK, roll_state(s.roll.get()))
+		    << servers;
 		EXPECT_LE(s.sent_new, 15) << servers;
 	}
 }
@@ -371,5 +381,5 @@
 	s.ask(100);
 	EXPECT_EQ(100, s.sent);
 	EXPECT_EQ(100, s.sent_new);
-	EXPECT_EQ(0u, disp_old_inflight(s.disp));
+	EXPECT_EQ(0u, disp_old_version_inflight(s.disp));
 }
--- a/regress/test_units.cpp
+++ b/regress/test_units.cpp
@@ -350,10 +350,10 @@
 	int taken = 0;
 
 	for (int ms = 0; ms < 10000; ms++, now += NS_MS)
-		taken += limit_take(&l, 50, now);
+		taken += limit_allow(&l, 50, now);
 	EXPECT_GE(taken, 500);
 	EXPECT_LE(taken, 511);
-	EXPECT_TRUE(limit_take(&l, 0, now));
+	EXPECT_TRUE(limit_allow(&l, 0, now));
 }
 
 TEST(Limit, TableForgetsTheLeastLatelyUsed)
@@ -361,12 +361,12 @@
 	struct limit_table *t = limit_table_new(2);
 	int64_t now = NS_S;
 
-	EXPECT_TRUE(limit_table_take(t, STR_LIT("a"), 1, now));
-	EXPECT_FALSE(limit_table_take(t, STR_LIT("a"), 1, now));
-	EXPECT_TRUE(limit_table_take(t, STR_LIT("b"), 1, now));
-	EXPECT_TRUE(limit_table_take(t, STR_LIT("c"), 1, now));
-	EXPECT_FALSE(limit_table_take(t, STR_LIT("c"), 1, now));
-	EXPECT_TRUE(limit_table_take(t, STR_LIT("a"), 1, now));
+	EXPECT_TRUE(limit_table_allow(t, STR_LIT("a"), 1, now));
+	EXPECT_FALSE(limit_table_allow(t, STR_LIT("a"), 1, now));
+	EXPECT_TRUE(limit_table_allow(t, STR_LIT("b"), 1, now));
+	EXPECT_TRUE(limit_table_allow(t, STR_LIT("c"), 1, now));
+	EXPECT_FALSE(limit_table_allow(t, STR_LIT("c"), 1, now));
+	EXPECT_TRUE(limit_table_allow(t, STR_LIT("a"), 1, now));
 	limit_table_free(t);
 }
 
@@ -376,9 +376,9 @@
 	int retries = 0;
 
 	for (int i = 0; i < 10000; i++) {
-		retry_budget_pay(&b, 10);
-		if (retry_budget_has(&b)) {
-			retry_budget_take(&b);
+		retry_budget_deposit(&b, 10);
+		if (retry_budget_available(&b)) {
+			retry_budget_withdraw(&b);
 			retries++;
 		}
 	}
@@ -393,10 +393,10 @@
 
 	/* Begins with a quarter of 20, and nothing is paid in. */
 	for (int i = 0; i < 100; i++) {
-		retry_budget_pay(&b, 0);
-		if (!retry_budget_has(&b))
+		retry_budget_deposit(&b, 0);
+		if (!retry_budget_available(&b))
 			continue;
-		retry_budget_take(&b);
+		retry_budget_withdraw(&b);
 		taken++;
 	}
 	EXPECT_EQ(5, taken);
@@ -415,11 +415,11 @@
 		b.max = slack * used / halls;
 		/* Saved up to the full before the window begins. */
 		for (int i = 0; i < 10000; i++)
-			retry_budget_pay(&b, 15);
+			retry_budget_deposit(&b, 15);
 		for (int i = 0; i < requests / halls; i++) {
-			retry_budget_pay(&b, 15);
-			while (retry_budget_has(&b)) {
-				retry_budget_take(&b);
+			retry_budget_deposit(&b, 15);
+			while (retry_budget_available(&b)) {
+				retry_budget_withdraw(&b);
 				sum += 1;
 			}
 		}
@@ -448,7 +448,7 @@
 
 			m.box = view(names[i]);
 			m.hall = view(halls[i / static_cast<size_t>(each)]);
-			m.boot = m.beat = 1;
+			m.started_ms = m.incarnation = 1;
 			m.power = power;
 			infos.push_back(m);
 		}
@@ -465,8 +465,8 @@
 	void hear()
 	{
 		for (size_t i = 1; i < infos.size(); i++) {
-			infos[i].beat++;
-			memb_heard(mb, &infos[i], NS_S);
+			infos[i].incarnation++;
+			memb_update(mb, &infos[i], NS_S);
 		}
 	}
 
@@ -475,7 +475,7 @@
 		std::vector<struct memb_info *> found;
 
 		for (auto &m : infos)
-			if (memb_watches(mb, m.box, k))
+			if (memb_is_watcher(mb, m.box, k))
 				found.push_back(&m);
 		return found;
 	}
@@ -495,7 +495,7 @@
 	EXPECT_EQ(4u, seen.size());
 	EXPECT_EQ(6u, v.watchers(6).size());
 	/* No more than there are hubs. */
-	EXPECT_EQ(4u * MEMB_HUBS, v.watchers(100).size());
+	EXPECT_EQ(4u * MEMB_HUBS_MAX, v.watchers(100).size());
 }
 
 TEST(Memb, WhereThePlatformAnswersTooFewOthersWatchAsWell)
@@ -505,17 +505,18 @@
 	int seeing = 0;
 
 	for (auto *m : v.watchers(3))
-		m->blind = m != &v.infos[0];
-	memb_self(v.mb)->blind = memb_watches(v.mb, v.infos[0].box, 3);
+		m->platform_unreachable = m != &v.infos[0];
+	memb_self(v.mb)->platform_unreachable =
+	    memb_is_watcher(v.mb, v.infos[0].box, 3);
 	v.hear();
 	for (auto *m : v.watchers(3))
-		seeing += !m->blind && m != &v.infos[0];
-	EXPECT_EQ(3u + MEMB_SEEING_MIN, v.watchers(3).size());
-	EXPECT_EQ(MEMB_SEEING_MIN, seeing);
+		seeing += !m->platform_unreachable && m != &v.infos[0];
+	EXPECT_EQ(3u + MEMB_WATCHERS_WITH_PLATFORM_MIN, v.watchers(3).size());
+	EXPECT_EQ(MEMB_WATCHERS_WITH_PLATFORM_MIN, seeing);
 	/* Where nobody sees, those that are first among all go on trying. */
 	for (auto &m : v.infos)
-		m.blind = true;
-	memb_self(v.mb)->blind = true;
+		m.platform_unreachable = true;
+	memb_self(v.mb)->platform_unreachable = true;
 	v.hear();
 	EXPECT_EQ(3u, v.watchers(3).size());
 }
@@ -532,7 +533,8 @@
 		bool strong = v.infos[i].power > 100;
 
 		EXPECT_EQ(strong, memb_is_hub(v.mb, v.infos[i].box)) << i;
-		EXPECT_EQ(strong, memb_watches(v.mb, v.infos[i].box, 5)) << i;
+		EXPECT_EQ(strong, memb_is_watcher(v.mb, v.infos[i].box, 5))
+		    << i;
 	}
 	EXPECT_EQ(2u, memb_count_hubs(v.mb));
 	/*
@@ -557,7 +559,7 @@
 		}
 	v.hear();
 	EXPECT_EQ(3u, changed);
-	EXPECT_EQ(static_cast<size_t>(MEMB_HUBS), memb_count_hubs(v.mb));
+	EXPECT_EQ(static_cast<size_t>(MEMB_HUBS_MAX), memb_count_hubs(v.mb));
 	for (auto &m : v.infos)
 		EXPECT_FALSE(m.dead && memb_is_hub(v.mb, m.box));
 }
@@ -578,11 +580,11 @@
 		else if (near)
 			leaf = m;
 	}
-	EXPECT_TRUE(memb_concerns(v.mb, hub, leaf));
-	EXPECT_FALSE(memb_concerns(v.mb, far, leaf));
-	EXPECT_FALSE(memb_concerns(v.mb, leaf, leaf));
-	EXPECT_TRUE(memb_concerns(v.mb, leaf, far));
-	EXPECT_TRUE(memb_concerns(v.mb, far, hub));
+	EXPECT_TRUE(memb_must_know(v.mb, hub, leaf));
+	EXPECT_FALSE(memb_must_know(v.mb, far, leaf));
+	EXPECT_FALSE(memb_must_know(v.mb, leaf, leaf));
+	EXPECT_TRUE(memb_must_know(v.mb, leaf, far));
+	EXPECT_TRUE(memb_must_know(v.mb, far, hub));
 }
 
 TEST(Memb, TheFleetIsCountedByWhatHubsTell)
@@ -594,11 +596,11 @@
 		m.ready = true;
 	memb_self(v.mb)->ready = true;
 	v.hear();
-	EXPECT_EQ(6u, memb_fleet(v.mb));
+	EXPECT_EQ(6u, memb_count_fleet_serving(v.mb));
 	/* A hub of the other hall knows of more than we do. */
-	v.infos[4].crowd = 40;
+	v.infos[4].serving_gates = 40;
 	v.hear();
-	EXPECT_EQ(43u, memb_fleet(v.mb));
+	EXPECT_EQ(43u, memb_count_fleet_serving(v.mb));
 }
 
 TEST(Memb, LaterBootAndBeatWinAndThenTheWorseWord)
@@ -611,26 +613,26 @@
 	m = memb_new(&self);
 	b.box = STR_LIT("b");
 	b.hall = STR_LIT("n");
-	b.boot = 5;
-	b.beat = 10;
-	EXPECT_TRUE(memb_heard(m, &b, NS_S));
+	b.started_ms = 5;
+	b.incarnation = 10;
+	EXPECT_TRUE(memb_update(m, &b, NS_S));
 	EXPECT_EQ(2u, memb_count_alive(m));
-	EXPECT_FALSE(memb_heard(m, &b, 2 * NS_S));
+	EXPECT_FALSE(memb_update(m, &b, 2 * NS_S));
 	b.leaving = true;
-	EXPECT_TRUE(memb_heard(m, &b, 2 * NS_S));
+	EXPECT_TRUE(memb_update(m, &b, 2 * NS_S));
 	EXPECT_EQ(1u, memb_count_alive(m));
 	/* A word from before it left changes nothing. */
 	b.leaving = false;
-	EXPECT_FALSE(memb_heard(m, &b, 2 * NS_S));
+	EXPECT_FALSE(memb_update(m, &b, 2 * NS_S));
 	EXPECT_EQ(1u, memb_count_alive(m));
 	/* A new start does. */
-	b.boot = 6;
-	b.beat = 1;
-	EXPECT_TRUE(memb_heard(m, &b, 3 * NS_S));
+	b.started_ms = 6;
+	b.incarnation = 1;
+	EXPECT_TRUE(memb_update(m, &b, 3 * NS_S));
 	EXPECT_EQ(2u, memb_count_alive(m));
-	b.boot = 4;
-	b.beat = 99;
-	EXPECT_FALSE(memb_heard(m, &b, 3 * NS_S));
+	b.started_ms = 4;
+	b.incarnation = 99;
+	EXPECT_FALSE(memb_update(m, &b, 3 * NS_S));
 	memb_free(m);
 }
 
@@ -641,36 +643,36 @@
 	int64_t now = NS_S;
 
 	self.box = STR_LIT("a");
-	self.boot = 3;
+	self.started_ms = 3;
 	m = memb_new(&self);
 	b.box = STR_LIT("b");
-	b.boot = b.beat = 1;
-	memb_heard(m, &b, now);
+	b.started_ms = b.incarnation = 1;
+	memb_update(m, &b, now);
 	/* Silence alone says nothing; a question without answer does. */
 	EXPECT_FALSE(memb_tick(m, now += 60 * NS_S));
-	memb_asked(m, b.box, now);
-	memb_answered(m, b.box, now);
+	memb_request_sent(m, b.box, now);
+	memb_message_received(m, b.box, now);
 	EXPECT_FALSE(memb_tick(m, now += 10 * NS_S));
-	memb_asked(m, b.box, now);
+	memb_request_sent(m, b.box, now);
 	/* It was we who were paused: ask anew. */
-	memb_paused(m);
+	memb_cancel_requests(m);
 	EXPECT_FALSE(memb_tick(m, now += 10 * NS_S));
-	memb_asked(m, b.box, now);
+	memb_request_sent(m, b.box, now);
 	EXPECT_TRUE(memb_tick(m, now += 10 * NS_S));
 	EXPECT_EQ(1u, memb_count_alive(m));
-	EXPECT_FALSE(memb_heard(m, &b, now));
+	EXPECT_FALSE(memb_update(m, &b, now));
 	EXPECT_EQ(1u, memb_count_alive(m));
-	b.beat = 2;
-	EXPECT_TRUE(memb_heard(m, &b, now));
+	b.incarnation = 2;
+	EXPECT_TRUE(memb_update(m, &b, now));
 	EXPECT_EQ(2u, memb_count_alive(m));
 	/* We hear that we are dead, and refute that. */
 	told.box = self.box;
-	told.boot = 3;
-	told.beat = 7;
+	told.started_ms = 3;
+	told.incarnation = 7;
 	told.dead = true;
-	EXPECT_TRUE(memb_heard(m, &told, now));
-	EXPECT_EQ(8u, memb_self(m)->beat);
-	EXPECT_FALSE(memb_heard(m, &told, now));
+	EXPECT_TRUE(memb_update(m, &told, now));
+	EXPECT_EQ(8u, memb_self(m)->incarnation);
+	EXPECT_FALSE(memb_update(m, &told, now));
 	memb_free(m);
 }
 
@@ -690,14 +692,14 @@
 		names.push_back("b" + std::to_string(i));
 	for (auto &n : names) {
 		b.box = view(n);
-		b.boot = b.beat = 1;
-		memb_heard(m, &b, NS_S);
+		b.started_ms = b.incarnation = 1;
+		memb_update(m, &b, NS_S);
 	}
 	for (int i = 0; i < 2000; i++)
-		told += memb_news(m, &rnd, str_c(NULL), out, 6);
+		told += memb_collect_updates(m, &rnd, str_c(NULL), out, 6);
 	/* A hundred news, each told some ten times, and then one a message. */
 	EXPECT_LT(told, 100u * 20 + 2000);
-	rest = memb_news(m, &rnd, str_c(NULL), out, 6);
+	rest = memb_collect_updates(m, &rnd, str_c(NULL), out, 6);
 	EXPECT_LE(rest, 1u);
 	memb_free(m);
 }
@@ -722,10 +724,11 @@
 
 			o.box = view(names[static_cast<size_t>(j)]);
 			o.hall = STR_LIT("n");
-			o.boot = o.beat = 1;
-			memb_heard(m, &o, NS_S);
+			o.started_ms = o.incarnation = 1;
+			memb_update(m, &o, NS_S);
 		}
-		first += memb_is_first(m, STR_LIT("watch"), STR_LIT("n"), K);
+		first +=
+		    memb_is_in_top_hubs(m, STR_LIT("watch"), STR_LIT("n"), K);
 		memb_free(m);
 	}
 	EXPECT_EQ(K, first);
@@ -738,7 +741,7 @@
 struct Probing {
 	struct probe *probe = nullptr;
 	std::vector<std::string> started;
-	std::vector<enum msg_state> states;
+	std::vector<enum msg_health_state> states;
 
 	static void
 	on_probe(void *ctx, struct str backend, struct str, struct str)
@@ -747,7 +750,8 @@
 		    std::string(backend.p, backend.n));
 	}
 
-	static void on_change(void *ctx, struct str, enum msg_state state)
+	static void
+	on_change(void *ctx, struct str, enum msg_health_state state)
 	{
 		static_cast<Probing *>(ctx)->states.push_back(state);
 	}
@@ -765,28 +769,30 @@
 
 	p.probe = probe_new(&ops, &rnd, 10);
 	for (int ms = 0; ms < 10000; ms += 100, now += 100 * NS_MS) {
-		probe_begin(p.probe);
+		probe_targets_begin(p.probe);
 		for (int i = 0; i < 100; i++)
-			probe_want(p.probe, view("b" + std::to_string(i)),
+			probe_targets_add(p.probe,
+			    view("b" + std::to_string(i)),
 			    STR_LIT("127.0.0.1:1"), STR_LIT("/"), NS_S, now);
-		probe_commit(p.probe);
+		probe_targets_commit(p.probe);
 		probe_tick(p.probe, now);
 		for (auto &name : p.started)
-			probe_result(p.probe, view(name), PROBE_OK, now);
+			probe_record_outcome(
+			    p.probe, view(name), PROBE_OK, now);
 	}
 	/* 100 wish for one a second; 10 a second go out. */
 	EXPECT_GE(p.started.size(), 95u);
 	EXPECT_LE(p.started.size(), 105u);
-	EXPECT_GT(probe_put_off(p.probe), 0u);
+	EXPECT_GT(probe_deferred_count(p.probe), 0u);
 	std::string b = p.started[0];
 	p.states.clear();
-	probe_result(p.probe, view(b), PROBE_FAILED, now);
+	probe_record_outcome(p.probe, view(b), PROBE_FAILED, now);
 	EXPECT_TRUE(p.states.empty());
-	probe_result(p.probe, view(b), PROBE_FAILED, now);
-	probe_result(p.probe, view(b), PROBE_DRAINING, now);
-	probe_result(p.probe, view(b), PROBE_OK, now);
-	EXPECT_EQ(
-	    (std::vector<enum msg_state>{STATE_DOWN, STATE_DRAINING, STATE_UP}),
+	probe_record_outcome(p.probe, view(b), PROBE_FAILED, now);
+	probe_record_outcome(p.probe, view(b), PROBE_DRAINING, now);
+	probe_record_outcome(p.probe, view(b), PROBE_OK, now);
+	EXPECT_EQ((std::vector<enum msg_health_state>{
+		      HEALTH_DOWN, HEALTH_DRAINING, HEALTH_UP}),
 	    p.states);
 	probe_free(p.probe);
 }
@@ -815,13 +821,13 @@
 	struct msg m = {};
 
 	other.box = STR_LIT("b");
-	other.beat = UINT64_MAX;
-	m.kind = MSG_HELLO;
-	m.u.hello.self.box = STR_LIT("a");
-	m.u.hello.self.leaving = true;
-	m.u.hello.holds.digest = 77;
-	m.u.hello.others.items = &other;
-	m.u.hello.others.n = 1;
+	other.incarnation = UINT64_MAX;
+	m.kind = MSG_ANNOUNCEMENT;
+	m.u.announcement.self.box = STR_LIT("a");
+	m.u.announcement.self.leaving = true;
+	m.u.announcement.conf_summary.digest = 77;
+	m.u.announcement.updates.items = &other;
+	m.u.announcement.updates.n = 1;
 	return encode(&m);
 }
 
@@ -833,14 +839,15 @@
 	struct msg m;
 
 	ASSERT_TRUE(msg_decode(bytes.data(), bytes.size(), &m, nullptr));
-	EXPECT_EQ(MSG_HELLO, m.kind);
-	EXPECT_TRUE(str_eq(m.u.hello.self.box, STR_LIT("a")));
-	EXPECT_TRUE(m.u.hello.self.leaving);
-	EXPECT_EQ(77u, m.u.hello.holds.digest);
-	ASSERT_EQ(1u, m.u.hello.others.n);
+	EXPECT_EQ(MSG_ANNOUNCEMENT, m.kind);
+	EXPECT_TRUE(str_eq(m.u.announcement.self.box, STR_LIT("a")));
+	EXPECT_TRUE(m.u.announcement.self.leaving);
+	EXPECT_EQ(77u, m.u.announcement.conf_summary.digest);
+	ASSERT_EQ(1u, m.u.announcement.updates.n);
 	EXPECT_EQ(UINT64_MAX,
-	    static_cast<struct memb_info *>(m.u.hello.others.items)->beat);
-	msg_done(&m);
+	    static_cast<struct memb_info *>(m.u.announcement.updates.items)
+		->incarnation);
+	msg_release(&m);
 }
 
 TEST(Msg, SuspectsAreReadAsTheyWereWritten)
@@ -856,26 +863,26 @@
 	ASSERT_TRUE(msg_decode(bytes.data(), bytes.size(), &out, nullptr));
 	ASSERT_EQ(2u, out.u.suspects.suspects.n);
 	EXPECT_EQ(0, memcmp(v, out.u.suspects.suspects.items, sizeof(v)));
-	msg_done(&out);
+	msg_release(&out);
 }
 
 /* Two of the largest a second are what a hub may send of them. */
 TEST(Msg, SuspectsAreFewBytes)
 {
-	struct msg_suspect v[POISON_WORDS];
+	struct msg_suspect v[POISON_MSG_RECORDS_MAX];
 	struct msg m = {};
 
 	memset(v, 0xff, sizeof(v));
 	m.kind = MSG_SUSPECTS;
 	m.from = STR_LIT("10.128.100.100:7200");
-	m.u.suspects.suspects = {v, POISON_WORDS};
+	m.u.suspects.suspects = {v, POISON_MSG_RECORDS_MAX};
 	EXPECT_GE(2200u, encode(&m).size());
 }
 
 TEST(Fuzz, MessagesSelectorsDocumentsAndObjects)
 {
 	std::mt19937 rng(4);
-	std::string hello = sample_hello();
+	std::string announcement = sample_hello();
 	const std::string sel = "app=directory,hall in (north,south),!cold";
 	const std::string toml =
 	    "[[rule]]\nname = \"x\"\npath = \"/\"\nrate = 3\n";
@@ -896,11 +903,11 @@
 			}
 			return s;
 		};
-		std::string b = spoil(hello);
+		std::string b = spoil(announcement);
 		struct msg m;
 
 		if (msg_decode(b.data(), b.size(), &m, nullptr))
-			msg_done(&m);
+			msg_release(&m);
 		b = spoil(sel);
 		sel_free(sel_parse(view(b), nullptr));
 		b = spoil(toml);
@@ -954,19 +961,20 @@
 	struct fprint a = {1, 2, 3}, other_caller = {1, 2, 4};
 	int64_t t = 100 * NS_S;
 
-	EXPECT_EQ(0, returns_take(r, a, t));
-	returns_refused(r, a, t, t + NS_MS);
-	EXPECT_EQ(0, returns_take(r, other_caller, t + 2 * NS_MS));
-	EXPECT_EQ(t, returns_take(r, a, t + 60 * NS_MS));
-	EXPECT_EQ(0, returns_take(r, a, t + 60 * NS_MS));
-	EXPECT_EQ(60 * NS_MS, returns_usual(r, t + 60 * NS_MS));
+	EXPECT_EQ(0, returns_consume(r, a, t));
+	returns_record_refusal(r, a, t, t + NS_MS);
+	EXPECT_EQ(0, returns_consume(r, other_caller, t + 2 * NS_MS));
+	EXPECT_EQ(t, returns_consume(r, a, t + 60 * NS_MS));
+	EXPECT_EQ(0, returns_consume(r, a, t + 60 * NS_MS));
+	EXPECT_EQ(60 * NS_MS, returns_mean_wait(r, t + 60 * NS_MS));
 	/* Refused again, it has waited since its first time. */
-	returns_refused(r, a, t, t + 61 * NS_MS);
-	EXPECT_EQ(t, returns_take(r, a, t + 120 * NS_MS));
-	EXPECT_GT(returns_usual(r, t + 120 * NS_MS), 60 * NS_MS);
-	returns_refused(r, a, t, t + 121 * NS_MS);
-	EXPECT_EQ(0, returns_take(r, a, t + 121 * NS_MS + RETURNS_KEPT_NS + 1));
-	EXPECT_EQ(0, returns_usual(r, t + 60 * NS_S));
+	returns_record_refusal(r, a, t, t + 61 * NS_MS);
+	EXPECT_EQ(t, returns_consume(r, a, t + 120 * NS_MS));
+	EXPECT_GT(returns_mean_wait(r, t + 120 * NS_MS), 60 * NS_MS);
+	returns_record_refusal(r, a, t, t + 121 * NS_MS);
+	EXPECT_EQ(
+	    0, returns_consume(r, a, t + 121 * NS_MS + RETURNS_TTL_NS + 1));
+	EXPECT_EQ(0, returns_mean_wait(r, t + 60 * NS_S));
 	returns_free(r);
 }
 
@@ -976,11 +984,11 @@
 	struct fprint none = {};
 
 	for (uint64_t i = 1; i <= 10; i++)
-		returns_refused(r, {i, i, i}, NS_S, NS_S);
-	returns_refused(r, none, NS_S, NS_S);
+		returns_record_refusal(r, {i, i, i}, NS_S, NS_S);
+	returns_record_refusal(r, none, NS_S, NS_S);
 	for (uint64_t i = 1; i <= 10; i++)
 		EXPECT_EQ(
-		    i > 7 ? NS_S : 0, returns_take(r, {i, i, i}, 2 * NS_S))
+		    i > 7 ? NS_S : 0, returns_consume(r, {i, i, i}, 2 * NS_S))
 		    << i;
 	returns_free(r);
 }
--- a/regress/test_up.cpp
+++ b/regress/test_up.cpp
@@ -187,7 +187,7 @@
 		rq.host = rq.address;
 		rq.method = STR_LIT("GET");
 		rq.path = STR_LIT("/");
-		rq.fresh = fresh;
+		rq.new_connection = fresh;
 		up_start(up, &rq, &ops, &c);
 		while (pause_ms > 0 && !c.sent)
 			uv_run(&loop, UV_RUN_ONCE);
@@ -430,7 +430,8 @@
 		if (str_eq(hsrv_path(req), STR_LIT("/wait")))
 			static_cast<Door *>(ctx)->kept = req;
 		else
-			hsrv_answer(req, 200, "text/plain", STR_LIT("yes"));
+			hsrv_send_response(
+			    req, 200, "text/plain", STR_LIT("yes"));
 	}
 };
 
@@ -494,9 +495,9 @@
 	EXPECT_FALSE(busy.closed);
 	ASSERT_NE(nullptr, door.kept);
 	door.kept->http1_is_persistent = 0;
-	hsrv_answer(door.kept, 200, "text/plain", STR_LIT("yes"));
+	hsrv_send_response(door.kept, 200, "text/plain", STR_LIT("yes"));
 	EXPECT_TRUE(turn(3000, [&] { return busy.answered && busy.closed; }));
-	hsrv_stop(s);
+	hsrv_stop_accepting(s);
 	turn(10, [] { return false; });
 	idle.thread.join();
 	busy.thread.join();
--- a/regress/test_wire.cpp
+++ b/regress/test_wire.cpp
@@ -180,7 +180,7 @@
 
 		info.box = str_n(n.data(), n.size());
 		info.hall = STR_LIT("hall-a");
-		info.inbox = info.pass = info.gate_inbox =
+		info.inbox = info.forward_address = info.gate_inbox =
 		    STR_LIT("10.1.0.18:7200");
 		infos.push_back(info);
 		plain += info.box.n + info.hall.n + 3 * info.inbox.n;
@@ -193,8 +193,8 @@
 	ASSERT_TRUE(until([&] { return b.taken == 3; }, 2000));
 	EXPECT_EQ(3 * names.size(), b.boxes.size());
 	EXPECT_EQ(names[499], b.boxes.back());
-	EXPECT_GT(3 * plain / 5, wire_counts(b.wire)->bytes_in);
-	EXPECT_EQ(0u, wire_counts(b.wire)->malformed);
+	EXPECT_GT(3 * plain / 5, wire_get_totals(b.wire)->bytes_in);
+	EXPECT_EQ(0u, wire_get_totals(b.wire)->malformed);
 }
 
 /* One that is not what it says is dropped, and so is one within another. */
@@ -231,7 +231,7 @@
 	m.u.deflated = {buf.size, zipped};
 	EXPECT_TRUE(wire_send(a.wire, str_c(at.c_str()), &m));
 	ASSERT_TRUE(until([&] { return b.taken == 1; }, 2000));
-	EXPECT_EQ(5u, wire_counts(b.wire)->malformed);
+	EXPECT_EQ(5u, wire_get_totals(b.wire)->malformed);
 	msgpack_sbuffer_destroy(&buf);
 	msgpack_sbuffer_destroy(&nested);
 	str_free(&zipped);
--- a/regress/test_word.cpp
+++ b/regress/test_word.cpp
@@ -209,8 +209,8 @@
 send_all(struct quota *q, int64_t from, int64_t to, std::vector<int64_t> *sent)
 {
 	for (int64_t now = from; now < to; now += 5 * NS_MS)
-		while (quota_free(q, now) > 0) {
-			quota_sent(q, now);
+		while (quota_available(q, now) > 0) {
+			quota_consume(q, now);
 			sent->push_back(now);
 		}
 }
@@ -223,10 +223,10 @@
 		struct quota q = {};
 		std::vector<int64_t> sent;
 
-		EXPECT_EQ(INT_MAX, quota_free(&q, NS_S));
-		EXPECT_TRUE(quota_told(&q, rate, 0, NS_S));
+		EXPECT_EQ(INT_MAX, quota_available(&q, NS_S));
+		EXPECT_TRUE(quota_update(&q, rate, 0, NS_S));
 		/* What came before is not known: it begins with nothing. */
-		EXPECT_EQ(0, quota_free(&q, NS_S));
+		EXPECT_EQ(0, quota_available(&q, NS_S));
 		send_all(&q, NS_S, 21 * NS_S, &sent);
 		/* 19 in 20 are used, and one look's worth is beyond. */
 		EXPECT_LE(
@@ -245,30 +245,30 @@
 {
 	struct quota q = {};
 
-	EXPECT_TRUE(quota_told(&q, 9999999999999999.0, 0, NS_S));
+	EXPECT_TRUE(quota_update(&q, 9999999999999999.0, 0, NS_S));
 	EXPECT_DOUBLE_EQ(QUOTA_RATE_MAX, q.rate);
-	EXPECT_FALSE(quota_told(&q, 1e300, 0, NS_S));
-	EXPECT_EQ(QUOTA_RATE_MAX / 50, quota_free(&q, 1000 * NS_S));
+	EXPECT_FALSE(quota_update(&q, 1e300, 0, NS_S));
+	EXPECT_EQ(QUOTA_RATE_MAX / 50, quota_available(&q, 1000 * NS_S));
 }
 
 TEST(Quota, LessHoldsAtOnceAndMoreOnlyByALaterAnswer)
 {
 	struct quota q = {};
 
-	EXPECT_TRUE(quota_told(&q, 5, 0, 2 * NS_S));
-	EXPECT_TRUE(quota_told(&q, 3, 0, 3 * NS_S));
+	EXPECT_TRUE(quota_update(&q, 5, 0, 2 * NS_S));
+	EXPECT_TRUE(quota_update(&q, 3, 0, 3 * NS_S));
 	/* Answers to requests that were sent before that was said. */
-	EXPECT_FALSE(quota_told(&q, 5, 3 * NS_S - 1, 4 * NS_S));
-	EXPECT_FALSE(quota_told(&q, 0, 3 * NS_S - 1, 4 * NS_S));
+	EXPECT_FALSE(quota_update(&q, 5, 3 * NS_S - 1, 4 * NS_S));
+	EXPECT_FALSE(quota_update(&q, 0, 3 * NS_S - 1, 4 * NS_S));
 	EXPECT_DOUBLE_EQ(3, q.rate);
-	EXPECT_TRUE(quota_told(&q, 5, 3 * NS_S, 4 * NS_S));
-	EXPECT_TRUE(quota_told(&q, 0, 4 * NS_S, 5 * NS_S));
-	EXPECT_EQ(INT_MAX, quota_free(&q, 5 * NS_S));
+	EXPECT_TRUE(quota_update(&q, 5, 3 * NS_S, 4 * NS_S));
+	EXPECT_TRUE(quota_update(&q, 0, 4 * NS_S, 5 * NS_S));
+	EXPECT_EQ(INT_MAX, quota_available(&q, 5 * NS_S));
 	/* An old word of a limit is taken: one answer more ends it again. */
-	EXPECT_TRUE(quota_told(&q, 5, 3 * NS_S, 6 * NS_S));
-	EXPECT_EQ(0, quota_free(&q, 6 * NS_S));
-	EXPECT_EQ(0, quota_by(&q, 6 * NS_S, 6 * NS_S + 199 * NS_MS));
-	EXPECT_EQ(1, quota_by(&q, 6 * NS_S, 6 * NS_S + 201 * NS_MS));
+	EXPECT_TRUE(quota_update(&q, 5, 3 * NS_S, 6 * NS_S));
+	EXPECT_EQ(0, quota_available(&q, 6 * NS_S));
+	EXPECT_EQ(0, quota_available_by(&q, 6 * NS_S, 6 * NS_S + 199 * NS_MS));
+	EXPECT_EQ(1, quota_available_by(&q, 6 * NS_S, 6 * NS_S + 201 * NS_MS));
 }
 
 /*
@@ -446,35 +446,35 @@
 namespace
 {
 
-struct word
+struct backend_report
 said(const char *backend, int64_t born_ms, bool leaves, double rate, int64_t at)
 {
-	struct word w = {};
+	struct backend_report w = {};
 
 	w.backend = str_c(backend);
-	w.born_ms = born_ms;
-	w.leaves = leaves;
+	w.started_ms = born_ms;
+	w.leaving = leaves;
 	w.rate = rate;
-	w.heard = at;
+	w.reported_at = at;
 	return w;
 }
 
 struct Words {
-	struct words *ws = words_new();
+	struct backend_reports *ws = reports_new();
 
 	~Words()
 	{
-		words_free(ws);
+		reports_free(ws);
 	}
 
-	bool take(const struct word &w)
+	bool take(const struct backend_report &w)
 	{
-		return words_take(ws, &w);
+		return reports_merge(ws, &w);
 	}
 
-	const struct word *find(const char *backend, int64_t born_ms)
+	const struct backend_report *find(const char *backend, int64_t born_ms)
 	{
-		return words_find(ws, str_c(backend), born_ms);
+		return reports_find(ws, str_c(backend), born_ms);
 	}
 };
 
@@ -491,14 +491,14 @@
 	EXPECT_DOUBLE_EQ(3, w.find("a", 5)->rate);
 	EXPECT_TRUE(w.take(said("a", 5, true, 3, 12)));
 	EXPECT_FALSE(w.take(said("a", 5, false, 3, 30)));
-	EXPECT_TRUE(w.find("a", 5)->leaves);
+	EXPECT_TRUE(w.find("a", 5)->leaving);
 	/* One whose start is unsaid may be this life. */
-	EXPECT_TRUE(w.find("a", 0)->leaves);
+	EXPECT_TRUE(w.find("a", 0)->leaving);
 	EXPECT_EQ(nullptr, w.find("a", 6));
 	EXPECT_TRUE(w.take(said("a", 6, false, 2, 31)));
 	EXPECT_FALSE(w.take(said("a", 5, true, 1, 40)));
 	EXPECT_EQ(nullptr, w.find("a", 5));
-	EXPECT_FALSE(w.find("a", 6)->leaves);
+	EXPECT_FALSE(w.find("a", 6)->leaving);
 	EXPECT_DOUBLE_EQ(2, w.find("a", 6)->rate);
 }
 
@@ -506,41 +506,41 @@
 TEST(Words, WhatHasChangedIsToldByItself)
 {
 	Words w;
-	struct word out[4];
+	struct backend_report out[4];
 
 	for (int i = 0; i < 100; i++)
 		w.take(
 		    said(("b" + std::to_string(i)).c_str(), 0, false, 1, NS_S));
-	EXPECT_EQ(0u, words_untold(w.ws, out, 4));
+	EXPECT_EQ(0u, reports_pop_unsent(w.ws, out, 4));
 	for (const char *name : {"b7", "b8", "b7"})
-		words_mark(w.ws, str_c(name));
-	EXPECT_EQ(2u, words_untold(w.ws, out, 4));
-	EXPECT_EQ(0u, words_untold(w.ws, out, 4));
-	words_mark(w.ws, STR_LIT("nobody"));
-	words_mark(w.ws, STR_LIT("b9"));
-	words_tick(w.ws, 1000 * NS_S);
-	EXPECT_EQ(0u, words_untold(w.ws, out, 4));
+		reports_mark_unsent(w.ws, str_c(name));
+	EXPECT_EQ(2u, reports_pop_unsent(w.ws, out, 4));
+	EXPECT_EQ(0u, reports_pop_unsent(w.ws, out, 4));
+	reports_mark_unsent(w.ws, STR_LIT("nobody"));
+	reports_mark_unsent(w.ws, STR_LIT("b9"));
+	reports_expire(w.ws, 1000 * NS_S);
+	EXPECT_EQ(0u, reports_pop_unsent(w.ws, out, 4));
 }
 
 TEST(Words, TheyAreBoundedAndAllAreToldInTurn)
 {
 	Words w;
-	struct word out[32];
+	struct backend_report out[32];
 	std::set<std::string> told;
 
-	EXPECT_EQ(0u, words_list(w.ws, out, 32));
+	EXPECT_EQ(0u, reports_next(w.ws, out, 32));
 	for (int i = 0; i < 2000; i++)
 		w.take(said(
 		    ("b" + std::to_string(i)).c_str(), 0, true, 0, NS_S + i));
 	EXPECT_EQ(nullptr, w.find("b975", 0));
 	EXPECT_NE(nullptr, w.find("b976", 0));
 	for (int i = 0; i < 32; i++)
-		for (unsigned j = words_list(w.ws, out, 32); j-- > 0;)
+		for (unsigned j = reports_next(w.ws, out, 32); j-- > 0;)
 			told.insert(
 			    std::string(out[j].backend.p, out[j].backend.n));
 	EXPECT_EQ(1024u, told.size());
-	words_tick(w.ws, 600 * NS_S);
+	reports_expire(w.ws, 600 * NS_S);
 	EXPECT_NE(nullptr, w.find("b1999", 0));
-	words_tick(w.ws, 602 * NS_S);
+	reports_expire(w.ws, 602 * NS_S);
 	EXPECT_EQ(nullptr, w.find("b1999", 0));
 }
--- a/reload.c
+++ b/reload.c
@@ -28,10 +28,10 @@
 
 	if (stat(r->file, &st) != 0)
 		return false;
-	if (st.st_mtim.tv_sec == r->changed.tv_sec &&
-	    st.st_mtim.tv_nsec == r->changed.tv_nsec)
+	if (st.st_mtim.tv_sec == r->mtime.tv_sec &&
+	    st.st_mtim.tv_nsec == r->mtime.tv_nsec)
 		return false;
-	r->changed = st.st_mtim;
+	r->mtime = st.st_mtim;
 	return true;
 }
 
@@ -42,7 +42,7 @@
 
 	(void)signum;
 	has_changed(r);
-	r->fn(r->ctx);
+	r->on_change(r->ctx);
 }
 
 static void
@@ -57,7 +57,7 @@
 	struct reload *r = ctx;
 
 	if (has_changed(r))
-		r->fn(r->ctx);
+		r->on_change(r->ctx);
 	look_later(r);
 }
 
@@ -67,7 +67,7 @@
 {
 	r->tmr = tmr;
 	r->file = file;
-	r->fn = fn;
+	r->on_change = fn;
 	r->ctx = ctx;
 	has_changed(r);
 	uv_signal_init(loop, &r->hup);
--- a/reload.h
+++ b/reload.h
@@ -27,8 +27,8 @@
 	uv_signal_t hup;
 	struct tmr_item timer;
 	const char *file;
-	struct timespec changed; /* the file's time when it was last read */
-	reload_fn *fn;
+	struct timespec mtime; /* the file's time when it was last read */
+	reload_fn *on_change;
 	void *ctx;
 };
 
--- a/returns.c
+++ b/returns.c
@@ -71,7 +71,7 @@
 }
 
 void
-returns_refused(
+returns_record_refusal(
     struct returns *r, struct fprint print, int64_t first, int64_t now)
 {
 	struct refused *e = g_hash_table_lookup(r->known, &print);
@@ -94,21 +94,21 @@
 static void
 learn(struct returns *r, int64_t waited, int64_t now)
 {
-	if (r->usual == 0 || now - r->usual_at > RETURNS_KEPT_NS)
+	if (r->usual == 0 || now - r->usual_at > RETURNS_TTL_NS)
 		r->usual = waited;
 	r->usual += (waited - r->usual) / USUAL_WEIGHT;
 	r->usual_at = now;
 }
 
 int64_t
-returns_take(struct returns *r, struct fprint print, int64_t now)
+returns_consume(struct returns *r, struct fprint print, int64_t now)
 {
 	struct refused *e = g_hash_table_lookup(r->known, &print);
 	int64_t first;
 
 	if (e == NULL)
 		return 0;
-	first = now - e->at <= RETURNS_KEPT_NS ? e->first : 0;
+	first = now - e->at <= RETURNS_TTL_NS ? e->first : 0;
 	forget(r, e);
 	if (first > 0)
 		learn(r, now - first, now);
@@ -116,7 +116,7 @@
 }
 
 int64_t
-returns_usual(const struct returns *r, int64_t now)
+returns_mean_wait(const struct returns *r, int64_t now)
 {
-	return now - r->usual_at <= RETURNS_KEPT_NS ? r->usual : 0;
+	return now - r->usual_at <= RETURNS_TTL_NS ? r->usual : 0;
 }
