--- a/returns.h
+++ b/returns.h
@@ -34,23 +34,23 @@
 void returns_free(struct returns *);
 
 /* A request was refused that its caller sent at `first`, monotonic ns. */
-void
-returns_refused(struct returns *, struct fprint, int64_t first, int64_t now);
+void returns_record_refusal(
+    struct returns *, struct fprint, int64_t first, int64_t now);
 
 /*
  * One arrives: when was it sent first, if it was refused within
- * RETURNS_KEPT_NS? 0: it was not.  It is forgotten, and refused again where it
+ * RETURNS_TTL_NS? 0: it was not.  It is forgotten, and refused again where it
  * is.
  */
-int64_t returns_take(struct returns *, struct fprint, int64_t now);
+int64_t returns_consume(struct returns *, struct fprint, int64_t now);
 
 /*
  * How long those who came back lately had waited, ns; 0: nobody did.  One that
  * was refused by another home may be thought to have waited as long.
  */
-int64_t returns_usual(const struct returns *, int64_t now);
+int64_t returns_mean_wait(const struct returns *, int64_t now);
 
 /* Callers who come back do so within this time. */
-#define RETURNS_KEPT_NS (5 * NS_S)
+#define RETURNS_TTL_NS (5 * NS_S)
 
 #endif
--- a/roll.c
+++ b/roll.c
@@ -46,7 +46,7 @@
 /* A box that is home for a hall, and its last word. */
 struct other {
 	struct str box, hall;
-	struct roll_word word;
+	struct roll_report word;
 	int64_t told;
 };
 
@@ -103,10 +103,10 @@
 
 /* One that was decided and is open again was ordered anew. */
 bool
-roll_is(const struct roll *r, const struct obj_rollout *order)
+roll_matches(const struct roll *r, const struct obj_rollout *order)
 {
-	bool decided =
-	    order->state == ROLLED_COMPLETED || order->state == ROLLED_BACK;
+	bool decided = order->state == ROLLOUT_COMPLETED ||
+	    order->state == ROLLOUT_ROLLED_BACK;
 
 	return str_eq(r->version, order->version) &&
 	    r->duration == order->duration_ms * NS_MS &&
@@ -124,13 +124,13 @@
 }
 
 void
-roll_settle(struct roll *r, enum obj_rolled state)
+roll_set_platform_state(struct roll *r, enum obj_rollout_state state)
 {
-	r->settled =
-	    r->settled || state == ROLLED_COMPLETED || state == ROLLED_BACK;
-	if (state == ROLLED_COMPLETED)
+	r->settled = r->settled || state == ROLLOUT_COMPLETED ||
+	    state == ROLLOUT_ROLLED_BACK;
+	if (state == ROLLOUT_COMPLETED)
 		step(r, ROLL_EV_COMPLETED, r->since);
-	if (state != ROLLED_BACK)
+	if (state != ROLLOUT_ROLLED_BACK)
 		return;
 	step(r, ROLL_EV_BAD, r->since);
 	if (r->why == NULL)
@@ -138,7 +138,7 @@
 }
 
 bool
-roll_may_send(const struct roll *r, bool to_new)
+roll_allows(const struct roll *r, bool to_new)
 {
 	switch (r->state) {
 	case ROLL_SMALL:
@@ -153,7 +153,7 @@
 }
 
 bool
-roll_counts_on(const struct roll *r, bool is_new)
+roll_counts_as_capacity(const struct roll *r, bool is_new)
 {
 	bool has_moved = r->state == ROLL_ALL || r->state == ROLL_COMPLETED;
 
@@ -161,9 +161,9 @@
 }
 
 bool
-roll_is_open(const struct roll *r)
+roll_is_undecided(const struct roll *r)
 {
-	return r->state != ROLL_COMPLETED && r->state != ROLL_BACK;
+	return r->state != ROLL_COMPLETED && r->state != ROLL_ROLLED_BACK;
 }
 
 enum roll_state
@@ -173,7 +173,7 @@
 }
 
 const char *
-roll_why(const struct roll *r)
+roll_reason(const struct roll *r)
 {
 	return r->why;
 }
@@ -188,7 +188,7 @@
 }
 
 void
-roll_sent(struct roll *r, bool to_new)
+roll_request_sent(struct roll *r, bool to_new)
 {
 	r->credit = MIN(r->credit + share_of(r), CREDIT_MAX);
 	if (to_new)
@@ -203,18 +203,18 @@
 }
 
 void
-roll_ended(
+roll_request_ended(
     struct roll *r, bool at_new, unsigned kind, enum verdict_answer answer)
 {
 	const char *why;
 
-	if (!roll_is_open(r))
+	if (!roll_is_undecided(r))
 		return;
 	if (!at_new) {
-		verdict_old(&r->verdict, kind, answer);
+		verdict_add_old(&r->verdict, kind, answer);
 		return;
 	}
-	why = verdict_new(&r->verdict, kind, answer);
+	why = verdict_add_new(&r->verdict, kind, answer);
 	if (why != NULL)
 		convict(r, why);
 }
@@ -252,19 +252,19 @@
 		step(r, ROLL_EV_SERVERS, now);
 	if (proven && r->state != ROLL_WAITING && is_due(r, now))
 		step(r, ROLL_EV_PROVEN, now);
-	if (!proven && roll_is_open(r) &&
+	if (!proven && roll_is_undecided(r) &&
 	    (double)(now - r->ordered) >= TOO_LATE_AT * (double)r->duration)
 		convict(r, "too few answers by now to tell");
 }
 
-struct roll_word
-roll_word_of(const struct roll *r, unsigned old_out, int64_t now)
+struct roll_report
+roll_make_report(const struct roll *r, unsigned old_out, int64_t now)
 {
-	return (struct roll_word){.age = now - r->ordered,
+	return (struct roll_report){.age = now - r->ordered,
 	    .state = r->state,
 	    .answers = r->verdict.answers,
-	    .bad = r->verdict.bad,
-	    .old_out = old_out};
+	    .failures = r->verdict.bad,
+	    .old_in_flight = old_out};
 }
 
 static struct other *
@@ -285,15 +285,15 @@
 }
 
 void
-roll_told(struct roll *r, struct str box, struct str hall,
-    const struct roll_word *word, int64_t now)
+roll_merge_report(struct roll *r, struct str box, struct str hall,
+    const struct roll_report *word, int64_t now)
 {
 	struct other *o = find_other(r, box, hall);
 
 	o->word = *word;
 	o->told = now;
 	r->ordered = MIN(r->ordered, now - word->age);
-	if (word->state == ROLL_BACK && roll_is_open(r))
+	if (word->state == ROLL_ROLLED_BACK && roll_is_undecided(r))
 		convict(r, "another home found it bad");
 }
 
@@ -307,7 +307,7 @@
 	for (i = 0; i < r->others->len; i++) {
 		o = &g_array_index(r->others, struct other, i);
 		if (str_eq(o->hall, hall) && now - o->told <= WORD_FRESH_NS &&
-		    o->word.state == ROLL_ALL && o->word.old_out == 0)
+		    o->word.state == ROLL_ALL && o->word.old_in_flight == 0)
 			return true;
 	}
 	return false;
@@ -323,28 +323,28 @@
 	for (i = 0; i < r->others->len; i++) {
 		o = &g_array_index(r->others, struct other, i);
 		if (now - o->told <= WORD_KEPT_NS &&
-		    (o->word.state < ROLL_ALL || o->word.old_out > 0))
+		    (o->word.state < ROLL_ALL || o->word.old_in_flight > 0))
 			return true;
 	}
 	return false;
 }
 
 /* `halls` are those of the other homes. */
-enum obj_rolled
-roll_wants(const struct roll *r, const struct str *halls, unsigned n,
+enum obj_rollout_state
+roll_state_to_write(const struct roll *r, const struct str *halls, unsigned n,
     unsigned old_out, int64_t now)
 {
 	unsigned i;
 
-	if (r->state == ROLL_BACK)
-		return ROLLED_BACK;
+	if (r->state == ROLL_ROLLED_BACK)
+		return ROLLOUT_ROLLED_BACK;
 	if (r->state == ROLL_COMPLETED)
-		return ROLLED_COMPLETED;
+		return ROLLOUT_COMPLETED;
 	if (r->state != ROLL_ALL || old_out > 0 ||
 	    now - r->since < SETTLED_NS || is_used_by_any(r, now))
-		return ROLLED_RUNNING;
+		return ROLLOUT_RUNNING;
 	for (i = 0; i < n; i++)
 		if (!has_left(r, halls[i], now))
-			return ROLLED_RUNNING;
-	return ROLLED_COMPLETED;
+			return ROLLOUT_RUNNING;
+	return ROLLOUT_COMPLETED;
 }
--- a/roll.h
+++ b/roll.h
@@ -36,7 +36,7 @@
 	ROLL_WIDER,
 	ROLL_ALL, /* the old version gets nothing new */
 	ROLL_COMPLETED,
-	ROLL_BACK, /* the new version gets nothing more */
+	ROLL_ROLLED_BACK, /* the new version gets nothing more */
 	ROLL_STATE_MAX
 };
 
@@ -51,11 +51,11 @@
 extern const struct chart_names roll_chart_names;
 
 /* What a home tells the service's other homes. */
-struct roll_word {
+struct roll_report {
 	int64_t age; /* of the order, ns */
 	enum roll_state state;
-	uint64_t answers, bad; /* of the new version */
-	unsigned old_out; /* requests at servers of the old one */
+	uint64_t answers, failures; /* of the new version */
+	unsigned old_in_flight; /* requests at servers of the old one */
 };
 
 struct roll;
@@ -66,44 +66,46 @@
 void roll_free(struct roll *);
 
 /* Is it still the same order? */
-bool roll_is(const struct roll *, const struct obj_rollout *);
+bool roll_matches(const struct roll *, const struct obj_rollout *);
 
 /* The platform has this state of it. */
-void roll_settle(struct roll *, enum obj_rolled);
+void roll_set_platform_state(struct roll *, enum obj_rollout_state);
 
 /* May a server of the new version, or of the old one, get a request now? */
-bool roll_may_send(const struct roll *, bool to_new);
+bool roll_allows(const struct roll *, bool to_new);
 
 /* Is it counted on for what will come? */
-bool roll_counts_on(const struct roll *, bool is_new);
+bool roll_counts_as_capacity(const struct roll *, bool is_new);
 
 /* Is it not decided yet which version stays? */
-bool roll_is_open(const struct roll *);
+bool roll_is_undecided(const struct roll *);
 
 enum roll_state roll_state(const struct roll *);
 
 /* Why the new version is rolled back; NULL: it is not. */
-const char *roll_why(const struct roll *);
+const char *roll_reason(const struct roll *);
 
 /* A request is sent to a server. */
-void roll_sent(struct roll *, bool to_new);
+void roll_request_sent(struct roll *, bool to_new);
 
 /* And has ended there. */
-void roll_ended(struct roll *, bool at_new, unsigned kind, enum verdict_answer);
+void roll_request_ended(
+    struct roll *, bool at_new, unsigned kind, enum verdict_answer);
 
 /* Time passes; are there usable servers of the new version here? */
 void roll_tick(struct roll *, bool has_new, int64_t now);
 
 /* What to tell, and what another box told of its home in a hall. */
-struct roll_word roll_word_of(const struct roll *, unsigned old_out, int64_t);
-void roll_told(struct roll *, struct str box, struct str hall,
-    const struct roll_word *, int64_t now);
+struct roll_report
+roll_make_report(const struct roll *, unsigned old_out, int64_t);
+void roll_merge_report(struct roll *, struct str box, struct str hall,
+    const struct roll_report *, int64_t now);
 
 /*
  * What the platform is to be told, if its state is not that already: completed
  * only once no home of the halls has a request at the old version.
  */
-enum obj_rolled roll_wants(const struct roll *, const struct str *halls,
-    unsigned n, unsigned old_out, int64_t now);
+enum obj_rollout_state roll_state_to_write(const struct roll *,
+    const struct str *halls, unsigned n, unsigned old_out, int64_t now);
 
 #endif
--- a/route.c
+++ b/route.c
@@ -61,7 +61,7 @@
 {
 	struct route_rule *r = p;
 
-	g_free(r->parts);
+	g_free(r->targets);
 	g_free(r);
 }
 
@@ -131,17 +131,17 @@
 	const char *name;
 	unsigned i = 0;
 
-	r->nparts = MAX(1u, (unsigned)json_object_size(r->obj->split));
-	r->parts = g_new0(struct route_part, r->nparts);
-	r->parts[0] = (struct route_part){
+	r->ntargets = MAX(1u, (unsigned)json_object_size(r->obj->split));
+	r->targets = g_new0(struct route_target, r->ntargets);
+	r->targets[0] = (struct route_target){
 	    r->obj->service.n == 0 ? NULL : route_service(t, r->obj->service),
 	    1};
 	json_object_foreach (r->obj->split, name, weight) {
-		r->parts[i].service = route_service(t, str_c(name));
-		r->parts[i++].weight = (uint64_t)json_integer_value(weight);
+		r->targets[i].service = route_service(t, str_c(name));
+		r->targets[i++].weight = (uint64_t)json_integer_value(weight);
 	}
-	for (i = 0; i < r->nparts; i++)
-		r->weight += r->parts[i].weight;
+	for (i = 0; i < r->ntargets; i++)
+		r->total_weight += r->targets[i].weight;
 }
 
 static bool
@@ -215,16 +215,17 @@
 			continue;
 		h = hall_of(t, s, b->hall);
 		h->backends =
-		    g_renew(struct disp_backend, h->backends, h->n + 1);
-		h->backends[h->n++] = (struct disp_backend){.name = o->name,
-		    .address = b->address,
-		    .slots = (int)b->slots,
-		    .drain = b->drain,
-		    .evacuated = h->evacuated,
-		    .warm_ns = b->warm_ms * NS_MS,
-		    .born_ms = b->born_ms,
-		    .is_new = is_new(s, b)};
-		s->has_new = s->has_new || is_new(s, b);
+		    g_renew(struct disp_backend_conf, h->backends, h->n + 1);
+		h->backends[h->n++] =
+		    (struct disp_backend_conf){.name = o->name,
+			.address = b->address,
+			.slots = (int)b->slots,
+			.drain = b->drain,
+			.evacuated = h->evacuated,
+			.slow_start_ns = b->slow_start_ms * NS_MS,
+			.started_ms = b->started_ms,
+			.is_new_version = is_new(s, b)};
+		s->has_new_version = s->has_new_version || is_new(s, b);
 		if (b->drain || h->evacuated)
 			continue;
 		h->slots += (int)b->slots;
@@ -350,17 +351,17 @@
 }
 
 const struct route_service *
-route_choose(const struct route_rule *r, const struct rnd *rnd)
+route_choose_service(const struct route_rule *r, const struct rnd *rnd)
 {
-	uint64_t at = rnd_below(rnd, r->weight);
+	uint64_t at = rnd_below(rnd, r->total_weight);
 	unsigned i;
 
-	for (i = 0; i + 1 < r->nparts; i++) {
-		if (at < r->parts[i].weight)
+	for (i = 0; i + 1 < r->ntargets; i++) {
+		if (at < r->targets[i].weight)
 			break;
-		at -= r->parts[i].weight;
+		at -= r->targets[i].weight;
 	}
-	return r->parts[i].service;
+	return r->targets[i].service;
 }
 
 uint64_t
@@ -370,13 +371,13 @@
 }
 
 unsigned
-route_rules(const struct route_table *t)
+route_count_rules(const struct route_table *t)
 {
 	return t->rules->len;
 }
 
 unsigned
-route_evacuations(const struct route_table *t)
+route_count_evacuations(const struct route_table *t)
 {
 	return t->evacuations->len;
 }
@@ -428,7 +429,7 @@
 }
 
 bool
-route_repeatable(const struct obj_rule *r, struct str method, bool has_key)
+route_is_repeatable(const struct obj_rule *r, struct str method, bool has_key)
 {
 	if (has_key || r->repeatable == REPEATABLE_NO)
 		return false;
--- a/route.h
+++ b/route.h
@@ -30,7 +30,7 @@
 /* The backend servers of a service in one hall. */
 struct route_hall {
 	struct str hall;
-	struct disp_backend *backends;
+	struct disp_backend_conf *backends;
 	unsigned n;
 	int slots; /* of those that may get something new */
 	bool evacuated; /* none of them may */
@@ -43,11 +43,11 @@
 	unsigned nhalls;
 	int slots; /* of all halls */
 	const struct obj_rollout *rollout; /* NULL: none */
-	bool has_new; /* servers of the version that it brings in */
+	bool has_new_version; /* servers of the version that it brings in */
 };
 
 /* One of the services that a rule's requests are divided among. */
-struct route_part {
+struct route_target {
 	const struct route_service *service; /* NULL: it is not there */
 	uint64_t weight;
 };
@@ -55,9 +55,9 @@
 struct route_rule {
 	struct str name;
 	const struct obj_rule *obj;
-	struct route_part *parts;
-	unsigned nparts; /* at least one */
-	uint64_t weight; /* of all parts */
+	struct route_target *targets;
+	unsigned ntargets; /* at least one */
+	uint64_t total_weight; /* of all parts */
 };
 
 /* A request as rules see it. */
@@ -86,7 +86,7 @@
 
 /* A service for a request, by the parts' weights; NULL: it is not there. */
 const struct route_service *
-route_choose(const struct route_rule *, const struct rnd *);
+route_choose_service(const struct route_rule *, const struct rnd *);
 
 const struct route_service *
 route_service(const struct route_table *, struct str name);
@@ -95,10 +95,10 @@
 uint64_t route_version(const struct route_table *);
 
 /* How many rules there are. */
-unsigned route_rules(const struct route_table *);
+unsigned route_count_rules(const struct route_table *);
 
 /* How many halls are evacuated. */
-unsigned route_evacuations(const struct route_table *);
+unsigned route_count_evacuations(const struct route_table *);
 
 /* Who may call, by their keys. */
 const struct customers *route_customers(const struct route_table *);
@@ -114,6 +114,7 @@
 void route_each(const struct route_table *, route_visit_fn *, void *);
 
 /* May the request be sent again if it is not known whether it ran? */
-bool route_repeatable(const struct obj_rule *, struct str method, bool has_key);
+bool
+route_is_repeatable(const struct obj_rule *, struct str method, bool has_key);
 
 #endif
--- a/slog.c
+++ b/slog.c
@@ -203,7 +203,7 @@
 
 	if (ring.quiet || ring.clk == NULL)
 		return;
-	if (!limit_take(&ring.decisions, DECISIONS_RATE, clk_ns(ring.clk))) {
+	if (!limit_allow(&ring.decisions, DECISIONS_RATE, clk_ns(ring.clk))) {
 		ring.dropped++;
 		return;
 	}
--- a/spread.c
+++ b/spread.c
@@ -20,7 +20,7 @@
 static bool
 is_our_leaf(struct memb *mb, const struct memb_member *to, bool large)
 {
-	const struct memb_info *hubs[MEMB_HUBS];
+	const struct memb_info *hubs[MEMB_HUBS_MAX];
 	const struct memb_info *self = memb_self(mb);
 	unsigned n = (unsigned)memb_hubs(mb, self->hall, hubs), own;
 	unsigned share =
@@ -39,15 +39,15 @@
  * two seconds to the hubs that this one left to others.
  */
 bool
-spread_to(struct memb *mb, const struct memb_member *to,
+spread_should_send(struct memb *mb, const struct memb_member *to,
     enum spread_origin origin, bool large)
 {
 	const struct memb_info *self = memb_self(mb);
 
-	if (!memb_alive(to) || !memb_is_hub(mb, self->box))
+	if (!memb_is_alive(to) || !memb_is_hub(mb, self->box))
 		return false;
 	if (memb_is_hub(mb, to->info.box))
-		return origin == SPREAD_TOLD;
+		return origin == SPREAD_FROM_PLATFORM;
 	return str_eq(to->info.hall, self->hall) && is_our_leaf(mb, to, large);
 }
 
@@ -68,8 +68,8 @@
 bool
 spread_should_compare(const struct spread_difference *d)
 {
-	int64_t wait = d->complete ? AWAY_WAIT_NS : START_WAIT_NS;
+	int64_t wait = d->lists_complete ? AWAY_WAIT_NS : START_WAIT_NS;
 
-	return d->near || d->alone || !d->seeing || d->lasts == 0 ||
-	    d->lasts > wait;
+	return d->same_hall || d->hall_box_silent || !d->hall_has_platform ||
+	    d->duration_ns == 0 || d->duration_ns > wait;
 }
--- a/spread.h
+++ b/spread.h
@@ -22,21 +22,22 @@
  */
 
 enum spread_origin {
-	SPREAD_TOLD, /* by the platform */
-	SPREAD_HEARD /* of another box */
+	SPREAD_FROM_PLATFORM, /* by the platform */
+	SPREAD_FROM_BOX /* of another box */
 };
 
 /* Does our box hand a change on to another one? */
-bool spread_to(struct memb *, const struct memb_member *to, enum spread_origin,
-    bool large);
+bool spread_should_send(struct memb *, const struct memb_member *to,
+    enum spread_origin, bool large);
 
 /* What is known where another box holds another configuration than ours. */
 struct spread_difference {
-	bool near; /* it is of our hall */
-	bool complete; /* we have seen complete lists */
-	bool seeing; /* the platform answers us or a box of our hall */
-	bool alone; /* a box of our hall does not answer us */
-	int64_t lasts; /* ns for which it has been so */
+	bool same_hall; /* it is of our hall */
+	bool lists_complete; /* we have seen complete lists */
+	bool hall_has_platform; /* the platform answers us or a box of our hall
+				 */
+	bool hall_box_silent; /* a box of our hall does not answer us */
+	int64_t duration_ns; /* ns for which it has been so */
 };
 
 /* Is the difference to be found out and healed by that box? */
--- a/sync.c
+++ b/sync.c
@@ -28,20 +28,20 @@
 static void take_want(struct sync *, const struct msg *);
 static void take_objects(struct sync *, const struct msg *);
 
-struct msg_holds
-sync_holds(const struct sync *s)
+struct msg_conf_summary
+sync_conf_summary(const struct sync *s)
 {
-	struct msg_holds h = {
+	struct msg_conf_summary h = {
 	    .digest = conf_digest(s->conf),
-	    .rules = conf_digest_of(s->conf, CONF_RULES),
+	    .rules_digest = conf_digest_of(s->conf, CONF_RULES),
 	    .floor = conf_floor(s->conf),
-	    .partial = s->partial,
-	    .confirmed = (uint64_t)(sync_age_ms(s) + 1),
+	    .rules_only = s->rules_only,
+	    .confirmed_age = (uint64_t)(sync_age_ms(s) + 1),
 	};
 
-	if (!s->partial)
+	if (!s->rules_only)
 		return h;
-	h.digest = h.rules;
+	h.digest = h.rules_digest;
 	h.floor = conf_floor_of(s->conf, CONF_RULES);
 	return h;
 }
@@ -49,45 +49,45 @@
 void
 sync_confirm(struct sync *s)
 {
-	s->confirmed = clk_ns(s->clk);
+	s->confirmed_at = clk_ns(s->clk);
 }
 
 void
-sync_hear(struct sync *s, const struct msg_holds *h)
+sync_confirm_from_peer(struct sync *s, const struct msg_conf_summary *h)
 {
-	int64_t ago = (int64_t)MIN(h->confirmed, AGE_MAX_MS) - 1;
+	int64_t ago = (int64_t)MIN(h->confirmed_age, AGE_MAX_MS) - 1;
 
-	if (h->confirmed == 0 ||
-	    h->rules != conf_digest_of(s->conf, CONF_RULES))
+	if (h->confirmed_age == 0 ||
+	    h->rules_digest != conf_digest_of(s->conf, CONF_RULES))
 		return;
-	s->confirmed = MAX(s->confirmed, clk_ns(s->clk) - ago * NS_MS);
+	s->confirmed_at = MAX(s->confirmed_at, clk_ns(s->clk) - ago * NS_MS);
 }
 
 int64_t
 sync_age_ms(const struct sync *s)
 {
-	if (s->confirmed == 0)
+	if (s->confirmed_at == 0)
 		return -1;
-	return MAX(clk_ns(s->clk) - s->confirmed, 0) / NS_MS;
+	return MAX(clk_ns(s->clk) - s->confirmed_at, 0) / NS_MS;
 }
 
 bool
-sync_equal(const struct sync *s, const struct msg_holds *h)
+sync_is_equal(const struct sync *s, const struct msg_conf_summary *h)
 {
-	if (s->partial || h->partial)
-		return h->rules == conf_digest_of(s->conf, CONF_RULES);
+	if (s->rules_only || h->rules_only)
+		return h->rules_digest == conf_digest_of(s->conf, CONF_RULES);
 	return h->digest == conf_digest(s->conf);
 }
 
 void
-sync_compare(struct sync *s, struct str from, const struct msg_holds *h)
+sync_compare(struct sync *s, struct str from, const struct msg_conf_summary *h)
 {
-	if (!sync_equal(s, h)) {
+	if (!sync_is_equal(s, h)) {
 		send_buckets(s, from);
 		return;
 	}
 	conf_raise_floor(s->conf, CONF_RULES, h->floor);
-	if (!s->partial && !h->partial)
+	if (!s->rules_only && !h->rules_only)
 		conf_raise_floor(s->conf, CONF_BACKENDS, h->floor);
 }
 
@@ -100,10 +100,10 @@
 
 	for (i = 0; i < CONF_BUCKETS; i++)
 		digests[i].v = conf_bucket_digest(s->conf, i);
-	m.u.buckets.partial = s->partial;
+	m.u.buckets.rules_only = s->rules_only;
 	m.u.buckets.digests.items = digests;
 	m.u.buckets.digests.n = CONF_BUCKETS;
-	sync_post(s, to, &m);
+	sync_send(s, to, &m);
 }
 
 static void
@@ -111,7 +111,7 @@
 {
 	const struct msg_list *list = &m->u.buckets.digests;
 	const struct msg_u64 *digests = list->items;
-	bool partial = s->partial || m->u.buckets.partial;
+	bool partial = s->rules_only || m->u.buckets.rules_only;
 	uint64_t differ = 0;
 	unsigned i;
 
@@ -129,7 +129,8 @@
 gather_version(void *ctx, const struct conf_entry *e)
 {
 	struct gather *g = ctx;
-	struct msg_version v = {e->key, e->version, e->bad_version, e->hash};
+	struct msg_version v = {
+	    e->key, e->version, e->rejected_version, e->hash};
 
 	if (g->buckets >> conf_bucket(e->key) & 1)
 		g_array_append_val(g->versions, v);
@@ -146,7 +147,7 @@
 	m.u.versions.buckets = buckets;
 	m.u.versions.versions.items = g.versions->data;
 	m.u.versions.versions.n = g.versions->len;
-	sync_post(s, to, &m);
+	sync_send(s, to, &m);
 	g_array_free(g.versions, TRUE);
 }
 
@@ -183,19 +184,20 @@
 	uint64_t floor =
 	    conf_floor_of(s->conf, conf_part_of_bucket(conf_bucket(v->key)));
 
-	if (e == NULL && MAX(v->version, v->bad_version) <= floor) {
+	if (e == NULL && MAX(v->version, v->rejected_version) <= floor) {
 		if (v->hash != 0)
-			sync_pack_add_gone(pack, v->key, floor);
+			sync_pack_add_deleted(pack, v->key, floor);
 		return false;
 	}
 	if (e == NULL)
 		return true;
 	if (e->hash == v->hash && v->hash != 0)
 		return false;
-	if (e->version > v->version || e->bad_version > v->bad_version)
+	if (e->version > v->version ||
+	    e->rejected_version > v->rejected_version)
 		sync_pack_add(pack, e);
 	return v->version > e->version ||
-	    v->bad_version > MAX(e->bad_version, e->version) ||
+	    v->rejected_version > MAX(e->rejected_version, e->version) ||
 	    (v->version == e->version && v->version > 0);
 }
 
@@ -204,7 +206,7 @@
 {
 	const struct msg_list *list = &m->u.versions.versions;
 	const struct msg_version *v = list->items;
-	struct msg want = {.kind = MSG_WANT};
+	struct msg want = {.kind = MSG_OBJECT_REQUEST};
 	struct missing mi;
 	GArray *keys = g_array_new(FALSE, FALSE, sizeof(struct msg_key));
 	size_t i;
@@ -222,10 +224,10 @@
 	}
 	conf_each(s->conf, add_missing, &mi);
 	send_and_free(s, mi.pack, m->from);
-	want.u.want.keys.items = keys->data;
-	want.u.want.keys.n = keys->len;
+	want.u.object_request.keys.items = keys->data;
+	want.u.object_request.keys.n = keys->len;
 	if (keys->len > 0)
-		sync_post(s, m->from, &want);
+		sync_send(s, m->from, &want);
 	g_hash_table_destroy(mi.listed);
 	g_array_free(keys, TRUE);
 }
@@ -233,7 +235,7 @@
 static void
 take_want(struct sync *s, const struct msg *m)
 {
-	const struct msg_list *list = &m->u.want.keys;
+	const struct msg_list *list = &m->u.object_request.keys;
 	const struct msg_key *keys = list->items;
 	struct sync_pack *pack = sync_pack_new();
 	const struct conf_entry *e;
@@ -251,7 +253,7 @@
 static bool
 is_beyond(const struct sync *s, struct str key)
 {
-	return s->partial &&
+	return s->rules_only &&
 	    conf_part_of_bucket(conf_bucket(key)) == CONF_BACKENDS;
 }
 
@@ -278,7 +280,7 @@
 	for (i = 0; i < list->n; i++) {
 		if (is_beyond(s, o[i].key) || is_known(s, &o[i]))
 			continue;
-		spec = o[i].deleted ? NULL : sync_read_spec(&o[i]);
+		spec = o[i].deleted ? NULL : sync_decode_spec(&o[i]);
 		if (!o[i].deleted && spec == NULL) {
 			slog(SLOG_CONF, "an object of a peer's cannot be read",
 			    "from=%.*s key=%.*s", STR_ARG(m->from),
@@ -302,7 +304,7 @@
 }
 
 void
-sync_take(struct sync *s, const struct msg *m)
+sync_on_message(struct sync *s, const struct msg *m)
 {
 	switch (m->kind) {
 	case MSG_BUCKETS:
@@ -311,7 +313,7 @@
 	case MSG_VERSIONS:
 		take_versions(s, m);
 		break;
-	case MSG_WANT:
+	case MSG_OBJECT_REQUEST:
 		take_want(s, m);
 		break;
 	case MSG_OBJECTS:
--- a/sync.h
+++ b/sync.h
@@ -31,36 +31,38 @@
 	struct conf *conf;
 	sync_send_fn *send;
 	void *ctx;
-	bool partial; /* we hold rules only, and no backend servers */
-	uint64_t messages; /* sent, for the counters */
+	bool rules_only; /* we hold rules only, and no backend servers */
+	uint64_t messages_sent; /* sent, for the counters */
 	const struct clk *clk; /* for `confirmed` */
-	int64_t confirmed; /* the platform last did, for our rules; 0: never */
+	int64_t
+	    confirmed_at; /* the platform last did, for our rules; 0: never */
 };
 
 /* What we hold, to be told to a peer. */
-struct msg_holds sync_holds(const struct sync *);
+struct msg_conf_summary sync_conf_summary(const struct sync *);
 
 /*
  * The platform has said, now, that our rules are the ones that it has.  What a
- * peer with the same rules was told counts as well: sync_hear().
+ * peer with the same rules was told counts as well: sync_confirm_from_peer().
  */
 void sync_confirm(struct sync *);
-void sync_hear(struct sync *, const struct msg_holds *);
+void sync_confirm_from_peer(struct sync *, const struct msg_conf_summary *);
 
 /* How long ago that was, in ms; -1: it never was. */
 int64_t sync_age_ms(const struct sync *);
 
 /* Does a peer hold the same, as far as both hold it? */
-bool sync_equal(const struct sync *, const struct msg_holds *);
+bool sync_is_equal(const struct sync *, const struct msg_conf_summary *);
 
 /*
  * A peer has told what it holds.  Where that equals ours, its floor is taken
  * over; where not, the exchange begins.
  */
-void sync_compare(struct sync *, struct str from, const struct msg_holds *);
+void
+sync_compare(struct sync *, struct str from, const struct msg_conf_summary *);
 
-/* Take one of MSG_BUCKETS, MSG_VERSIONS, MSG_WANT and MSG_OBJECTS. */
-void sync_take(struct sync *, const struct msg *);
+/* Take one of MSG_BUCKETS, MSG_VERSIONS, MSG_OBJECT_REQUEST and MSG_OBJECTS. */
+void sync_on_message(struct sync *, const struct msg *);
 
 /* Objects written down once, to be sent to many peers. */
 struct sync_pack;
--- a/sync_pack.c
+++ b/sync_pack.c
@@ -74,7 +74,7 @@
 
 /* Add one that is not known here, as it was deleted at or before a version. */
 void
-sync_pack_add_gone(struct sync_pack *p, struct str key, uint64_t version)
+sync_pack_add_deleted(struct sync_pack *p, struct str key, uint64_t version)
 {
 	struct msg_object gone = {
 	    .key = key, .version = version, .deleted = true};
@@ -88,14 +88,14 @@
 	struct msg_object good = {.key = e->key,
 	    .version = e->version,
 	    .deleted = e->deleted,
-	    .hash = e->bad_version > 0 ? 0 : e->hash};
-	struct msg_object bad = {.key = e->key, .version = e->bad_version};
+	    .hash = e->rejected_version > 0 ? 0 : e->hash};
+	struct msg_object bad = {.key = e->key, .version = e->rejected_version};
 	size_t n = 0;
 
 	if (e->version > 0)
 		n += pack_put(p, &good, e->spec);
-	if (e->bad_version > 0)
-		n += pack_put(p, &bad, e->bad_spec);
+	if (e->rejected_version > 0)
+		n += pack_put(p, &bad, e->rejected_spec);
 	return n;
 }
 
@@ -112,9 +112,9 @@
 }
 
 void
-sync_post(struct sync *s, struct str to, const struct msg *m)
+sync_send(struct sync *s, struct str to, const struct msg *m)
 {
-	s->messages++;
+	s->messages_sent++;
 	s->send(s->ctx, to, m);
 }
 
@@ -129,13 +129,13 @@
 		    &g_array_index(p->objects, struct msg_object, at);
 		m.u.objects.objects.n =
 		    MIN(p->objects->len - at, OBJECTS_PER_MESSAGE);
-		sync_post(s, to, &m);
+		sync_send(s, to, &m);
 	}
 }
 
 /* The contents of an object that came; NULL if it cannot be read. */
 json_t *
-sync_read_spec(const struct msg_object *o)
+sync_decode_spec(const struct msg_object *o)
 {
 	struct str text;
 	json_t *spec;
--- a/tmr.c
+++ b/tmr.c
@@ -94,8 +94,8 @@
 			return;
 		queue_pop(&t->queue);
 		item = first->data;
-		item->set = false;
-		item->fire(item->ctx);
+		item->armed = false;
+		item->callback(item->ctx);
 	}
 	t->deferred = false;
 	arm(t);
@@ -108,9 +108,9 @@
 	tmr_clear(t, item);
 	item->item.deadline = at;
 	item->item.data = item;
-	item->fire = fire;
+	item->callback = fire;
 	item->ctx = ctx;
-	item->set = true;
+	item->armed = true;
 	queue_push(&t->queue, &item->item);
 	if (queue_first(&t->queue) == &item->item)
 		arm(t);
@@ -119,8 +119,8 @@
 void
 tmr_clear(struct tmr *t, struct tmr_item *item)
 {
-	if (!item->set)
+	if (!item->armed)
 		return;
 	queue_remove(&t->queue, &item->item);
-	item->set = false;
+	item->armed = false;
 }
--- a/tmr.h
+++ b/tmr.h
@@ -26,9 +26,9 @@
 
 struct tmr_item {
 	struct queue_item item;
-	tmr_fn *fire;
+	tmr_fn *callback;
 	void *ctx;
-	bool set;
+	bool armed;
 };
 
 struct tmr {
--- a/up.c
+++ b/up.c
@@ -27,7 +27,7 @@
 	struct up_pool *pool = p;
 	struct up_conn *conn;
 
-	while ((conn = g_queue_peek_head(&pool->idle)) != NULL)
+	while ((conn = g_queue_peek_head(&pool->idle_conns)) != NULL)
 		up_conn_close(conn);
 	g_free(pool);
 }
@@ -79,7 +79,7 @@
 	pool->up = up;
 	if (!to_sockaddr(address, &pool->sa))
 		g_error("up: %s is no address", key);
-	g_queue_init(&pool->idle);
+	g_queue_init(&pool->idle_conns);
 	g_hash_table_insert(up->pools, key, pool);
 	return pool;
 }
@@ -105,12 +105,12 @@
 		str_eq(rq->method, STR_LIT("HEAD"))))
 		g_string_append_printf(
 		    s, "content-length: %zu\r\n", rq->body.n);
-	if (rq->fresh)
+	if (rq->new_connection)
 		g_string_append(s, "connection: close\r\n");
 	g_string_append(s, "\r\n");
-	c->request = s;
-	c->bufs[0] = uv_buf_init(s->str, (unsigned)s->len);
-	c->bufs[1] = uv_buf_init((char *)rq->body.p, (unsigned)rq->body.n);
+	c->request_head = s;
+	c->out_bufs[0] = uv_buf_init(s->str, (unsigned)s->len);
+	c->out_bufs[1] = uv_buf_init((char *)rq->body.p, (unsigned)rq->body.n);
 }
 
 struct up_call *
@@ -118,21 +118,22 @@
     void *ctx)
 {
 	struct up_call *c = g_new0(struct up_call, 1);
-	int64_t wait = rq->connect_ns > 0 ? rq->connect_ns : CONNECT_NS;
+	int64_t wait =
+	    rq->connect_timeout_ns > 0 ? rq->connect_timeout_ns : CONNECT_NS;
 	struct up_pool *pool = pool_of(up, rq->address);
 	struct up_conn *conn = NULL;
 
 	c->up = up;
 	c->ops = ops;
 	c->ctx = ctx;
-	c->fresh = rq->fresh;
-	c->is_head = str_eq(rq->method, STR_LIT("HEAD"));
+	c->new_connection = rq->new_connection;
+	c->is_head_request = str_eq(rq->method, STR_LIT("HEAD"));
 	h2o_buffer_init(&c->body, &h2o_socket_buffer_prototype);
 	build_head(c, rq);
-	if (!rq->fresh)
-		conn = up_conn_take_idle(pool);
+	if (!rq->new_connection)
+		conn = up_conn_pop_idle(pool);
 	if (conn != NULL)
-		up_conn_start(conn, c);
+		up_conn_send_request(conn, c);
 	else
 		up_conn_connect(pool, c, wait);
 	return c;
@@ -177,6 +178,6 @@
 	if (!c->paused)
 		return;
 	c->paused = false;
-	if (c->conn != NULL && up_conn_read(c->conn) != 0)
+	if (c->conn != NULL && up_conn_start_reading(c->conn) != 0)
 		up_conn_fail(c->conn, ERR_CUT);
 }
--- a/up.h
+++ b/up.h
@@ -36,8 +36,9 @@
 	const h2o_header_t *headers; /* without Host and Content-Length */
 	size_t nheaders;
 	struct str body; /* must outlive the call */
-	bool fresh; /* no kept-alive connection */
-	int64_t connect_ns; /* time to make a connection; 0: the default */
+	bool new_connection; /* no kept-alive connection */
+	int64_t
+	    connect_timeout_ns; /* time to make a connection; 0: the default */
 };
 
 /* Every call ends with just one of end, fail or the owner's up_cancel(). */
--- a/up_answer.c
+++ b/up_answer.c
@@ -27,7 +27,7 @@
 static int on_body(http_parser *, const char *, size_t);
 static int on_message_complete(http_parser *);
 
-const http_parser_settings up_answer_settings = {
+const http_parser_settings up_response_settings = {
     .on_header_field = on_header_field,
     .on_header_value = on_header_value,
     .on_headers_complete = on_headers_complete,
@@ -38,24 +38,24 @@
 static void
 forget_headers(struct up_conn *conn)
 {
-	g_string_truncate(conn->head, 0);
-	g_array_set_size(conn->marks, 0);
+	g_string_truncate(conn->header_text, 0);
+	g_array_set_size(conn->header_spans, 0);
 	conn->in_value = false;
 }
 
 void
-up_answer_begin(struct up_conn *conn)
+up_response_begin(struct up_conn *conn)
 {
 	http_parser_init(&conn->parser, HTTP_RESPONSE);
 	conn->parser.data = conn;
 	forget_headers(conn);
 }
 
-static struct up_mark *
+static struct up_header_span *
 last_mark(struct up_conn *conn)
 {
-	return &g_array_index(
-	    conn->marks, struct up_mark, conn->marks->len - 1);
+	return &g_array_index(conn->header_spans, struct up_header_span,
+	    conn->header_spans->len - 1);
 }
 
 /* Names are kept in lower case, as h2o looks them up. */
@@ -63,18 +63,18 @@
 on_header_field(http_parser *parser, const char *p, size_t n)
 {
 	struct up_conn *conn = parser->data;
-	struct up_mark mark = {0};
+	struct up_header_span mark = {0};
 	size_t i;
 
-	if (conn->marks->len == 0 || conn->in_value) {
-		if (conn->marks->len == UP_HEADERS_MAX)
+	if (conn->header_spans->len == 0 || conn->in_value) {
+		if (conn->header_spans->len == UP_HEADERS_MAX)
 			return -1;
-		mark.name = conn->head->len;
-		g_array_append_val(conn->marks, mark);
+		mark.name = conn->header_text->len;
+		g_array_append_val(conn->header_spans, mark);
 		conn->in_value = false;
 	}
 	for (i = 0; i < n; i++)
-		g_string_append_c(conn->head, g_ascii_tolower(p[i]));
+		g_string_append_c(conn->header_text, g_ascii_tolower(p[i]));
 	last_mark(conn)->nname += n;
 	return 0;
 }
@@ -83,12 +83,12 @@
 on_header_value(http_parser *parser, const char *p, size_t n)
 {
 	struct up_conn *conn = parser->data;
-	struct up_mark *mark = last_mark(conn);
+	struct up_header_span *mark = last_mark(conn);
 
 	if (!conn->in_value)
-		mark->value = conn->head->len;
+		mark->value = conn->header_text->len;
 	conn->in_value = true;
-	g_string_append_len(conn->head, p, (gssize)n);
+	g_string_append_len(conn->header_text, p, (gssize)n);
 	mark->nvalue += n;
 	return 0;
 }
@@ -116,16 +116,18 @@
 	struct up_call *c = conn->call;
 	h2o_header_t headers[UP_HEADERS_MAX];
 	h2o_iovec_t names[UP_HEADERS_MAX];
-	const struct up_mark *m;
+	const struct up_header_span *m;
 	int64_t idle = IDLE_NS;
 	guint i;
 
-	for (i = 0; i < conn->marks->len; i++) {
-		m = &g_array_index(conn->marks, struct up_mark, i);
-		names[i] = h2o_iovec_init(conn->head->str + m->name, m->nname);
+	for (i = 0; i < conn->header_spans->len; i++) {
+		m = &g_array_index(
+		    conn->header_spans, struct up_header_span, i);
+		names[i] =
+		    h2o_iovec_init(conn->header_text->str + m->name, m->nname);
 		headers[i] = (h2o_header_t){.name = &names[i],
-		    .value =
-			h2o_iovec_init(conn->head->str + m->value, m->nvalue)};
+		    .value = h2o_iovec_init(
+			conn->header_text->str + m->value, m->nvalue)};
 		if (h2o_memis(
 			names[i].base, names[i].len, H2O_STRLIT("keep-alive")))
 			idle = idle_time(
@@ -134,11 +136,12 @@
 	/* An interim answer (100) is no answer yet. */
 	if (parser->status_code < 200)
 		return 0;
-	conn->idle_ns = idle;
-	c->ops->head(c->ctx, c, parser->status_code, headers, conn->marks->len);
+	conn->idle_timeout_ns = idle;
+	c->ops->head(
+	    c->ctx, c, parser->status_code, headers, conn->header_spans->len);
 	if (conn->closing)
 		return -1;
-	return c->is_head ? 1 : 0;
+	return c->is_head_request ? 1 : 0;
 }
 
 static int
@@ -165,7 +168,7 @@
 		forget_headers(conn);
 		return 0;
 	}
-	conn->done = true;
+	conn->response_complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
--- a/up_call.c
+++ b/up_call.c
@@ -17,7 +17,7 @@
 {
 	tmr_clear(c->up->tmr, &c->timer);
 	h2o_buffer_dispose(&c->body);
-	g_string_free(c->request, TRUE);
+	g_string_free(c->request_head, TRUE);
 	g_free(c);
 }
 
--- a/up_conn.c
+++ b/up_conn.c
@@ -34,8 +34,8 @@
 {
 	struct up_conn *conn = handle->data;
 
-	g_string_free(conn->head, TRUE);
-	g_array_free(conn->marks, TRUE);
+	g_string_free(conn->header_text, TRUE);
+	g_array_free(conn->header_spans, TRUE);
 	g_free(conn);
 }
 
@@ -45,7 +45,7 @@
 	if (conn->closing)
 		return;
 	if (conn->idle)
-		g_queue_unlink(&conn->pool->idle, &conn->link);
+		g_queue_unlink(&conn->pool->idle_conns, &conn->link);
 	conn->idle = false;
 	conn->closing = true;
 	uv_close((uv_handle_t *)&conn->tcp, on_closed);
@@ -72,7 +72,7 @@
 	struct up_conn *conn = handle->data;
 
 	(void)suggested;
-	*buf = uv_buf_init(conn->pool->up->chunk, UP_READ_MAX);
+	*buf = uv_buf_init(conn->pool->up->read_buf, UP_READ_MAX);
 }
 
 /*
@@ -103,8 +103,8 @@
 	}
 	if (closed_in_order(conn, nread))
 		http_parser_execute(
-		    &conn->parser, &up_answer_settings, NULL, 0);
-	if (conn->call != NULL && conn->done)
+		    &conn->parser, &up_response_settings, NULL, 0);
+	if (conn->call != NULL && conn->response_complete)
 		conn_finish(conn);
 	else
 		up_conn_fail(conn, ERR_CUT);
@@ -128,11 +128,11 @@
 		return;
 	}
 	used = http_parser_execute(
-	    &conn->parser, &up_answer_settings, buf->base, (size_t)nread);
+	    &conn->parser, &up_response_settings, buf->base, (size_t)nread);
 	if (conn->closing)
 		return;
-	if (conn->done) {
-		conn->surplus = used < (size_t)nread;
+	if (conn->response_complete) {
+		conn->has_surplus = used < (size_t)nread;
 		conn_finish(conn);
 	} else if (HTTP_PARSER_ERRNO(&conn->parser) != HPE_OK) {
 		up_conn_fail(conn, ERR_CUT);
@@ -153,7 +153,7 @@
 }
 
 int
-up_conn_read(struct up_conn *conn)
+up_conn_start_reading(struct up_conn *conn)
 {
 	int rc = 0;
 
@@ -177,21 +177,21 @@
 
 /* Send the call's request on a connection that stands. */
 void
-up_conn_start(struct up_conn *conn, struct up_call *c)
+up_conn_send_request(struct up_conn *conn, struct up_call *c)
 {
 	int rc;
 
 	conn->call = c;
 	c->conn = conn;
-	conn->done = conn->surplus = false;
-	up_answer_begin(conn);
+	conn->response_complete = conn->has_surplus = false;
+	up_response_begin(conn);
 	conn->writing = true;
 	conn->write.data = conn;
 	c->ops->connected(c->ctx, c);
-	rc = uv_write(&conn->write, (uv_stream_t *)&conn->tcp, c->bufs,
-	    c->bufs[1].len > 0 ? 2 : 1, on_written);
+	rc = uv_write(&conn->write, (uv_stream_t *)&conn->tcp, c->out_bufs,
+	    c->out_bufs[1].len > 0 ? 2 : 1, on_written);
 	if (rc == 0)
-		rc = up_conn_read(conn);
+		rc = up_conn_start_reading(conn);
 	if (rc != 0)
 		fail_soon(conn, c);
 }
@@ -232,7 +232,7 @@
 		return;
 	}
 	set_options(conn);
-	up_conn_start(conn, c);
+	up_conn_send_request(conn, c);
 }
 
 static void
@@ -255,8 +255,9 @@
 
 	conn->pool = pool;
 	conn->link.data = conn;
-	conn->head = g_string_new(NULL);
-	conn->marks = g_array_new(FALSE, FALSE, sizeof(struct up_mark));
+	conn->header_text = g_string_new(NULL);
+	conn->header_spans =
+	    g_array_new(FALSE, FALSE, sizeof(struct up_header_span));
 	uv_tcp_init(pool->up->loop, &conn->tcp);
 	conn->tcp.data = conn;
 	return conn;
@@ -284,14 +285,14 @@
 
 /* The connection used last is the one that is least likely to be closed. */
 struct up_conn *
-up_conn_take_idle(struct up_pool *pool)
+up_conn_pop_idle(struct up_pool *pool)
 {
 	int64_t now = clk_ns(pool->up->clk);
 	struct up_conn *conn;
 
-	while ((conn = g_queue_peek_head(&pool->idle)) != NULL) {
+	while ((conn = g_queue_peek_head(&pool->idle_conns)) != NULL) {
 		if (now < conn->idle_until) {
-			g_queue_unlink(&pool->idle, &conn->link);
+			g_queue_unlink(&pool->idle_conns, &conn->link);
 			conn->idle = false;
 			return conn;
 		}
@@ -311,15 +312,16 @@
 	struct up_pool *pool = conn->pool;
 	bool keep;
 
-	keep = http_should_keep_alive(&conn->parser) && !conn->surplus &&
-	    !conn->writing && !c->fresh && !c->paused &&
-	    pool->idle.length < IDLE_PER_ADDRESS;
+	keep = http_should_keep_alive(&conn->parser) && !conn->has_surplus &&
+	    !conn->writing && !c->new_connection && !c->paused &&
+	    pool->idle_conns.length < IDLE_PER_ADDRESS;
 	conn->call = NULL;
 	c->conn = NULL;
 	if (keep) {
 		conn->idle = true;
-		conn->idle_until = clk_ns(pool->up->clk) + conn->idle_ns;
-		g_queue_push_head_link(&pool->idle, &conn->link);
+		conn->idle_until =
+		    clk_ns(pool->up->clk) + conn->idle_timeout_ns;
+		g_queue_push_head_link(&pool->idle_conns, &conn->link);
 	} else {
 		up_conn_close(conn);
 	}
--- a/verdict.c
+++ b/verdict.c
@@ -86,12 +86,12 @@
 }
 
 void
-verdict_old(struct verdict *v, unsigned kind, enum verdict_answer answer)
+verdict_add_old(struct verdict *v, unsigned kind, enum verdict_answer answer)
 {
 	struct verdict_kind *k = find_or_add_kind(v, kind);
 	int i;
 
-	if (answer == VERDICT_NOTHING)
+	if (answer == VERDICT_IGNORED)
 		return;
 	k->n = MIN(k->n + 1, WINDOW);
 	for (i = 0; i < MEASURES; i++)
@@ -114,13 +114,13 @@
 }
 
 const char *
-verdict_new(struct verdict *v, unsigned kind, enum verdict_answer answer)
+verdict_add_new(struct verdict *v, unsigned kind, enum verdict_answer answer)
 {
 	struct verdict_kind *k = find_or_add_kind(v, kind);
 	const struct measure *m;
 	int i;
 
-	if (answer == VERDICT_NOTHING)
+	if (answer == VERDICT_IGNORED)
 		return NULL;
 	v->answers++;
 	v->bad += answer != VERDICT_GOOD;
--- a/verdict.h
+++ b/verdict.h
@@ -31,7 +31,7 @@
 	VERDICT_GOOD,
 	VERDICT_SLOW, /* took several times the expected time */
 	VERDICT_FAILED,
-	VERDICT_NOTHING /* says nothing about the version */
+	VERDICT_IGNORED /* says nothing about the version */
 };
 
 struct verdict {
@@ -44,12 +44,13 @@
 void verdict_close(struct verdict *);
 
 /* Adds a response of the old version. */
-void verdict_old(struct verdict *, unsigned kind, enum verdict_answer);
+void verdict_add_old(struct verdict *, unsigned kind, enum verdict_answer);
 
 /*
  * Adds a response of the new version.  Returns NULL, or a static string with
  * the reason if the new version is worse by now.
  */
-const char *verdict_new(struct verdict *, unsigned kind, enum verdict_answer);
+const char *
+verdict_add_new(struct verdict *, unsigned kind, enum verdict_answer);
 
 #endif
--- a/wire.h
+++ b/wire.h
@@ -26,14 +26,14 @@
  */
 struct wire;
 
-typedef void wire_take_fn(void *, const struct msg *);
+typedef void wire_receive_fn(void *, const struct msg *);
 
 /*
  * Bind the inbox at an address ("127.0.0.1:9000") and read it on the loop.
  * NULL and ERR_SYSTEM on failure.
  */
 struct wire *
-wire_open(uv_loop_t *, struct str inbox, wire_take_fn *, void *, GError **);
+wire_open(uv_loop_t *, struct str inbox, wire_receive_fn *, void *, GError **);
 
 /* Stop reading and free; messages still on their way out are dropped. */
 void wire_close(struct wire *);
@@ -43,8 +43,9 @@
 
 /* Bytes and messages in and out since the start, and those dropped. */
 struct wire_totals {
-	uint64_t bytes_in, bytes_out, in, out, dropped, malformed;
+	uint64_t bytes_in, bytes_out, messages_in, messages_out, dropped,
+	    malformed;
 };
-const struct wire_totals *wire_counts(const struct wire *);
+const struct wire_totals *wire_get_totals(const struct wire *);
 
 #endif
--- a/wire_zmq.c
+++ b/wire_zmq.c
@@ -61,7 +61,7 @@
 	uv_poll_t poll;
 	uv_timer_t sweep;
 	uint64_t sweeps;
-	wire_take_fn *take;
+	wire_receive_fn *take;
 	void *ctx;
 	struct wire_totals counts;
 };
@@ -118,7 +118,7 @@
 }
 
 struct wire *
-wire_open(uv_loop_t *loop, struct str inbox, wire_take_fn *take, void *ctx,
+wire_open(uv_loop_t *loop, struct str inbox, wire_receive_fn *take, void *ctx,
     GError **err)
 {
 	struct wire *l = g_new0(struct wire, 1);
@@ -269,7 +269,7 @@
 	} else {
 		l->take(l->ctx, &m);
 	}
-	msg_done(&m);
+	msg_release(&m);
 	str_free(&text);
 }
 
@@ -279,7 +279,7 @@
 	GError *err = NULL;
 	struct msg m;
 
-	l->counts.in++;
+	l->counts.messages_in++;
 	l->counts.bytes_in += n;
 	if (!msg_decode(p, n, &m, &err)) {
 		drop_malformed(l, err);
@@ -289,7 +289,7 @@
 		take_deflated(l, &m);
 	else
 		l->take(l->ctx, &m);
-	msg_done(&m);
+	msg_release(&m);
 }
 
 static struct peer *
@@ -362,7 +362,7 @@
 		l->counts.dropped++;
 		return false;
 	}
-	l->counts.out++;
+	l->counts.messages_out++;
 	l->counts.bytes_out += n;
 	return true;
 }
@@ -421,7 +421,7 @@
 }
 
 const struct wire_totals *
-wire_counts(const struct wire *l)
+wire_get_totals(const struct wire *l)
 {
 	return &l->counts;
 }
--- a/word.c
+++ b/word.c
@@ -22,7 +22,7 @@
 /* Most reports that are kept, each of some 100 bytes. */
 enum { REPORTS_MAX = 1024 };
 
-struct words {
+struct backend_reports {
 	GPtrArray *v; /* struct backend_report * */
 	GHashTable *by_name; /* struct str * in a report to the report */
 	/* struct backend_report *, those in v not sent yet. */
@@ -51,16 +51,16 @@
 static void
 word_free(void *p)
 {
-	struct word *report = p;
+	struct backend_report *report = p;
 
 	str_free(&report->backend);
 	g_free(report);
 }
 
-struct words *
-words_new(void)
+struct backend_reports *
+reports_new(void)
 {
-	struct words *reports = g_new0(struct words, 1);
+	struct backend_reports *reports = g_new0(struct backend_reports, 1);
 
 	reports->v = g_ptr_array_new_with_free_func(word_free);
 	reports->by_name = g_hash_table_new(name_hash, name_equal);
@@ -69,7 +69,7 @@
 }
 
 void
-words_free(struct words *reports)
+reports_free(struct backend_reports *reports)
 {
 	g_hash_table_destroy(reports->by_name);
 	g_ptr_array_free(reports->unsent, TRUE);
@@ -78,9 +78,9 @@
 }
 
 static void
-remove_at(struct words *reports, guint index)
+remove_at(struct backend_reports *reports, guint index)
 {
-	struct word *report = g_ptr_array_index(reports->v, index);
+	struct backend_report *report = g_ptr_array_index(reports->v, index);
 
 	g_hash_table_remove(reports->by_name, &report->backend);
 	g_ptr_array_remove_fast(reports->unsent, report);
@@ -91,9 +91,9 @@
  * Drops the report whose rate was received longest ago if there are too many.
  */
 static void
-evict_oldest(struct words *reports)
+evict_oldest(struct backend_reports *reports)
 {
-	const struct word *report, *oldest_report;
+	const struct backend_report *report, *oldest_report;
 	guint i, oldest = 0;
 
 	if (reports->v->len < REPORTS_MAX)
@@ -101,16 +101,16 @@
 	for (i = 1; i < reports->v->len; i++) {
 		report = g_ptr_array_index(reports->v, i);
 		oldest_report = g_ptr_array_index(reports->v, oldest);
-		if (report->heard < oldest_report->heard)
+		if (report->reported_at < oldest_report->reported_at)
 			oldest = i;
 	}
 	remove_at(reports, oldest);
 }
 
-static struct word *
-add(struct words *reports, struct str backend)
+static struct backend_report *
+add(struct backend_reports *reports, struct str backend)
 {
-	struct word *report = g_new0(struct word, 1);
+	struct backend_report *report = g_new0(struct backend_report, 1);
 
 	evict_oldest(reports);
 	report->backend = str_dup(backend);
@@ -130,54 +130,58 @@
 }
 
 static void
-reset(struct word *report, int64_t born_ms)
+reset(struct backend_report *report, int64_t born_ms)
 {
 	struct str backend = report->backend;
 
-	*report = (struct word){.backend = backend, .born_ms = born_ms};
+	*report =
+	    (struct backend_report){.backend = backend, .started_ms = born_ms};
 }
 
 bool
-words_take(struct words *reports, const struct word *new_report)
+reports_merge(
+    struct backend_reports *reports, const struct backend_report *new_report)
 {
-	struct word *report =
+	struct backend_report *report =
 	    g_hash_table_lookup(reports->by_name, &new_report->backend);
 	bool changed;
 
 	if (report == NULL)
 		report = add(reports, new_report->backend);
-	if (is_other_start(report->born_ms, new_report->born_ms)) {
-		if (new_report->born_ms < report->born_ms)
+	if (is_other_start(report->started_ms, new_report->started_ms)) {
+		if (new_report->started_ms < report->started_ms)
 			return false;
-		reset(report, new_report->born_ms);
+		reset(report, new_report->started_ms);
 	}
-	report->born_ms = MAX(report->born_ms, new_report->born_ms);
-	report->rest_until = MAX(report->rest_until, new_report->rest_until);
-	changed = new_report->leaves && !report->leaves;
-	report->leaves = report->leaves || new_report->leaves;
-	if (new_report->heard <= report->heard)
+	report->started_ms = MAX(report->started_ms, new_report->started_ms);
+	report->pause_until = MAX(report->pause_until, new_report->pause_until);
+	changed = new_report->leaving && !report->leaving;
+	report->leaving = report->leaving || new_report->leaving;
+	if (new_report->reported_at <= report->reported_at)
 		return changed;
 	changed = changed || new_report->rate != report->rate;
 	report->rate = new_report->rate;
-	report->heard = new_report->heard;
+	report->reported_at = new_report->reported_at;
 	return changed;
 }
 
-const struct word *
-words_find(const struct words *reports, struct str backend, int64_t born_ms)
+const struct backend_report *
+reports_find(
+    const struct backend_reports *reports, struct str backend, int64_t born_ms)
 {
-	const struct word *report =
+	const struct backend_report *report =
 	    g_hash_table_lookup(reports->by_name, &backend);
 
-	return report == NULL || is_other_start(report->born_ms, born_ms)
+	return report == NULL || is_other_start(report->started_ms, born_ms)
 	    ? NULL
 	    : report;
 }
 
 void
-words_mark(struct words *reports, struct str backend)
+reports_mark_unsent(struct backend_reports *reports, struct str backend)
 {
-	struct word *report = g_hash_table_lookup(reports->by_name, &backend);
+	struct backend_report *report =
+	    g_hash_table_lookup(reports->by_name, &backend);
 
 	if (report == NULL)
 		return;
@@ -186,15 +190,16 @@
 }
 
 unsigned
-words_untold(struct words *reports, struct word *out, unsigned max)
+reports_pop_unsent(
+    struct backend_reports *reports, struct backend_report *out, unsigned max)
 {
 	unsigned n = 0;
 	guint last;
 
 	while (n < max && reports->unsent->len > 0) {
 		last = reports->unsent->len - 1;
-		out[n] =
-		    *(struct word *)g_ptr_array_index(reports->unsent, last);
+		out[n] = *(struct backend_report *)g_ptr_array_index(
+		    reports->unsent, last);
 		g_ptr_array_remove_index_fast(reports->unsent, last);
 		n++;
 	}
@@ -202,10 +207,11 @@
 }
 
 unsigned
-words_list(struct words *reports, struct word *out, unsigned max)
+reports_next(
+    struct backend_reports *reports, struct backend_report *out, unsigned max)
 {
 	unsigned i, n = MIN(reports->v->len, max);
-	const struct word *report;
+	const struct backend_report *report;
 
 	for (i = 0; i < n; i++) {
 		report = g_ptr_array_index(
@@ -217,15 +223,15 @@
 }
 
 void
-words_tick(struct words *reports, int64_t now)
+reports_expire(struct backend_reports *reports, int64_t now)
 {
-	const struct word *report;
+	const struct backend_report *report;
 	guint i;
 
 	for (i = reports->v->len; i-- > 0;) {
 		report = g_ptr_array_index(reports->v, i);
-		if (now - report->heard >= REPORT_TTL_NS &&
-		    now >= report->rest_until)
+		if (now - report->reported_at >= REPORT_TTL_NS &&
+		    now >= report->pause_until)
 			remove_at(reports, i);
 	}
 }
--- a/word.h
+++ b/word.h
@@ -27,23 +27,23 @@
  * What a backend server reported since it was started.  A restart, which has
  * another start time, makes the earlier reports void.
  */
-struct word {
+struct backend_report {
 	struct str backend; /* name of the backend server */
-	int64_t born_ms; /* its start, ms since 1970; 0: unknown */
-	bool leaves; /* it is shutting down and accepts no new requests */
+	int64_t started_ms; /* its start, ms since 1970; 0: unknown */
+	bool leaving; /* it is shutting down and accepts no new requests */
 	double rate; /* limit in requests a second from all boxes; 0: none */
-	int64_t heard; /* when a box received the rate, monotonic ns */
+	int64_t reported_at; /* when a box received the rate, monotonic ns */
 	/*
 	 * End of a pause that it requested by Retry-After, of this box only;
 	 * monotonic ns.
 	 */
-	int64_t rest_until;
+	int64_t pause_until;
 };
 
-struct words;
+struct backend_reports;
 
-struct words *words_new(void);
-void words_free(struct words *);
+struct backend_reports *reports_new(void);
+void reports_free(struct backend_reports *);
 
 /*
  * Merges a report that this box or another one received.  The rate that was
@@ -51,31 +51,33 @@
  * reports of a later start replace those of an earlier one.  Returns whether
  * anything changed that other boxes need.
  */
-bool words_take(struct words *, const struct word *);
+bool reports_merge(struct backend_reports *, const struct backend_report *);
 
 /*
  * Returns the report of a backend server with this start time; NULL if there is
  * none.
  */
-const struct word *
-words_find(const struct words *, struct str backend, int64_t born_ms);
+const struct backend_report *reports_find(
+    const struct backend_reports *, struct str backend, int64_t born_ms);
 
 /* Marks the report of a backend server as changed and not sent yet. */
-void words_mark(struct words *, struct str backend);
+void reports_mark_unsent(struct backend_reports *, struct str backend);
 
 /*
  * Copies up to max reports that are not sent yet to `out`, marks them as sent,
  * and returns their number.  The names belong to the reports.
  */
-unsigned words_untold(struct words *, struct word *out, unsigned max);
+unsigned reports_pop_unsent(
+    struct backend_reports *, struct backend_report *out, unsigned max);
 
 /*
  * Copies up to max reports to `out`, continuing where the last call ended, and
  * returns their number.  The names belong to the reports.
  */
-unsigned words_list(struct words *, struct word *out, unsigned max);
+unsigned reports_next(
+    struct backend_reports *, struct backend_report *out, unsigned max);
 
 /* Drops the reports that are too old. */
-void words_tick(struct words *, int64_t now);
+void reports_expire(struct backend_reports *, int64_t now);
 
 #endif
--- a/zip.c
+++ b/zip.c
@@ -33,7 +33,7 @@
 zip_inflate(struct str in, size_t size)
 {
 	uLongf len = size;
-	Bytef *out = size > ZIP_MAX ? NULL : g_try_malloc(size + 1);
+	Bytef *out = size > ZIP_INFLATED_MAX ? NULL : g_try_malloc(size + 1);
 
 	if (out == NULL ||
 	    uncompress(out, &len, (const Bytef *)in.p, in.n) != Z_OK ||
--- a/zip.h
+++ b/zip.h
@@ -23,10 +23,10 @@
 
 /*
  * The `size` bytes that were deflated, to be freed by str_free(); empty if they
- * are not that, or more than ZIP_MAX.
+ * are not that, or more than ZIP_INFLATED_MAX.
  */
 struct str zip_inflate(struct str, size_t size);
 
-enum { ZIP_MAX = 64 << 20 };
+enum { ZIP_INFLATED_MAX = 64 << 20 };
 
 #endif
