--- a/gate_admit.c
+++ b/gate_admit.c
@@ -110,8 +110,8 @@
 	r->disp.cls = forward.bulk ? CLASS_BULK : CLASS_INTERACTIVE;
 	r->disp.repeatable = forward.repeatable;
 	r->disp.can_retry = true;
-	r->disp.is_retry = forward.retried;
-	r->disp.attempt_count = (int)forward.tries;
+	r->disp.is_retry = forward.is_retry;
+	r->disp.attempt_count = (int)forward.attempts;
 	r->disp.budget_charged = forward.within_retry_budget;
 	r->caller_deadline_ms = forward.caller_deadline_ms;
 	r->waited_ms = forward.waited_ms;
@@ -121,7 +121,7 @@
 	r->disp.fingerprint = forward.fingerprint;
 	if (forward.suspect)
 		poison_mark_suspect(g->poison, forward.fingerprint);
-	r->maybe_ran = forward.retried;
+	r->maybe_ran = forward.is_retry;
 	if (forward.target_ms > 0)
 		r->disp.target = r->arrived_at + forward.target_ms * NS_MS;
 	r->disp.deadline = deadline_from_limit(r, service->obj->deadline_ms);
--- a/gate_box.c
+++ b/gate_box.c
@@ -53,11 +53,11 @@
 gate_box_open(struct gate *g)
 {
 	g->state = (enum box_state)chart_start(g->chart_box);
-	uv_signal_init(g->loop, &g->term);
-	uv_signal_init(g->loop, &g->intr);
-	g->term.data = g->intr.data = g;
-	uv_signal_start(&g->term, on_signal, SIGTERM);
-	uv_signal_start(&g->intr, on_signal, SIGINT);
+	uv_signal_init(g->loop, &g->sigterm);
+	uv_signal_init(g->loop, &g->sigint);
+	g->sigterm.data = g->sigint.data = g;
+	uv_signal_start(&g->sigterm, on_signal, SIGTERM);
+	uv_signal_start(&g->sigint, on_signal, SIGINT);
 }
 
 /* Steps the chart and runs the actions of the state that is entered. */
--- a/gate_claim.c
+++ b/gate_claim.c
@@ -70,7 +70,8 @@
 	    (unsigned long long)h.high64, (unsigned long long)h.low64);
 	snprintf(c->id, sizeof(c->id), "%.*s-%llu-%llu",
 	    (int)MIN(g->settings.box.n, 32), g->settings.box.p,
-	    (unsigned long long)g->boot, (unsigned long long)++g->seq);
+	    (unsigned long long)g->started_ms,
+	    (unsigned long long)++g->last_seq);
 	c->gate = g;
 	c->allow_outage = allow_outage;
 	c->done = done;
--- a/gate_conf.c
+++ b/gate_conf.c
@@ -301,7 +301,7 @@
 	unsigned i;
 
 	gate_roll_update(g, s, svc);
-	p.rollout = s->roll;
+	p.rollout = s->rollout;
 	if (g->bounds.retry_slack > 0) {
 		p.retry_percent =
 		    (int64_t)(g->bounds.retry_ratio * RETRY_SHARE * 100);
@@ -433,7 +433,7 @@
 	struct msg m = {.kind = MSG_GATE_STATUS};
 
 	m.u.gate_status.box = g->settings.box;
-	m.u.gate_status.started_ms = g->boot;
+	m.u.gate_status.started_ms = g->started_ms;
 	m.u.gate_status.conf_summary = sync_conf_summary(&g->sync);
 	m.u.gate_status.object_count = conf_count(g->conf);
 	m.u.gate_status.leaving = gate_box_leaving(g);
@@ -479,7 +479,7 @@
 		    m->u.announcement.self.ready) {
 			rebuild_now(g);
 			/* Without a rule each request would get a 404. */
-			if (!g->form->requires_rules ||
+			if (!g->platform_adapter->requires_rules ||
 			    route_count_rules(g->routes) > 0)
 				gate_box_configured(g);
 		}
@@ -509,11 +509,11 @@
 		gate_roll_merge(g, &m->u.rollout);
 		break;
 	case MSG_RATE_QUERY:
-		gate_rate_answer(g, m->from, &m->u.rate_query);
+		gate_rate_reply(g, m->from, &m->u.rate_query);
 		break;
 	case MSG_RATE_GRANT:
 		gate_owner_mark_alive(g, m->from);
-		gate_rate_granted(g, &m->u.rate_grant);
+		gate_rate_on_grant(g, &m->u.rate_grant);
 		break;
 	case MSG_PING:
 	case MSG_PONG:
--- a/gate_flow.c
+++ b/gate_flow.c
@@ -95,11 +95,11 @@
 	    .hops = (unsigned)r->hops + 1,
 	    .bulk = r->disp.cls == CLASS_BULK,
 	    .repeatable = r->disp.repeatable,
-	    .retried = r->maybe_ran || r->disp.is_retry,
+	    .is_retry = r->maybe_ran || r->disp.is_retry,
 	    .within_retry_budget = r->disp.budget_charged,
 	    .caller_deadline_ms = r->caller_deadline_ms,
 	    .waited_ms = r->waited_ms,
-	    .tries = (unsigned)r->disp.attempt_count,
+	    .attempts = (unsigned)r->disp.attempt_count,
 	    .max_attempts = (unsigned)r->disp.max_attempts,
 	    .rank = (unsigned)r->disp.rank,
 	    .kind = r->disp.kind,
@@ -311,11 +311,11 @@
 	copy_response_headers(r, headers, n);
 	if (gate_box_leaving(g))
 		req->http1_is_persistent = 0;
-	r->gen.proceed = gate_flow_proceed;
-	r->gen.stop = on_stop;
+	r->generator.proceed = gate_flow_proceed;
+	r->generator.stop = on_stop;
 	r->response_started = true;
 	r->disp.can_retry = false;
-	h2o_start_response(req, &r->gen);
+	h2o_start_response(req, &r->generator);
 }
 
 /* Returns whether the target is met; without a target it always is. */
@@ -368,8 +368,8 @@
 void
 gate_flow_proceed(h2o_generator_t *gen, h2o_req_t *req)
 {
-	struct gate_req *r =
-	    (struct gate_req *)((char *)gen - offsetof(struct gate_req, gen));
+	struct gate_req *r = (struct gate_req *)((char *)gen -
+	    offsetof(struct gate_req, generator));
 
 	(void)req;
 	if (r->send_buffer.bytes_inflight > 0)
@@ -386,8 +386,8 @@
 static void
 on_stop(h2o_generator_t *gen, h2o_req_t *req)
 {
-	struct gate_req *r =
-	    (struct gate_req *)((char *)gen - offsetof(struct gate_req, gen));
+	struct gate_req *r = (struct gate_req *)((char *)gen -
+	    offsetof(struct gate_req, generator));
 
 	(void)req;
 	gate_try_abandon(r, DISP_CANCELED);
--- a/gate_open.c
+++ b/gate_open.c
@@ -180,8 +180,8 @@
 	g->settings.summary_ms = set.summary_ms;
 	g->settings.silent_ms = set.silent_ms;
 	g->settings.ping_wait_ms = set.ping_wait_ms;
-	if (g->form->parse_bounds != NULL)
-		g->form->parse_bounds(set.bounds, &g->bounds);
+	if (g->platform_adapter->parse_bounds != NULL)
+		g->platform_adapter->parse_bounds(set.bounds, &g->bounds);
 	field_free(fields, G_N_ELEMENTS(fields), &set);
 	slog(SLOG_GATE, "settings are read anew", "file=%s", g->settings_file);
 }
@@ -198,15 +198,16 @@
 		return err_set(err, ERR_SETTINGS,
 		    "%s: policy: found \"%s\"; allowed is fern, pace or naive",
 		    file, g->settings.policy.p);
-	g->form = plat_adapter_by_name(g->settings.platform_form);
-	if (g->form == NULL)
+	g->platform_adapter = plat_adapter_by_name(g->settings.platform_form);
+	if (g->platform_adapter == NULL)
 		return err_set(err, ERR_SETTINGS,
 		    "%s: platform_form: found \"%s\"; allowed is fern or "
 		    "objects",
 		    file, g->settings.platform_form.p);
-	g->dialect = g->form->dialect;
-	if (g->form->parse_bounds != NULL)
-		g->form->parse_bounds(g->settings.bounds, &g->bounds);
+	g->dialect = g->platform_adapter->dialect;
+	if (g->platform_adapter->parse_bounds != NULL)
+		g->platform_adapter->parse_bounds(
+		    g->settings.bounds, &g->bounds);
 	slog(SLOG_GATE, "bounds", "retry_ratio=%.2f retry_slack=%lld",
 	    g->bounds.retry_ratio, (long long)g->bounds.retry_slack);
 	return open_charts(g, err);
@@ -240,12 +241,12 @@
 gate_open(struct gate *g, GError **err)
 {
 	g->loop = uv_default_loop();
-	g->boot = (uint64_t)clk_wall_ms(g->clk);
+	g->started_ms = (uint64_t)clk_wall_ms(g->clk);
 	g->live_boxes = 1;
 	tmr_open(&g->tmr, g->loop, g->clk);
 	g->up = up_open(g->loop, &g->tmr, g->clk);
-	g->plat = plat_http_open(
-	    g->up, &g->tmr, g->clk, g->settings.platform, g->form->codec);
+	g->plat = plat_http_open(g->up, &g->tmr, g->clk, g->settings.platform,
+	    g->platform_adapter->codec);
 	g->cnt = gate_stat_open();
 	g->peers = g_ptr_array_new();
 	g->owners =
@@ -344,6 +345,6 @@
 	gate_box_open(g);
 	slog(SLOG_GATE, "started", "box=%s hall=%s listen=%s policy=%s form=%s",
 	    g->settings.box.p, g->settings.hall.p, g->settings.listen.p,
-	    g->settings.policy.p, g->form->name);
+	    g->settings.policy.p, g->platform_adapter->name);
 	gate_conf_report(g);
 }
--- a/gate_pass.c
+++ b/gate_pass.c
@@ -57,14 +57,14 @@
 	copy[text.n] = '\0';
 	n = sscanf(copy,
 	    "%u %u %u %u %u %u %u %u %u %lld %lld %lld %llx %llx %llx %u %n",
-	    &out->hops, &bulk, &repeatable, &retried, &paid, &out->tries,
+	    &out->hops, &bulk, &repeatable, &retried, &paid, &out->attempts,
 	    &out->max_attempts, &out->rank, &out->kind, &target, &left, &waited,
 	    &hi, &lo, &caller, &suspect, &at);
 	if (n != NUMBERS || at == 0)
 		return false;
 	out->bulk = bulk != 0;
 	out->repeatable = repeatable != 0;
-	out->retried = retried != 0;
+	out->is_retry = retried != 0;
 	out->within_retry_budget = paid != 0;
 	out->suspect = suspect != 0;
 	out->target_ms = target;
@@ -91,9 +91,10 @@
 	int n = snprintf(out, size,
 	    "%u %u %u %u %u %u %u %u %u %lld %lld %lld %llx %llx %llx %u "
 	    "%.*s %.*s %c%.*s %.*s",
-	    forward->hops, forward->bulk, forward->repeatable, forward->retried,
-	    forward->within_retry_budget, forward->tries, forward->max_attempts,
-	    forward->rank, forward->kind, (long long)forward->target_ms,
+	    forward->hops, forward->bulk, forward->repeatable,
+	    forward->is_retry, forward->within_retry_budget, forward->attempts,
+	    forward->max_attempts, forward->rank, forward->kind,
+	    (long long)forward->target_ms,
 	    (long long)forward->caller_deadline_ms,
 	    (long long)forward->waited_ms,
 	    (unsigned long long)forward->fingerprint.hi,
--- a/gate_rate.c
+++ b/gate_rate.c
@@ -153,7 +153,7 @@
 }
 
 void
-gate_rate_answer(
+gate_rate_reply(
     struct gate *g, struct str sender, const struct msg_rate_query *query)
 {
 	struct msg m = {.kind = MSG_RATE_GRANT};
@@ -202,7 +202,7 @@
 }
 
 void
-gate_rate_granted(struct gate *g, const struct msg_rate_grant *m)
+gate_rate_on_grant(struct gate *g, const struct msg_rate_grant *m)
 {
 	struct gate_req *r = g_hash_table_lookup(g->rate_queries, &m->seq);
 	uint64_t max_us = (uint64_t)(G_MAXINT64 / NS_US);
@@ -241,7 +241,7 @@
 		return;
 	}
 	cnt_add(g->cnt, GC_RATE_QUERIES, 1);
-	r->rate_query = ++g->seq;
+	r->rate_query = ++g->last_seq;
 	g_hash_table_insert(g->rate_queries, &r->rate_query, r);
 	m.u.rate_query.seq = r->rate_query;
 	m.u.rate_query.customer = r->customer;
--- a/gate_req.c
+++ b/gate_req.c
@@ -94,7 +94,7 @@
 	pool_guard->r = r;
 	r->gate = g;
 	r->req = req;
-	r->seq = ++g->seq;
+	r->seq = ++g->last_seq;
 	r->request_id = request_id_of(g, req, r->seq);
 	r->arrived_at = clk_ns(g->clk);
 	r->state = (enum req_state)chart_start(g->chart_request);
--- a/gate_roll.c
+++ b/gate_roll.c
@@ -12,9 +12,9 @@
 #include "slog.h"
 
 /*
- * Rollouts: the owners of a service's shards report their state to each other,
+ * Roll-outs: the owners of a service's shards report their state to each other,
  * and to the platform.  The owner of the first hall writes to the platform, on
- * condition that the rollout object has not changed; if two gates take
+ * condition that the roll-out object has not changed; if two gates take
  * themselves for that owner, the platform accepts only one write.
  */
 #define REPORT_INTERVAL_NS (250 * NS_MS)
@@ -47,42 +47,44 @@
 	if (s->roll_call != NULL)
 		plat_cancel(s->gate->plat, s->roll_call);
 	s->roll_call = NULL;
-	roll_free(s->roll);
-	s->roll = NULL;
+	roll_free(s->rollout);
+	s->rollout = NULL;
 }
 
-/* Updates the rollout of a shard from the service's rollout object. */
+/* Updates the roll-out of a shard from the service's roll-out object. */
 void
 gate_roll_update(
     struct gate *g, struct gate_shard *s, const struct route_service *svc)
 {
 	const struct obj_rollout *spec = svc->rollout;
 
-	if (s->roll != NULL && (spec == NULL || !roll_matches(s->roll, spec)))
+	if (s->rollout != NULL &&
+	    (spec == NULL || !roll_matches(s->rollout, spec)))
 		gate_roll_close(s);
 	if (spec == NULL)
 		return;
-	if (s->roll == NULL) {
-		s->roll = roll_new(
+	if (s->rollout == NULL) {
+		s->rollout = roll_new(
 		    spec, g->chart_roll, first_share(g), clk_ns(g->clk));
 		s->roll_logged_state = ROLL_WAITING;
 	}
-	roll_set_platform_state(s->roll, (enum obj_rollout_state)spec->state);
+	roll_set_platform_state(
+	    s->rollout, (enum obj_rollout_state)spec->state);
 }
 
 static void
 log_state_change(struct gate_shard *s, int64_t now)
 {
-	enum roll_state state = roll_state(s->roll);
+	enum roll_state state = roll_state(s->rollout);
 	struct roll_report report;
 	const char *why;
 
 	if (state == s->roll_logged_state)
 		return;
 	s->roll_logged_state = state;
-	report =
-	    roll_make_report(s->roll, disp_old_version_inflight(s->disp), now);
-	why = roll_reason(s->roll);
+	report = roll_make_report(
+	    s->rollout, disp_old_version_inflight(s->disp), now);
+	why = roll_reason(s->rollout);
 	slog(SLOG_PICK, "a roll-out goes on",
 	    "service=%.*s hall=%.*s state=%s age_ms=%lld answers=%llu "
 	    "bad=%llu old_out=%u why=%s",
@@ -101,8 +103,8 @@
 send_report(struct gate *g, struct gate_shard *s,
     const struct route_service *svc, int64_t now)
 {
-	struct roll_report report =
-	    roll_make_report(s->roll, disp_old_version_inflight(s->disp), now);
+	struct roll_report report = roll_make_report(
+	    s->rollout, disp_old_version_inflight(s->disp), now);
 	struct msg m = {.kind = MSG_ROLLOUT};
 
 	s->roll_sent_at = now;
@@ -143,10 +145,10 @@
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		s = value;
-		if (s->roll == NULL || !str_eq(s->service, m->service) ||
+		if (s->rollout == NULL || !str_eq(s->service, m->service) ||
 		    str_eq(s->hall, m->hall))
 			continue;
-		roll_merge_report(s->roll, m->box, m->hall, &report, now);
+		roll_merge_report(s->rollout, m->box, m->hall, &report, now);
 	}
 }
 
@@ -164,7 +166,7 @@
 	s->roll_call = NULL;
 	s->roll_version =
 	    (uint64_t)json_integer_value(json_object_get(object, "version"));
-	slog(SLOG_PICK, "rollout state was written", "service=%.*s result=%s",
+	slog(SLOG_PICK, "roll-out state was written", "service=%.*s result=%s",
 	    STR_ARG(s->service), plat_result_name(result));
 }
 
@@ -217,7 +219,7 @@
 		if (!str_eq(svc->halls[i].hall, s->hall))
 			halls[n++] = svc->halls[i].hall;
 	state = roll_state_to_write(
-	    s->roll, halls, n, disp_old_version_inflight(s->disp), now);
+	    s->rollout, halls, n, disp_old_version_inflight(s->disp), now);
 	g_free(halls);
 	if ((int)state == svc->rollout->state || s->roll_call != NULL ||
 	    (state == s->roll_written_state &&
@@ -236,10 +238,10 @@
 {
 	if (!s->is_owner && disp_old_version_inflight(s->disp) == 0)
 		return false;
-	if (roll_state(s->roll) == ROLL_COMPLETED)
+	if (roll_state(s->rollout) == ROLL_COMPLETED)
 		return false;
 	return now - s->roll_sent_at >= REPORT_INTERVAL_NS ||
-	    roll_state(s->roll) != s->roll_logged_state;
+	    roll_state(s->rollout) != s->roll_logged_state;
 }
 
 static void
@@ -247,10 +249,10 @@
 {
 	const struct route_service *svc = route_service(g->routes, s->service);
 
-	if (s->roll == NULL || svc == NULL || svc->rollout == NULL)
+	if (s->rollout == NULL || svc == NULL || svc->rollout == NULL)
 		return;
 	if (s->is_owner)
-		roll_tick(s->roll, svc->has_new_version, now);
+		roll_tick(s->rollout, svc->has_new_version, now);
 	if (is_report_due(s, now))
 		send_report(g, s, svc, now);
 	log_state_change(s, now);
--- a/gate_stat.c
+++ b/gate_stat.c
@@ -93,7 +93,7 @@
 	"Rules that came into force in an older version.", CNT_COUNTER},
     [GC_LATENCY] = {"fern_answer_seconds",
 	"Time from a request's arrival to its answer's head.", CNT_HISTOGRAM},
-    [GC_HELD] = {"fern_held_seconds",
+    [GC_QUEUE_TIME] = {"fern_held_seconds",
 	"Time from a request's arrival to its sending.", CNT_HISTOGRAM},
 };
 
--- a/gate_try.c
+++ b/gate_try.c
@@ -72,7 +72,7 @@
 	    violation_names[d->violation]);
 	cnt_add(
 	    r->gate->cnt, GC_REPORT_OVERRIDDEN, d->violation != VIOLATION_NONE);
-	cnt_sample(r->gate->cnt, GC_HELD, d->sent_at - r->arrived_at);
+	cnt_sample(r->gate->cnt, GC_QUEUE_TIME, d->sent_at - r->arrived_at);
 	gate_flow_send(r, b->address, !d->repeatable);
 }
 
@@ -290,7 +290,7 @@
 
 	if (r->owner != NULL)
 		return head_from_owner(r, status, headers, n);
-	gate_report_from_answer(r, status, headers, n);
+	gate_report_from_response(r, status, headers, n);
 	outcome = outcome_of(r, status, headers, n);
 	if (outcome == DISP_OK)
 		return false;
--- a/gate_word.c
+++ b/gate_word.c
@@ -120,7 +120,7 @@
 }
 
 void
-gate_report_from_answer(
+gate_report_from_response(
     struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
 	const struct dialect *dialect = r->gate->dialect;
--- a/libgate.h
+++ b/libgate.h
@@ -120,7 +120,7 @@
 	GC_CONF_AGE,
 	GC_VERSIONS_REVERTED,
 	GC_LATENCY,
-	GC_HELD,
+	GC_QUEUE_TIME,
 	GC_MAX
 };
 
@@ -130,27 +130,28 @@
 	/* No request is forwarded to it before this time. */
 	int64_t suspect_until;
 	int64_t last_seen; /* time of the last sign of life, monotonic ns */
-	int64_t
-	    ping_sent; /* time of the unanswered ping, monotonic ns; 0: none */
+	/* Time of the unanswered ping, monotonic ns; 0: none. */
+	int64_t ping_sent;
 	unsigned outstanding; /* requests forwarded to it and not finished */
 	bool listed; /* it is in the agent's latest member list */
 };
 
 /*
- * A shard: the backend servers of one service in one hall.  A gate has one for
- * each shard that it owns or has owned.
+ * A shard: the backend servers of one service in one hall.  Its owner is the
+ * gate that queues and dispatches all requests for it.  A gate has one of these
+ * for each shard that it owns or has owned.
  */
 struct gate_shard {
 	struct gate *gate;
 	struct str service;
 	struct str hall;
 	struct disp *disp;
-	struct disp_capacity
-	    sent_capacity; /* capacity sent in the last summary */
+	/* Capacity sent in the last summary. */
+	struct disp_capacity sent_capacity;
 	int64_t capacity_sent_at;
 	bool is_owner; /* this gate takes itself for the shard's owner */
 	/* The rest belongs to gate_roll.c. */
-	struct roll *roll; /* rollout of the service; NULL: none */
+	struct roll *rollout; /* roll-out of the service; NULL: none */
 	enum roll_state roll_logged_state; /* state that was logged last */
 	/*
 	 * Times of the last report to the other owners and of the last write to
@@ -159,7 +160,7 @@
 	int64_t roll_sent_at, roll_written_at;
 	/* Write to the platform in flight; NULL: none. */
 	struct plat_call *roll_call;
-	/* Version of the rollout object in the response to the last write. */
+	/* Version of the roll-out object in the response to the last write. */
 	uint64_t roll_version;
 	enum obj_rollout_state roll_written_state; /* state in the last write */
 };
@@ -177,11 +178,11 @@
 	struct tmr_item tick;
 	/* Time of the last report to the agent, monotonic ns. */
 	int64_t last_report;
-	uv_signal_t term, intr;
+	uv_signal_t sigterm, sigint;
 	struct up *up;
 	struct wire *wire;
 	struct plat *plat;
-	const struct plat_adapter *form;
+	const struct plat_adapter *platform_adapter;
 	const struct dialect *dialect;
 	struct plat_bounds bounds;
 	/* Shared with the agent if it is set before gate_open(). */
@@ -217,8 +218,8 @@
 	struct limit_table *caller_limits;
 	/* Requests that this gate refused as owner of their shards. */
 	struct returns *returns;
-	GHashTable
-	    *callers_by_kind; /* char * "service/kind" to struct callers * */
+	/* char * "service/kind" to struct callers *. */
+	GHashTable *callers_by_kind;
 	GHashTable *rule_limits; /* char * name of a rule to struct limit * */
 	/* The next three belong to gate_rate.c. */
 	/*
@@ -234,7 +235,7 @@
 	/* Hash of the hubs and the routes that customers were assigned by. */
 	uint64_t rate_owners_hash;
 	GQueue reqs; /* struct gate_req *, all that are not disposed of */
-	uint64_t boot, seq;
+	uint64_t started_ms, last_seq;
 	int64_t last_tick, last_forwarded_in, leaving_since;
 	unsigned live_boxes; /* gates that are alive, including this one */
 	enum box_state state;
@@ -248,14 +249,18 @@
 bool gate_load(struct gate *, const char *file, const char *section, GError **);
 bool gate_open(struct gate *, GError **);
 void gate_start(struct gate *);
+/* Reads the settings file again; see ferngate(8) for what may change. */
 void gate_reload(struct gate *);
+/* Makes sure that the next tick is soon, as there is work for it. */
 void gate_tick_soon(struct gate *);
 
 /* gate_box.c: the states of the gate, from start to planned shutdown. */
 extern const struct chart_names gate_box_chart_names;
 void gate_box_open(struct gate *);
+/* The first configuration is in force; later calls have no effect. */
 void gate_box_configured(struct gate *);
 void gate_box_tick(struct gate *, int64_t now);
+/* Returns whether a planned shutdown has begun. */
 bool gate_box_leaving(const struct gate *);
 
 /*
@@ -263,47 +268,69 @@
  * that are built from it.
  */
 bool gate_conf_open(struct gate *, GError **);
+/* Handles a message from the agent or another gate; ctx is the gate. */
 void gate_conf_on_message(void *, const struct msg *);
+/* Reports the state of this gate to the agent. */
 void gate_conf_report(struct gate *);
+/* Time since the rules came into force, in ms; -1: there are none. */
 long long gate_conf_in_force_ms(const struct gate *);
+/* The same as gate_conf_report(), and that a box's gate does not answer. */
 void gate_conf_report_suspect(struct gate *, struct str box);
+/* Determines anew which shards this gate owns. */
 void gate_conf_update_owners(struct gate *);
+/* Returns a shard of this gate, which is created if there is none. */
 struct gate_shard *
 gate_conf_shard(struct gate *, const struct route_service *, struct str hall);
 
 /*
- * gate_owner.c: which gate owns a shard.  Functions that return an owner return
+ * gate_home.c: which gate owns a shard.  Functions that return an owner return
  * NULL and set *self if it is this gate.
  */
 struct gate_peer *
 gate_owner(struct gate *, struct str service, struct str hall, bool *self);
 /*
- * The owner of a name, chosen among the hubs of all halls. nth is 0 for the
+ * The owner of a name, chosen among the hubs of all halls.  nth is 0 for the
  * first choice, 1 for the next one.
  */
 struct gate_peer *
 gate_owner_by_name(struct gate *, struct str name, unsigned nth, bool *self);
+/* Returns a hash of the gates that may be owners. */
 uint64_t gate_owner_hash_hubs(struct gate *);
+/* The owner for a request that only some regions may serve. */
 struct gate_peer *gate_owner_in_regions(struct gate *, struct str service,
     struct str hall, struct str regions, bool *self);
+/* Applies the agent's member list. */
 void gate_owner_set_members(struct gate *, const struct msg_members *);
+/* Assigns the owners of all shards anew. */
 void gate_owner_assign(struct gate *);
+/*
+ * A gate does not respond: it is not used for a while, its requests are routed
+ * again where that is possible, and the agent is informed.
+ */
 void gate_owner_suspect(struct gate *, struct gate_peer *, const char *why);
+/* A message from the gate with this inbox has arrived. */
 void gate_owner_mark_alive(struct gate *, struct str inbox);
+/* Sends a message to the owners of the service's shards in other halls. */
 void gate_owner_send_others(struct gate *, const struct gate_shard *,
     const struct route_service *, struct msg *);
+/* Pings silent owners that have requests, and sends capacity summaries. */
 void gate_owner_tick(struct gate *, int64_t now);
+/* Applies the capacity that the owner of another hall's shard reports. */
 void gate_owner_on_summary(struct gate *, const struct msg_capacity *);
 void gate_owner_on_ping(struct gate *, const struct msg *);
+/* Returns a shard of this gate; NULL if there is none. */
 struct gate_shard *
 gate_conf_find_shard(struct gate *, struct str service, struct str hall);
 
 /* gate_req.c: the life cycle of a request. */
 struct gate_req;
 bool gate_req_open(struct gate *, GError **);
+/* Requests from callers and from other gates arrive; ctx is the gate. */
 void gate_req_from_caller(void *, h2o_req_t *);
 void gate_req_from_gate(void *, h2o_req_t *);
+/* Routes again the requests at an owner that does not respond. */
 void gate_req_owner_lost(struct gate *, struct gate_peer *);
+/* Number of requests that are not disposed of. */
 unsigned gate_req_count(const struct gate *);
 /* Before the gate exits: answers the requests that have no response yet. */
 void gate_req_end_all(struct gate *);
@@ -344,9 +371,7 @@
 void gate_poison_open(struct gate *);
 void gate_poison_tick(struct gate *, int64_t now);
 void gate_poison_merge(struct gate *, const struct msg_suspects *);
-/*
- * Sends all that is known to a hub that has started, or was not known before.
- */
+/* Sends what is known to a hub that is new or has restarted. */
 void gate_poison_send_to(struct gate *, const struct gate_peer *);
 
 /* gate_peek.c: load queries to backend servers. */
@@ -357,29 +382,38 @@
     struct gate_shard *, struct pick_backend *, const struct dial_report *);
 
 /* gate_words.c: exchanges these reports with other gates. */
+/* Stores a report that this gate received, and sends it to others. */
 void gate_reports_add(struct gate *, const struct backend_report *);
 void gate_reports_tick(struct gate *, int64_t now);
+/* Merges the reports in a message of another gate. */
 void gate_reports_merge(struct gate *, const struct msg_reports *);
+/* Sends a list of reports to a hub that is new or has restarted. */
 void gate_reports_send_to(struct gate *, const struct gate_peer *);
 
 /*
- * gate_roll.c: rollouts, reported to the other owners of the service's shards
+ * gate_roll.c: roll-outs, reported to the other owners of the service's shards
  * and to the platform.
  */
+/* Creates, updates or ends the roll-out of a shard. */
 void gate_roll_update(
     struct gate *, struct gate_shard *, const struct route_service *);
 void gate_roll_close(struct gate_shard *);
 void gate_roll_tick(struct gate *, int64_t now);
+/* Applies the report of another owner. */
 void gate_roll_merge(struct gate *, const struct msg_rollout *);
 
 /* gate_rate.c: rate limits of customers, each counted at one gate. */
 void gate_rate_open(struct gate *);
+/* Hubs or customers may have changed. */
 void gate_rate_update_owned(struct gate *);
+/* Replies to a rate query of another gate, or forwards it to the owner. */
 void
-gate_rate_answer(struct gate *, struct str from, const struct msg_rate_query *);
-void gate_rate_granted(struct gate *, const struct msg_rate_grant *);
+gate_rate_reply(struct gate *, struct str from, const struct msg_rate_query *);
+/* The reply to a rate query of this gate has arrived. */
+void gate_rate_on_grant(struct gate *, const struct msg_rate_grant *);
 
 /* gate_stat.c: metrics and the admin pages. */
+/* Returns the counters of the gate. */
 struct cnt *gate_stat_open(void);
 void gate_stat_page(void *, h2o_req_t *);
 
--- a/libreq.h
+++ b/libreq.h
@@ -45,7 +45,7 @@
 /* A request in the gate, from its arrival until h2o disposes of it. */
 struct gate_req {
 	struct disp_req disp;
-	h2o_generator_t gen;
+	h2o_generator_t generator;
 	struct gate *gate;
 	h2o_req_t *req; /* NULL once h2o has disposed of it */
 	GList link; /* in gate->reqs */
@@ -63,14 +63,14 @@
 	bool waits_for_conf; /* waits for the first configuration */
 	bool forwarded; /* it came from another gate */
 	int64_t arrived_at;
-	int64_t
-	    caller_deadline_ms; /* time limit that its caller gave; 0: none */
+	/* Time limit that its caller gave; 0: none. */
+	int64_t caller_deadline_ms;
 	/*
 	 * Time that its caller had waited before, as far as is known; 0: none.
 	 */
 	int64_t waited_ms;
-	uint64_t
-	    conf_version; /* version of the routes that it was admitted by */
+	/* Version of the routes that it was admitted by. */
+	uint64_t conf_version;
 	struct str rule, service; /* copies */
 	struct str hall; /* hall of the shard that it is assigned to; a copy */
 	struct str regions; /* regions that may serve it; a copy */
@@ -83,8 +83,8 @@
 	bool allow_outage;
 	struct gate_claim *claim;
 	struct gate_shard *shard; /* where it is queued or was sent from */
-	struct gate_peer
-	    *owner; /* owner that it was forwarded to; NULL: none */
+	/* Owner that it was forwarded to; NULL: none. */
+	struct gate_peer *owner;
 	struct up_call *call;
 	/* The deadline; once the response has begun, the silence timeout. */
 	struct tmr_item timer;
@@ -102,16 +102,16 @@
  */
 struct gate_forward {
 	unsigned hops; /* gates that have forwarded it, the sender included */
-	bool bulk, repeatable, retried;
-	bool within_retry_budget; /* its attempts so far are within a retry
-				     budget */
-	unsigned tries; /* backend servers that it was sent to */
+	bool bulk, repeatable, is_retry;
+	/* Its attempts so far are within a retry budget. */
+	bool within_retry_budget;
+	unsigned attempts; /* backend servers that it was sent to */
 	unsigned max_attempts; /* how many it may be sent to; 0: the default */
 	unsigned rank;
 	unsigned kind; /* requests of one kind take about the same time */
 	int64_t target_ms; /* time left until its target; 0: none */
-	int64_t
-	    caller_deadline_ms; /* time limit that its caller gave; 0: none */
+	/* Time limit that its caller gave; 0: none. */
+	int64_t caller_deadline_ms;
 	/*
 	 * Time its caller had waited before, already subtracted from target_ms.
 	 */
@@ -130,16 +130,23 @@
 /* Longest such header in bytes, with its NUL. */
 enum { GATE_FORWARD_MAX = 600 };
 
-/* gate_forward.c */
+/*
+ * gate_pass.c: reads and writes the header of a forwarded request.  Reading
+ * returns false if it is malformed; writing returns its length.
+ */
 bool gate_forward_read(struct str, struct gate_forward *);
 size_t gate_forward_write(const struct gate_forward *, char *, size_t);
 
-/* gate_req.c */
+/* gate_req.c: steps of a request's life cycle. */
+/* Moves the state by charts/request.toml. */
 void gate_req_event(struct gate_req *, enum req_event);
+/* Sends the request to the owner of its shard. */
 void gate_req_route(struct gate_req *);
 void gate_req_set_hall(struct gate_req *, struct str);
 void gate_req_set_deadline(struct gate_req *);
+/* Ends the claim of the request, if it has one. */
 void gate_req_settle_claim(struct gate_req *, bool not_run);
+/* Returns whether the request may have run, for an error response. */
 enum err_ran gate_req_ran(const struct gate_req *);
 
 /*
@@ -156,6 +163,7 @@
  * error.
  */
 void gate_rate_query(struct gate_req *);
+/* Cancels the rate query in flight, if there is one. */
 void gate_rate_cancel(struct gate_req *);
 
 /* gate_admit.c: the steps after the customer's rate limit. */
@@ -165,7 +173,7 @@
 void gate_early_wait(struct gate_req *);
 
 /*
- * gate_respond.c: ends a request with an error response. retry_after is in ns;
+ * gate_answer.c: ends a request with an error response.  retry_after is in ns;
  * 0: the default of the error kind.
  */
 void gate_respond(
@@ -173,24 +181,29 @@
 
 /* gate_flow.c: sends the request upstream, and its response to the caller. */
 void gate_flow_send(struct gate_req *, struct str address, bool fresh);
+/* Cancels the attempt under way. */
 void gate_flow_stop(struct gate_req *);
+/* Frees what the flow of a request holds. */
 void gate_flow_dispose(struct gate_req *);
+/* h2o has sent the last part of the response. */
 void gate_flow_proceed(h2o_generator_t *, h2o_req_t *);
 
 /* The flow reports how an attempt goes; gate_try.c decides what follows. */
 void gate_try_failed(struct gate_req *, enum err_kind);
 /* Returns whether the head is to be dropped, as the request is retried. */
 bool gate_try_head(struct gate_req *, int status, const h2o_header_t *, size_t);
+/* The response is complete. */
 void gate_try_end(struct gate_req *);
 /*
  * The attempt ended without a response: the caller is gone or the deadline
  * passed.
  */
 void gate_try_abandon(struct gate_req *, enum disp_outcome);
+/* Forwards the request to its owner. */
 void gate_try_owner(struct gate_req *);
 
 /* gate_word.c: what the backend server reports about itself in a response. */
-void gate_report_from_answer(
+void gate_report_from_response(
     struct gate_req *, int status, const h2o_header_t *, size_t);
 
 #endif
--- a/regress/test_platform.cpp
+++ b/regress/test_platform.cpp
@@ -584,7 +584,7 @@
 	in.within_retry_budget = true;
 	in.caller_deadline_ms = 780;
 	in.waited_ms = 20;
-	in.tries = 1;
+	in.attempts = 1;
 	in.max_attempts = 3;
 	in.rank = 2;
 	in.kind = 250;
@@ -600,11 +600,11 @@
 	EXPECT_EQ(1u, out.hops);
 	EXPECT_TRUE(out.repeatable);
 	EXPECT_FALSE(out.bulk);
-	EXPECT_FALSE(out.retried);
+	EXPECT_FALSE(out.is_retry);
 	EXPECT_TRUE(out.within_retry_budget);
 	EXPECT_EQ(780, out.caller_deadline_ms);
 	EXPECT_EQ(20, out.waited_ms);
-	EXPECT_EQ(1u, out.tries);
+	EXPECT_EQ(1u, out.attempts);
 	EXPECT_EQ(3u, out.max_attempts);
 	EXPECT_EQ(2u, out.rank);
 	EXPECT_EQ(250u, out.kind);
