--- a/gate_admit.c
+++ b/gate_admit.c
@@ -82,8 +82,8 @@
 }
 
 /*
- * Admits a request that another gate forwarded.  What the rule says was found
- * there, so that both gates agree even while their configurations differ.
+ * Admits a request that another gate forwarded.  That gate has applied the
+ * rule, so that both gates agree even while their configurations differ.
  */
 static void
 admit_forwarded(struct gate_req *r)
@@ -146,7 +146,7 @@
 	return !limit_allow(l, (double)rule->obj->rate * share, r->arrived_at);
 }
 
-/* Returns the address that a request comes from; it points into *sa. */
+/* Returns the address that a request comes from; it points into *addr. */
 static struct str
 address_of(const struct gate_req *r, struct sockaddr_storage *addr)
 {
--- a/gate_box.c
+++ b/gate_box.c
@@ -148,7 +148,8 @@
 	if (!gate_box_leaving(g) || elapsed < g->settings.leave_wait_ms * NS_MS)
 		return;
 	/*
-	 * Other gates may still forward requests; callers have had their time.
+	 * Other gates may still forward requests; callers have had the time to
+	 * go elsewhere.
 	 */
 	hsrv_stop_accepting(g->caller_server);
 	hsrv_close_idle(g->caller_server, IDLE_LEAVING_MS);
--- a/gate_flow.c
+++ b/gate_flow.c
@@ -262,8 +262,8 @@
 
 /*
  * Returns whether a response belongs to this request.  In dialects with request
- * ids a response repeats the id; one with another id is a late response to an
- * earlier request.
+ * ids a response repeats the id, which only those with a status of 300 or more
+ * may omit.  One with another id is a late response to an earlier request.
  */
 static bool
 is_own_response(
--- a/gate_rate.c
+++ b/gate_rate.c
@@ -25,7 +25,7 @@
  */
 
 /*
- * Timeout of a query.  Answers arrive within some milliseconds unless the owner
+ * Timeout of a query.  Replies arrive within some milliseconds unless the owner
  * is lost.
  */
 #define QUERY_TIMEOUT_NS (120 * NS_MS)
@@ -34,10 +34,10 @@
  * longer.  Requests of a customer that exceeds its rate all wait so long.
  */
 #define TOKEN_WAIT_MAX_NS (10 * NS_MS)
-/* Retry-After where no owner answered, or the customer is not known. */
+/* Retry-After where no owner replied, or the customer is not known. */
 #define RETRY_AFTER_NS (300 * NS_MS)
 
-enum { OWNERS_MAX = 2 }; /* that are queried for one request */
+enum { OWNERS_MAX = 2 }; /* owners that are queried for one request */
 
 static void on_query_timeout(void *);
 static void on_token(void *);
@@ -131,7 +131,7 @@
  * Forwards a query to the owner if this gate is not the owner.  Returns whether
  * it did.  When a hub comes back, other hubs take it for the owner at once, but
  * the last leaves only a second later.  Until then the hub that was the owner
- * meanwhile forwards the queries that it receives: if two gates answered, they
+ * meanwhile forwards the queries that it receives: if two gates replied, they
  * would allow twice the rate.
  */
 static bool
--- a/gate_req.c
+++ b/gate_req.c
@@ -36,8 +36,8 @@
     "request", state_names, REQ_STATE_MAX, event_names, REQ_EVENT_MAX};
 
 /*
- * Part of h2o's memory pool of a request; its disposal tells that h2o is done
- * with the request.
+ * Part of h2o's memory pool of a request; when the pool is freed, on_dispose()
+ * ends the request.
  */
 struct pool_guard {
 	struct gate_req *r;
--- a/gate_roll.c
+++ b/gate_roll.c
@@ -230,8 +230,8 @@
 }
 
 /*
- * Returns whether a report to the other owners is due.  A gate that owns the
- * shard no more still reports the requests that it has at the old version.
+ * Returns whether a report to the other owners is due.  A gate that no longer
+ * owns the shard still reports the requests that it has at the old version.
  */
 static bool
 is_report_due(const struct gate_shard *s, int64_t now)
--- a/gate_try.c
+++ b/gate_try.c
@@ -153,7 +153,7 @@
 	(void)b;
 }
 
-/* Forwards the request to r->peer. */
+/* Forwards the request to r->owner. */
 void
 gate_try_owner(struct gate_req *r)
 {
@@ -324,8 +324,8 @@
 
 /*
  * Counts the attempts of a request at an owner that was lost.  The owner may
- * have sent it to a backend server and moved it to a second one.  Whether it
- * charged the retry budget is not known.
+ * have sent it to a backend server and moved it to a second one.  Whether they
+ * were charged to a retry budget is not known, so they count as not charged.
  */
 static void
 count_lost_attempts(struct gate_req *r)
--- a/gate_word.c
+++ b/gate_word.c
@@ -61,7 +61,7 @@
 }
 
 /*
- * Returns whether a response tells the rate limit.  A response without a limit
+ * Returns whether a response states the rate limit.  A response without a limit
  * ends the limit, except for refusals, as the part of a backend server that
  * refuses may not know the limit.
  */
