--- a/customer.c
+++ b/customer.c
@@ -110,12 +110,12 @@
 }
 
 void
-customers_each(const struct customers *c, customers_visit_fn *visit, void *ctx)
+customers_each(const struct customers *c, customers_each_fn *fn, void *ctx)
 {
 	guint i;
 
 	for (i = 0; i < c->list->len; i++)
-		visit(ctx, g_ptr_array_index(c->list, i));
+		fn(ctx, g_ptr_array_index(c->list, i));
 }
 
 const struct customer *
--- a/customer.h
+++ b/customer.h
@@ -58,8 +58,8 @@
 const struct customer *customers_find(const struct customers *, struct str key);
 
 /* Calls the function for each customer. */
-typedef void customers_visit_fn(void *, const struct customer *);
-void customers_each(const struct customers *, customers_visit_fn *, void *);
+typedef void customers_each_fn(void *, const struct customer *);
+void customers_each(const struct customers *, customers_each_fn *, void *);
 
 /* Returns the customer of a name; NULL if there is none. */
 const struct customer *
--- a/disp_roll.c
+++ b/disp_roll.c
@@ -125,7 +125,7 @@
 	return took > SLOW_FACTOR * expected && took - expected > SLOW_LEAST_NS;
 }
 
-static enum verdict_answer
+static enum verdict_outcome
 answer_of(const struct disp *d, const struct disp_req *r,
     const struct pick_backend *b, enum disp_outcome outcome)
 {
--- a/gate_box.c
+++ b/gate_box.c
@@ -20,7 +20,7 @@
 
 enum {
 	/* No other gate has forwarded a request for so long. */
-	PASS_QUIET_MS = 500,
+	FORWARD_QUIET_MS = 500,
 	IDLE_LEAVING_MS = 100 /* an idle connection is closed after this */
 };
 
@@ -64,11 +64,11 @@
 static void
 step(struct gate *g, enum box_event event, const char *reason)
 {
-	enum box_state old = g->state;
+	enum box_state old_state = g->state;
 
-	g->state =
-	    (enum box_state)chart_step(g->chart_box, (int)old, (int)event);
-	if (g->state == old)
+	g->state = (enum box_state)chart_step(
+	    g->chart_box, (int)old_state, (int)event);
+	if (g->state == old_state)
 		return;
 	switch (g->state) {
 	case BOX_READY:
@@ -159,7 +159,7 @@
 		step(g, BOX_EV_ENDED, "grace period expired");
 		return;
 	}
-	if (now - g->last_forwarded_in < PASS_QUIET_MS * NS_MS)
+	if (now - g->last_forwarded_in < FORWARD_QUIET_MS * NS_MS)
 		return;
 	step(g, BOX_EV_WAITED, "");
 	if (gate_req_count(g) == 0)
--- a/gate_claim.c
+++ b/gate_claim.c
@@ -30,7 +30,7 @@
 };
 #define RELEASE_BACKOFF_NS (500 * NS_MS)
 
-enum phase { PHASE_CREATE, PHASE_READ, PHASE_HELD, PHASE_RELEASE };
+enum phase { PHASE_CREATE, PHASE_READ, PHASE_CLAIMED, PHASE_RELEASE };
 
 struct gate_claim {
 	struct gate *gate;
@@ -125,7 +125,7 @@
 	    kind == ERR_NONE ? "ours" : err_answer(kind)->name);
 	if (kind == ERR_DUPLICATE)
 		cnt_add(g->cnt, GC_DUPLICATES, 1);
-	c->phase = PHASE_HELD;
+	c->phase = PHASE_CLAIMED;
 	if (!claimed && c->maybe_there && kind != ERR_DUPLICATE)
 		gate_claim_release(c);
 	else if (!claimed)
--- a/gate_flow.c
+++ b/gate_flow.c
@@ -294,11 +294,11 @@
 		return;
 	}
 	/*
-	 * The call is cleared before gate_try_head(), as that may send the
+	 * The call is cleared before gate_attempt_head(), as that may send the
 	 * request again at once.
 	 */
 	r->call = NULL;
-	if (r->state == REQ_SENT && gate_try_head(r, status, headers, n)) {
+	if (r->state == REQ_SENT && gate_attempt_head(r, status, headers, n)) {
 		up_drain(call);
 		return;
 	}
@@ -390,7 +390,7 @@
 	    offsetof(struct gate_req, generator));
 
 	(void)req;
-	gate_try_abandon(r, DISP_CANCELED);
+	gate_attempt_abandon(r, DISP_CANCELED);
 }
 
 static void
@@ -423,7 +423,7 @@
 	struct gate_req *r = ctx;
 
 	detach_body(r, call);
-	gate_try_end(r);
+	gate_attempt_done(r);
 	send_more(r);
 }
 
@@ -434,7 +434,7 @@
 
 	r->call = NULL;
 	if (!r->response_started) {
-		gate_try_failed(r, kind);
+		gate_attempt_failed(r, kind);
 		return;
 	}
 	if (call != NULL)
@@ -443,6 +443,6 @@
 	r->body_cut = true;
 	slog_decision(SLOG_GATE, "answer was cut", "id=%.*s why=%s",
 	    STR_ARG(r->request_id), err_answer(kind)->name);
-	gate_try_failed(r, kind);
+	gate_attempt_failed(r, kind);
 	send_more(r);
 }
--- a/gate_home.c
+++ b/gate_home.c
@@ -423,7 +423,7 @@
 }
 
 void
-gate_owner_suspect(struct gate *g, struct gate_peer *p, const char *why)
+gate_owner_suspect(struct gate *g, struct gate_peer *p, const char *reason)
 {
 	int64_t now = clk_ns(g->clk);
 
@@ -433,7 +433,7 @@
 	p->suspect_until = now + rnd_jitter(g->rnd, SUSPECT_NS);
 	cnt_add(g->cnt, GC_OWNERS_SUSPECTED, 1);
 	slog(SLOG_ROUTE, "a home is left", "box=%.*s why=%s outstanding=%u",
-	    STR_ARG(p->info.box), slog_quote(why), p->outstanding);
+	    STR_ARG(p->info.box), slog_quote(reason), p->outstanding);
 	gate_conf_report_suspect(g, p->info.box);
 	gate_req_owner_lost(g, p);
 }
--- a/gate_peek.c
+++ b/gate_peek.c
@@ -25,10 +25,10 @@
 struct load_query {
 	struct gate *gate;
 	struct str service, hall, backend, address;
-	int64_t born_ms; /* start time of the process that is queried */
+	int64_t started_ms; /* start time of the process that is queried */
 	struct up_call *call;
 	struct tmr_item timer;
-	struct dial_report word; /* load.pace 0: no load is reported */
+	struct dial_report report; /* load.latency_percent 0: no load */
 };
 
 static void on_connected(void *, struct up_call *);
@@ -64,7 +64,7 @@
 	q->hall = str_dup(s->hall);
 	q->backend = str_dup(b->name);
 	q->address = str_dup(b->address);
-	q->born_ms = b->started_ms;
+	q->started_ms = b->started_ms;
 	cnt_add(g->cnt, GC_LOAD_QUERIES, 1);
 	tmr_set(&g->tmr, &q->timer, clk_ns(g->clk) + TIMEOUT_NS, on_timeout, q);
 	q->call = up_start(g->up, &request, &load_query_ops, q);
@@ -79,9 +79,9 @@
 {
 	struct pick_backend *b = disp_find_backend(s->disp, q->backend);
 
-	if (b != NULL && b->started_ms == q->born_ms &&
+	if (b != NULL && b->started_ms == q->started_ms &&
 	    str_eq(b->address, q->address))
-		gate_report_from_query(s, b, &q->word);
+		gate_report_from_query(s, b, &q->report);
 }
 
 /* Ends the query.  The shard and the backend server may be gone by now. */
@@ -98,8 +98,8 @@
 		apply_report(q, s);
 	if (s != NULL)
 		disp_load_query_done(s->disp, q->backend, answered,
-		    q->word.load.running, q->word.load.waiting,
-		    q->word.load.latency_percent);
+		    q->report.load.running, q->report.load.waiting,
+		    q->report.load.latency_percent);
 	str_free(&q->service);
 	str_free(&q->hall);
 	str_free(&q->backend);
@@ -126,9 +126,9 @@
 	struct load_query *q = ctx;
 
 	(void)call;
-	q->gate->dialect->parse_report(status, headers, n, &q->word);
-	if (!q->word.has_load)
-		q->word.load.latency_percent = 0;
+	q->gate->dialect->parse_report(status, headers, n, &q->report);
+	if (!q->report.has_load)
+		q->report.load.latency_percent = 0;
 }
 
 static void
--- a/gate_req.c
+++ b/gate_req.c
@@ -46,14 +46,14 @@
 void
 gate_req_event(struct gate_req *r, enum req_event event)
 {
-	enum req_state old = r->state;
+	enum req_state old_state = r->state;
 
 	r->state = (enum req_state)chart_step(
 	    r->gate->chart_request, (int)r->state, (int)event);
-	if (r->state == REQ_BROKEN && old != REQ_BROKEN)
+	if (r->state == REQ_BROKEN && old_state != REQ_BROKEN)
 		slog(SLOG_GATE, "a state met an event that it must not meet",
 		    "id=%.*s event=%s state=%s", STR_ARG(r->request_id),
-		    event_names[event], state_names[old]);
+		    event_names[event], state_names[old_state]);
 }
 
 enum err_ran
@@ -107,12 +107,12 @@
 }
 
 static void
-arrive(struct gate *g, h2o_req_t *req, bool passed)
+arrive(struct gate *g, h2o_req_t *req, bool forwarded)
 {
 	struct gate_req *r = req_new(g, req);
 
-	r->forwarded = passed;
-	cnt_add(g->cnt, passed ? GC_FORWARDED_IN : GC_REQUESTS, 1);
+	r->forwarded = forwarded;
+	cnt_add(g->cnt, forwarded ? GC_FORWARDED_IN : GC_REQUESTS, 1);
 	if (gate_box_leaving(g))
 		req->http1_is_persistent = 0;
 	if (g->state != BOX_EMPTY)
@@ -189,7 +189,7 @@
 		r->owner = gate_owner_in_regions(
 		    g, svc->name, hall, r->regions, &self);
 	if (!self && r->forwards < HOPS_MAX + 1) {
-		gate_try_owner(r);
+		gate_attempt_forward(r);
 		return;
 	}
 	r->owner = NULL;
@@ -224,7 +224,7 @@
 	struct gate_req *r = ctx;
 	enum err_ran ran = gate_req_ran(r);
 
-	gate_try_abandon(r, DISP_TIMED_OUT);
+	gate_attempt_abandon(r, DISP_TIMED_OUT);
 	gate_respond(r, ERR_DEADLINE, ran, 0);
 }
 
@@ -257,7 +257,7 @@
 		    STR_ARG(r->request_id),
 		    (long long)((clk_ns(g->clk) - r->arrived_at) / NS_MS),
 		    state_names[r->state]);
-		gate_try_abandon(r, DISP_CANCELED);
+		gate_attempt_abandon(r, DISP_CANCELED);
 		gate_req_event(r, REQ_EV_END);
 	}
 	gate_req_settle_claim(r, not_run);
@@ -297,7 +297,7 @@
 		if (!should_end(r) || r->disp.queued != queued)
 			continue;
 		ran = gate_req_ran(r);
-		gate_try_abandon(r, DISP_CANCELED);
+		gate_attempt_abandon(r, DISP_CANCELED);
 		gate_respond(r, ERR_LEAVING, ran, 0);
 	}
 }
--- a/gate_roll.c
+++ b/gate_roll.c
@@ -77,14 +77,14 @@
 {
 	enum roll_state state = roll_state(s->rollout);
 	struct roll_report report;
-	const char *why;
+	const char *reason;
 
 	if (state == s->roll_logged_state)
 		return;
 	s->roll_logged_state = state;
 	report = roll_make_report(
 	    s->rollout, disp_old_version_inflight(s->disp), now);
-	why = roll_reason(s->rollout);
+	reason = roll_reason(s->rollout);
 	slog(SLOG_PICK, "a roll-out goes on",
 	    "service=%.*s hall=%.*s state=%s age_ms=%lld answers=%llu "
 	    "bad=%llu old_out=%u why=%s",
@@ -92,7 +92,7 @@
 	    roll_chart_names.states[state], (long long)(report.age / NS_MS),
 	    (unsigned long long)report.answers,
 	    (unsigned long long)report.failures, report.old_in_flight,
-	    slog_quote(why != NULL ? why : ""));
+	    slog_quote(reason != NULL ? reason : ""));
 }
 
 /*
--- a/gate_stat.c
+++ b/gate_stat.c
@@ -18,7 +18,7 @@
 static void page_metrics(struct gate *, h2o_req_t *);
 static void page_ready(struct gate *, h2o_req_t *);
 static void page_backends(struct gate *, h2o_req_t *);
-static void page_homes(struct gate *, h2o_req_t *);
+static void page_owners(struct gate *, h2o_req_t *);
 
 static const struct cnt_desc descs[GC_MAX] = {
     [GC_REQUESTS] = {"fern_requests_total",
@@ -104,7 +104,7 @@
     {"/metrics", page_metrics},
     {"/ready", page_ready},
     {"/backends", page_backends},
-    {"/homes", page_homes},
+    {"/homes", page_owners},
 };
 
 struct cnt *
@@ -175,7 +175,7 @@
 }
 
 static void
-answer_json(h2o_req_t *req, json_t *value)
+respond_json(h2o_req_t *req, json_t *value)
 {
 	char *text = json_dumps(value, JSON_COMPACT);
 
@@ -196,7 +196,7 @@
 		p.shard = value;
 		disp_foreach_backend(p.shard->disp, print_backend, &p);
 	}
-	answer_json(req, p.list);
+	respond_json(req, p.list);
 }
 
 struct owner_list {
@@ -226,12 +226,12 @@
 }
 
 static void
-page_homes(struct gate *g, h2o_req_t *req)
+page_owners(struct gate *g, h2o_req_t *req)
 {
 	struct owner_list owners = {g, json_array()};
 
 	route_each(g->routes, print_service, &owners);
-	answer_json(req, owners.list);
+	respond_json(req, owners.list);
 }
 
 void
--- a/gate_try.c
+++ b/gate_try.c
@@ -88,7 +88,7 @@
 	r->owner =
 	    gate_owner_in_regions(r->gate, r->service, hall, r->regions, &self);
 	if (!self) {
-		gate_try_owner(r);
+		gate_attempt_forward(r);
 		return;
 	}
 	r->shard = gate_conf_shard(
@@ -155,7 +155,7 @@
 
 /* Forwards the request to r->owner. */
 void
-gate_try_owner(struct gate_req *r)
+gate_attempt_forward(struct gate_req *r)
 {
 	struct gate_peer *p = r->owner;
 
@@ -283,7 +283,7 @@
 }
 
 bool
-gate_try_head(
+gate_attempt_head(
     struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
 	enum disp_outcome outcome;
@@ -315,7 +315,7 @@
 
 /* The response is complete; frees the slot. */
 void
-gate_try_end(struct gate_req *r)
+gate_attempt_done(struct gate_req *r)
 {
 	leave_owner(r);
 	if (r->disp.backend != NULL)
@@ -385,7 +385,7 @@
 }
 
 void
-gate_try_failed(struct gate_req *r, enum err_kind kind)
+gate_attempt_failed(struct gate_req *r, enum err_kind kind)
 {
 	enum disp_outcome outcome =
 	    kind == ERR_CONNECT ? DISP_CONNECT_FAILED : DISP_CONN_BROKEN;
@@ -411,7 +411,7 @@
 }
 
 void
-gate_try_abandon(struct gate_req *r, enum disp_outcome outcome)
+gate_attempt_abandon(struct gate_req *r, enum disp_outcome outcome)
 {
 	gate_flow_stop(r);
 	leave_owner(r);
@@ -443,7 +443,7 @@
 void
 gate_req_owner_lost(struct gate *g, struct gate_peer *p)
 {
-	GPtrArray *lost = g_ptr_array_new();
+	GPtrArray *rerouted = g_ptr_array_new();
 	struct gate_req *r;
 	GList *link;
 	guint i;
@@ -451,15 +451,15 @@
 	for (link = g->reqs.head; link != NULL; link = link->next) {
 		r = link->data;
 		if (r->owner == p && may_reroute(r))
-			g_ptr_array_add(lost, r);
+			g_ptr_array_add(rerouted, r);
 	}
-	for (i = 0; i < lost->len; i++) {
-		r = g_ptr_array_index(lost, i);
+	for (i = 0; i < rerouted->len; i++) {
+		r = g_ptr_array_index(rerouted, i);
 		if (r->state == REQ_SENT)
 			count_lost_attempts(r);
 		gate_flow_stop(r);
 		leave_owner(r);
 		route_again(r);
 	}
-	g_ptr_array_free(lost, TRUE);
+	g_ptr_array_free(rerouted, TRUE);
 }
--- a/libgate.h
+++ b/libgate.h
@@ -307,7 +307,7 @@
  * A gate does not respond: it is not used for a while, its requests are routed
  * again where that is possible, and the agent is informed.
  */
-void gate_owner_suspect(struct gate *, struct gate_peer *, const char *why);
+void gate_owner_suspect(struct gate *, struct gate_peer *, const char *reason);
 /* A message from the gate with this inbox has arrived. */
 void gate_owner_mark_alive(struct gate *, struct str inbox);
 /* Sends a message to the owners of the service's shards in other halls. */
--- a/libreq.h
+++ b/libreq.h
@@ -189,18 +189,19 @@
 void gate_flow_proceed(h2o_generator_t *, h2o_req_t *);
 
 /* The flow reports how an attempt goes; gate_try.c decides what follows. */
-void gate_try_failed(struct gate_req *, enum err_kind);
+void gate_attempt_failed(struct gate_req *, enum err_kind);
 /* Returns whether the head is to be dropped, as the request is retried. */
-bool gate_try_head(struct gate_req *, int status, const h2o_header_t *, size_t);
+bool
+gate_attempt_head(struct gate_req *, int status, const h2o_header_t *, size_t);
 /* The response is complete. */
-void gate_try_end(struct gate_req *);
+void gate_attempt_done(struct gate_req *);
 /*
  * The attempt ended without a response: the caller is gone or the deadline
  * passed.
  */
-void gate_try_abandon(struct gate_req *, enum disp_outcome);
+void gate_attempt_abandon(struct gate_req *, enum disp_outcome);
 /* Forwards the request to its owner. */
-void gate_try_owner(struct gate_req *);
+void gate_attempt_forward(struct gate_req *);
 
 /* gate_word.c: what the backend server reports about itself in a response. */
 void gate_report_from_response(
--- a/regress/test_roll.cpp
+++ b/regress/test_roll.cpp
@@ -47,7 +47,7 @@
 
 /* Bad answers of each version, as shares, and how many of each come. */
 struct Trial {
-	enum verdict_answer bad;
+	enum verdict_outcome bad;
 	double old_share, new_share;
 	int answers;
 };
--- a/roll.c
+++ b/roll.c
@@ -204,7 +204,7 @@
 
 void
 roll_request_ended(
-    struct roll *r, bool at_new, unsigned kind, enum verdict_answer answer)
+    struct roll *r, bool at_new, unsigned kind, enum verdict_outcome answer)
 {
 	const char *why;
 
@@ -223,7 +223,7 @@
 static uint64_t
 answers_of(const struct roll *r)
 {
-	uint64_t n = r->verdict.answers;
+	uint64_t n = r->verdict.responses;
 	guint i;
 
 	for (i = 0; i < r->others->len; i++)
@@ -262,7 +262,7 @@
 {
 	return (struct roll_report){.age = now - r->ordered,
 	    .state = r->state,
-	    .answers = r->verdict.answers,
+	    .answers = r->verdict.responses,
 	    .failures = r->verdict.bad,
 	    .old_in_flight = old_out};
 }
--- a/roll.h
+++ b/roll.h
@@ -90,7 +90,7 @@
 
 /* And has ended there. */
 void roll_request_ended(
-    struct roll *, bool at_new, unsigned kind, enum verdict_answer);
+    struct roll *, bool at_new, unsigned kind, enum verdict_outcome);
 
 /* Time passes; are there usable servers of the new version here? */
 void roll_tick(struct roll *, bool has_new, int64_t now);
--- a/verdict.c
+++ b/verdict.c
@@ -35,7 +35,7 @@
  */
 static const struct measure {
 	const char *why;
-	enum verdict_answer answer;
+	enum verdict_outcome outcome;
 	/* The old version's share is taken for at least this. */
 	double share_min;
 	/* Excess of a bad version's share over the old one's. */
@@ -58,7 +58,7 @@
 verdict_open(struct verdict *v)
 {
 	v->kinds = g_array_new(FALSE, TRUE, sizeof(struct verdict_kind));
-	v->answers = v->bad = 0;
+	v->responses = v->bad = 0;
 }
 
 void
@@ -86,17 +86,17 @@
 }
 
 void
-verdict_add_old(struct verdict *v, unsigned kind, enum verdict_answer answer)
+verdict_add_old(struct verdict *v, unsigned kind, enum verdict_outcome outcome)
 {
 	struct verdict_kind *k = find_or_add_kind(v, kind);
 	int i;
 
-	if (answer == VERDICT_IGNORED)
+	if (outcome == VERDICT_IGNORED)
 		return;
 	k->n = MIN(k->n + 1, WINDOW);
 	for (i = 0; i < MEASURES; i++)
 		k->share[i] +=
-		    ((answer == measures[i].answer) - k->share[i]) / k->n;
+		    ((outcome == measures[i].outcome) - k->share[i]) / k->n;
 }
 
 /*
@@ -114,20 +114,20 @@
 }
 
 const char *
-verdict_add_new(struct verdict *v, unsigned kind, enum verdict_answer answer)
+verdict_add_new(struct verdict *v, unsigned kind, enum verdict_outcome outcome)
 {
 	struct verdict_kind *k = find_or_add_kind(v, kind);
 	const struct measure *m;
 	int i;
 
-	if (answer == VERDICT_IGNORED)
+	if (outcome == VERDICT_IGNORED)
 		return NULL;
-	v->answers++;
-	v->bad += answer != VERDICT_GOOD;
+	v->responses++;
+	v->bad += outcome != VERDICT_GOOD;
 	for (i = 0; i < MEASURES; i++) {
 		m = &measures[i];
 		k->sum[i] +=
-		    log_likelihood_ratio(m, k->share[i], answer == m->answer);
+		    log_likelihood_ratio(m, k->share[i], outcome == m->outcome);
 		k->sum[i] = MAX(k->sum[i], 0);
 		if (k->sum[i] >= SUM_THRESHOLD)
 			return m->why;
--- a/verdict.h
+++ b/verdict.h
@@ -27,7 +27,7 @@
  */
 
 /* Outcome of one attempt, as far as it counts for or against a version. */
-enum verdict_answer {
+enum verdict_outcome {
 	VERDICT_GOOD,
 	VERDICT_SLOW, /* took several times the expected time */
 	VERDICT_FAILED,
@@ -36,7 +36,7 @@
 
 struct verdict {
 	GArray *kinds; /* struct verdict_kind */
-	uint64_t answers; /* responses of the new version that count */
+	uint64_t responses; /* responses of the new version that count */
 	uint64_t bad; /* those of them that are failed or slow */
 };
 
@@ -44,13 +44,13 @@
 void verdict_close(struct verdict *);
 
 /* Adds a response of the old version. */
-void verdict_add_old(struct verdict *, unsigned kind, enum verdict_answer);
+void verdict_add_old(struct verdict *, unsigned kind, enum verdict_outcome);
 
 /*
  * Adds a response of the new version.  Returns NULL, or a static string with
  * the reason if the new version is worse by now.
  */
 const char *
-verdict_add_new(struct verdict *, unsigned kind, enum verdict_answer);
+verdict_add_new(struct verdict *, unsigned kind, enum verdict_outcome);
 
 #endif
--- a/word.c
+++ b/word.c
@@ -49,7 +49,7 @@
 }
 
 static void
-word_free(void *p)
+report_free(void *p)
 {
 	struct backend_report *report = p;
 
@@ -62,7 +62,7 @@
 {
 	struct backend_reports *reports = g_new0(struct backend_reports, 1);
 
-	reports->v = g_ptr_array_new_with_free_func(word_free);
+	reports->v = g_ptr_array_new_with_free_func(report_free);
 	reports->by_name = g_hash_table_new(name_hash, name_equal);
 	reports->unsent = g_ptr_array_new();
 	return reports;
@@ -124,18 +124,19 @@
  * server.  An unknown one matches any.
  */
 static bool
-is_other_start(int64_t born_ms, int64_t other_ms)
+is_other_start(int64_t started_ms, int64_t other_started_ms)
 {
-	return born_ms != 0 && other_ms != 0 && born_ms != other_ms;
+	return started_ms != 0 && other_started_ms != 0 &&
+	    started_ms != other_started_ms;
 }
 
 static void
-reset(struct backend_report *report, int64_t born_ms)
+reset(struct backend_report *report, int64_t started_ms)
 {
 	struct str backend = report->backend;
 
-	*report =
-	    (struct backend_report){.backend = backend, .started_ms = born_ms};
+	*report = (struct backend_report){
+	    .backend = backend, .started_ms = started_ms};
 }
 
 bool
@@ -166,13 +167,13 @@
 }
 
 const struct backend_report *
-reports_find(
-    const struct backend_reports *reports, struct str backend, int64_t born_ms)
+reports_find(const struct backend_reports *reports, struct str backend,
+    int64_t started_ms)
 {
 	const struct backend_report *report =
 	    g_hash_table_lookup(reports->by_name, &backend);
 
-	return report == NULL || is_other_start(report->started_ms, born_ms)
+	return report == NULL || is_other_start(report->started_ms, started_ms)
 	    ? NULL
 	    : report;
 }
--- a/word.h
+++ b/word.h
@@ -58,7 +58,7 @@
  * none.
  */
 const struct backend_report *reports_find(
-    const struct backend_reports *, struct str backend, int64_t born_ms);
+    const struct backend_reports *, struct str backend, int64_t started_ms);
 
 /* Marks the report of a backend server as changed and not sent yet. */
 void reports_mark_unsent(struct backend_reports *, struct str backend);
