--- a/gate_poison.c
+++ b/gate_poison.c
@@ -26,8 +26,8 @@
 #define LIST_INTERVAL_NS (500 * NS_MS)
 
 /*
- * Sends what this gate knows to one gate, or, if `to` is NULL, to all that are
- * listed and to the agent.
+ * Sends what this gate knows to one gate, or, if `to` is NULL, to all listed
+ * gates and the agent.
  */
 static void
 send_list(struct gate *g, const struct gate_peer *to)
--- a/gate_words.c
+++ b/gate_words.c
@@ -55,8 +55,8 @@
 }
 
 /*
- * Sends reports to one gate, or, if `to` is NULL, to all that are listed, only
- * to those of this hall if same_hall is set.
+ * Sends reports to one gate, or, if `to` is NULL, to all listed gates, or to
+ * those of this hall if same_hall is set.
  */
 static void
 send_reports(struct gate *g, const struct backend_report *reports, unsigned n,
