--- a/gate_conf.c
+++ b/gate_conf.c
@@ -248,16 +248,16 @@
 static void
 use_all_halls(struct gate_shard *s, const struct route_service *svc)
 {
-	GArray *all =
+	GArray *backends =
 	    g_array_new(FALSE, FALSE, sizeof(struct disp_backend_conf));
 	unsigned i;
 
 	for (i = 0; i < svc->nhalls; i++)
 		g_array_append_vals(
-		    all, svc->halls[i].backends, svc->halls[i].n);
-	disp_set_backends(
-	    s->disp, (const struct disp_backend_conf *)all->data, all->len);
-	g_array_free(all, TRUE);
+		    backends, svc->halls[i].backends, svc->halls[i].n);
+	disp_set_backends(s->disp,
+	    (const struct disp_backend_conf *)backends->data, backends->len);
+	g_array_free(backends, TRUE);
 }
 
 /*
@@ -269,16 +269,16 @@
 static struct cold_limit
 cold_limit_of(const struct gate *g, const struct obj_service *svc)
 {
-	struct cold_limit bound = {.rate = svc->cold_rate,
+	struct cold_limit limit = {.rate = svc->cold_rate,
 	    .burst = svc->cold_rate,
 	    .duration = svc->cold_ms * NS_MS};
 
 	if (g->bounds.cold_rate_factor > 0)
-		bound.rate *= g->bounds.cold_rate_factor;
+		limit.rate *= g->bounds.cold_rate_factor;
 	if (g->bounds.cold_rate_slack > 0)
-		bound.burst = g->bounds.cold_rate_slack * COLD_SLACK_SHARE;
-	bound.burst = MAX(bound.burst, 1);
-	return bound;
+		limit.burst = g->bounds.cold_rate_slack * COLD_SLACK_SHARE;
+	limit.burst = MAX(limit.burst, 1);
+	return limit;
 }
 
 static void
@@ -297,7 +297,7 @@
 	    .reports = g->reports,
 	    .hall = s->hall,
 	};
-	struct str other;
+	struct str other_hall;
 	unsigned i;
 
 	gate_roll_update(g, s, svc);
@@ -318,13 +318,13 @@
 		return;
 	}
 	for (i = 0; i < svc->nhalls; i++) {
-		other = svc->halls[i].hall;
-		if (str_eq(other, s->hall))
+		other_hall = svc->halls[i].hall;
+		if (str_eq(other_hall, s->hall))
 			continue;
-		disp_set_hall_slots(s->disp, other, svc->halls[i].slots);
-		disp_set_hall_region(s->disp, other,
-		    region_of(g->settings.regions, other),
-		    region_is_same(g->settings.regions, s->hall, other));
+		disp_set_hall_slots(s->disp, other_hall, svc->halls[i].slots);
+		disp_set_hall_region(s->disp, other_hall,
+		    region_of(g->settings.regions, other_hall),
+		    region_is_same(g->settings.regions, s->hall, other_hall));
 	}
 	disp_set_backends(s->disp, hall == NULL ? NULL : hall->backends,
 	    hall == NULL ? 0 : hall->n);
--- a/gate_flow.c
+++ b/gate_flow.c
@@ -20,10 +20,11 @@
  */
 
 enum {
-	BODY_BUFFER_MAX = 256 * 1024, /* of a response body, in bytes */
-	HEADERS_MAX = 128,
+	/* Largest part of a response body that is buffered, in bytes. */
+	BODY_BUFFER_MAX = 256 * 1024,
+	HEADERS_MAX = 128, /* of a request that is sent */
 	ADDED_HEADERS_MAX = 5,
-	FORWARD_MARGIN_MS = 5
+	FORWARD_MARGIN_MS = 5 /* see request_headers() */
 };
 
 /* Longest silence of the other side in the middle of a response. */
@@ -170,7 +171,7 @@
 }
 
 void
-gate_flow_send(struct gate_req *r, struct str address, bool fresh)
+gate_flow_send(struct gate_req *r, struct str address, bool new_connection)
 {
 	h2o_header_t headers[HEADERS_MAX];
 	struct added_headers added;
@@ -182,7 +183,7 @@
 	    .host = str_n(req->authority.base, req->authority.len),
 	    .headers = headers,
 	    .body = str_n(req->entity.base, req->entity.len),
-	    .new_connection = fresh,
+	    .new_connection = new_connection,
 	};
 
 	up_req.nheaders = request_headers(r, headers, &added);
--- a/gate_home.c
+++ b/gate_home.c
@@ -246,8 +246,8 @@
 /*
  * The owner of a shard is one of the hubs of its hall, or of all hubs where the
  * hall has none.  All requests for the service in that hall go through it.
- * Gates need not agree on the owner: a gate that another one takes for the
- * owner acts as the owner.
+ * Gates need not agree on the owner: a gate acts as the owner of every request
+ * that others forward to it as such.
  */
 struct gate_peer *
 gate_owner(struct gate *g, struct str service, struct str hall, bool *self)
--- a/gate_open.c
+++ b/gate_open.c
@@ -25,9 +25,9 @@
 #define TICK_QUEUED_NS (10 * NS_MS)
 #define TICK_BUSY_NS (25 * NS_MS)
 #define TICK_IDLE_NS (250 * NS_MS)
-#define REPORT_NS (1 * NS_S)
-/* A tick that is so late means that the process was paused. */
-#define PAUSE_NS (1 * NS_S)
+#define REPORT_INTERVAL_NS (1 * NS_S)
+/* A tick that is so late means that the process was suspended. */
+#define SUSPENDED_NS (1 * NS_S)
 
 static void on_tick(void *);
 static bool open_charts(struct gate *, GError **);
@@ -260,9 +260,11 @@
 	    open_listeners(g, err);
 }
 
-/* After a pause of this process the silence of other gates means nothing. */
+/*
+ * After a suspension of this process the silence of other gates means nothing.
+ */
 static void
-on_pause(struct gate *g, int64_t now, int64_t gap)
+on_suspended(struct gate *g, int64_t now, int64_t gap)
 {
 	struct gate_peer *p;
 	guint i;
@@ -307,8 +309,8 @@
 	GHashTableIter it;
 	gpointer value;
 
-	if (g->last_tick != 0 && gap > PAUSE_NS)
-		on_pause(g, now, gap);
+	if (g->last_tick != 0 && gap > SUSPENDED_NS)
+		on_suspended(g, now, gap);
 	g->last_tick = now;
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
@@ -319,7 +321,7 @@
 	gate_poison_tick(g, now);
 	gate_reports_tick(g, now);
 	gate_roll_tick(g, now);
-	if (now - g->last_report >= REPORT_NS) {
+	if (now - g->last_report >= REPORT_INTERVAL_NS) {
 		g->last_report = now;
 		gate_conf_report(g);
 	}
--- a/gate_rate.c
+++ b/gate_rate.c
@@ -129,7 +129,7 @@
 
 /*
  * Forwards a query to the owner if this gate is not the owner.  Returns whether
- * it did.  When a hub comes back, other hubs take it for the owner at once, but
+ * it did.  When a hub comes back, other hubs consider it the owner at once, but
  * the last leaves only a second later.  Until then the hub that was the owner
  * meanwhile forwards the queries that it receives: if two gates replied, they
  * would allow twice the rate.
--- a/gate_req.c
+++ b/gate_req.c
@@ -51,7 +51,7 @@
 	r->state = (enum req_state)chart_step(
 	    r->gate->chart_request, (int)r->state, (int)event);
 	if (r->state == REQ_BROKEN && old_state != REQ_BROKEN)
-		slog(SLOG_GATE, "a state met an event that it must not meet",
+		slog(SLOG_GATE, "event is not allowed in this state",
 		    "id=%.*s event=%s state=%s", STR_ARG(r->request_id),
 		    event_names[event], state_names[old_state]);
 }
@@ -72,15 +72,15 @@
 static struct str
 request_id_of(const struct gate *g, const h2o_req_t *req, uint64_t seq)
 {
-	struct str name = str_c(NULL);
-	char number[24];
+	struct str id = str_c(NULL);
+	char text[24];
 
 	if (g->dialect->request_id.n > 0)
-		name = hsrv_header(req, g->dialect->request_id.p);
-	if (name.n > 0)
-		return str_dup(name);
-	snprintf(number, sizeof(number), "%llu", (unsigned long long)seq);
-	return str_dup(str_c(number));
+		id = hsrv_header(req, g->dialect->request_id.p);
+	if (id.n > 0)
+		return str_dup(id);
+	snprintf(text, sizeof(text), "%llu", (unsigned long long)seq);
+	return str_dup(str_c(text));
 }
 
 static struct gate_req *
@@ -164,7 +164,7 @@
 	return r->hall;
 }
 
-/* Sends the request to the owner of its shard, which may be this gate. */
+/* Routes the request to the owner of its shard, which may be this gate. */
 void
 gate_req_route(struct gate_req *r)
 {
--- a/gate_roll.c
+++ b/gate_roll.c
@@ -12,10 +12,10 @@
 #include "slog.h"
 
 /*
- * Roll-outs: the owners of a service's shards report their state to each other,
+ * Roll-outs: the owners of a service's shards report their state to each other
  * and to the platform.  The owner of the first hall writes to the platform, on
- * condition that the roll-out object has not changed; if two gates take
- * themselves for that owner, the platform accepts only one write.
+ * condition that the roll-out object has not changed; if two gates consider
+ * themselves that owner, the platform accepts only one write.
  */
 #define REPORT_INTERVAL_NS (250 * NS_MS)
 /*
--- a/libgate.h
+++ b/libgate.h
@@ -149,8 +149,8 @@
 	/* Capacity sent in the last summary. */
 	struct disp_capacity sent_capacity;
 	int64_t capacity_sent_at;
-	bool is_owner; /* this gate takes itself for the shard's owner */
-	/* The rest belongs to gate_roll.c. */
+	bool is_owner; /* this gate considers itself the owner */
+	/* The members below are used only by gate_roll.c. */
 	struct roll *rollout; /* roll-out of the service; NULL: none */
 	enum roll_state roll_logged_state; /* state that was logged last */
 	/*
@@ -205,7 +205,8 @@
 	GHashTable *shards; /* char * "service/hall" to struct gate_shard * */
 	GPtrArray *peers; /* struct gate_peer *, the hubs of all halls */
 	GHashTable *owners; /* char * "service/hall" to struct shard_owner * */
-	bool is_hub; /* this box is a hub of its hall, so it may own shards */
+	/* This box is a hub, which may own shards, and not a leaf. */
+	bool is_hub;
 	struct poison *poison; /* requests that crash backend servers */
 	int64_t poison_sent_at; /* last periodic list to a hub, monotonic ns */
 	/* What backend servers reported about themselves. */
@@ -221,7 +222,7 @@
 	/* char * "service/kind" to struct callers *. */
 	GHashTable *callers_by_kind;
 	GHashTable *rule_limits; /* char * name of a rule to struct limit * */
-	/* The next three belong to gate_rate.c. */
+	/* The next three members are used only by gate_rate.c. */
 	/*
 	 * Maps char * customer to struct bucket *, for customers that this gate
 	 * owns.
@@ -232,7 +233,7 @@
 	 * uint64_t, is part of the request.
 	 */
 	GHashTable *rate_queries;
-	/* Hash of the hubs and the routes that customers were assigned by. */
+	/* Hash of the hubs and the routes by which customers were assigned. */
 	uint64_t rate_owners_hash;
 	GQueue reqs; /* struct gate_req *, all that are not disposed of */
 	uint64_t started_ms, last_seq;
--- a/libreq.h
+++ b/libreq.h
@@ -37,7 +37,10 @@
 	REQ_EVENT_MAX
 };
 
-/* Most gates that forward a request; the next one schedules it itself. */
+/*
+ * Largest number of gates that forward a request; the next one dispatches it
+ * itself.
+ */
 enum { HOPS_MAX = 2 };
 
 extern const struct chart_names req_chart_names;
@@ -77,7 +80,7 @@
 	struct str customer; /* customer that it is made for; a copy */
 	/* gate_rate.c: number of the rate query in flight; 0: none */
 	uint64_t rate_query;
-	unsigned rate_owners_tried; /* gates that were queried */
+	unsigned rate_owners_tried; /* owners that were queried */
 	/* Timeout of the query, or the wait that was granted. */
 	struct tmr_item rate_timer;
 	bool allow_outage;
@@ -180,7 +183,7 @@
     struct gate_req *, enum err_kind, enum err_ran, int64_t retry_after);
 
 /* gate_flow.c: sends the request upstream, and its response to the caller. */
-void gate_flow_send(struct gate_req *, struct str address, bool fresh);
+void gate_flow_send(struct gate_req *, struct str address, bool new_connection);
 /* Cancels the attempt under way. */
 void gate_flow_stop(struct gate_req *);
 /* Frees what the flow of a request holds. */
