--- a/disp_roll.c
+++ b/disp_roll.c
@@ -132,7 +132,7 @@
 	    elapsed - expected > SLOW_MIN_EXCESS_NS;
 }
 
-static enum verdict_answer
+static enum verdict_outcome
 classify_response(const struct disp *d, const struct disp_req *r,
     const struct pick_backend *b, enum disp_outcome outcome)
 {
--- a/gate_flow.c
+++ b/gate_flow.c
@@ -15,19 +15,20 @@
 #include "slog.h"
 
 /*
- * The way of a request to the other side, and of the answer back to its
+ * Sends a request to a backend server or another gate, and its response to the
  * caller.
  */
 
 enum {
-	BUFFER_MAX = 256 * 1024, /* of an answer, between both sides */
-	HEADERS_MAX = 128,
-	OWN_HEADERS = 5,
-	PASS_MARGIN_MS = 5
+	/* Largest part of a response body that is buffered, in bytes. */
+	BODY_BUFFER_MAX = 256 * 1024,
+	HEADERS_MAX = 128, /* of a request that is sent */
+	ADDED_HEADERS_MAX = 5,
+	FORWARD_MARGIN_MS = 5 /* see request_headers() */
 };
 
-/* The other side may be silent for so long in the middle of an answer. */
-#define SILENCE_NS (30 * NS_S)
+/* Longest silence of the other side in the middle of a response. */
+#define SILENCE_TIMEOUT_NS (30 * NS_S)
 
 static void on_connected(void *, struct up_call *);
 static void
@@ -35,7 +36,7 @@
 static void on_body(void *, struct up_call *);
 static void on_end(void *, struct up_call *);
 static void on_fail(void *, struct up_call *, enum err_kind);
-static void on_silence(void *);
+static void on_silence_timeout(void *);
 static void on_stop(h2o_generator_t *, h2o_req_t *);
 static void send_more(struct gate_req *);
 
@@ -43,15 +44,18 @@
     on_connected, on_head, on_body, on_end, on_fail};
 
 static bool
-is_header(const h2o_iovec_t *name, struct str other)
+names_match(const h2o_iovec_t *name, struct str other)
 {
 	return name->len == other.n &&
 	    strncasecmp(name->base, other.p, other.n) == 0;
 }
 
-/* Headers that belong to one connection, or that we write ourselves. */
+/*
+ * Returns whether a header belongs to one connection only, or is written by the
+ * gate itself.
+ */
 static bool
-is_hop_header(const h2o_iovec_t *name, const struct dialect *dialect)
+is_hop_by_hop_header(const h2o_iovec_t *name, const struct dialect *dialect)
 {
 	static const char *const names[] = {"connection", "keep-alive", "te",
 	    "trailer", "transfer-encoding", "upgrade", "content-length", "host",
@@ -60,43 +64,43 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(names); i++)
-		if (is_header(name, str_c(names[i])))
+		if (names_match(name, str_c(names[i])))
 			return true;
-	return is_header(name, dialect->deadline) ||
-	    (dialect->instance.n > 0 && is_header(name, dialect->instance)) ||
+	return names_match(name, dialect->deadline) ||
+	    (dialect->instance.n > 0 && names_match(name, dialect->instance)) ||
 	    (dialect->customer_key.n > 0 &&
-		is_header(name, dialect->customer_key)) ||
-	    (dialect->customer.n > 0 && is_header(name, dialect->customer));
+		names_match(name, dialect->customer_key)) ||
+	    (dialect->customer.n > 0 && names_match(name, dialect->customer));
 }
 
-/* The headers that we write ourselves, and room for what they point to. */
-struct own_headers {
-	h2o_iovec_t names[OWN_HEADERS];
+/* Headers that the gate adds, with the buffers that they point to. */
+struct added_headers {
+	h2o_iovec_t names[ADDED_HEADERS_MAX];
 	char deadline[24];
-	char pass[GATE_FORWARD_MAX];
+	char forward[GATE_FORWARD_MAX];
 };
 
 static h2o_header_t
-own_header(
-    struct own_headers *own, size_t at, struct str name, struct str value)
+added_header(struct added_headers *added, size_t index, struct str name,
+    struct str value)
 {
-	own->names[at] = h2o_iovec_init(name.p, name.n);
-	return (h2o_header_t){
-	    .name = &own->names[at], .value = h2o_iovec_init(value.p, value.n)};
+	added->names[index] = h2o_iovec_init(name.p, name.n);
+	return (h2o_header_t){.name = &added->names[index],
+	    .value = h2o_iovec_init(value.p, value.n)};
 }
 
 static struct str
-pass_text(const struct gate_req *r, struct own_headers *own, int64_t now)
+forward_text(const struct gate_req *r, struct added_headers *added, int64_t now)
 {
-	struct gate_forward pass = {
+	struct gate_forward forward = {
 	    .hops = (unsigned)r->hops + 1,
 	    .bulk = r->disp.cls == CLASS_BULK,
 	    .repeatable = r->disp.repeatable,
-	    .retried = r->maybe_ran || r->disp.is_retry,
+	    .is_retry = r->maybe_ran || r->disp.is_retry,
 	    .within_retry_budget = r->disp.budget_charged,
 	    .caller_deadline_ms = r->caller_deadline_ms,
 	    .waited_ms = r->waited_ms,
-	    .tries = (unsigned)r->disp.attempt_count,
+	    .attempts = (unsigned)r->disp.attempt_count,
 	    .max_attempts = (unsigned)r->disp.max_attempts,
 	    .rank = (unsigned)r->disp.rank,
 	    .kind = r->disp.kind,
@@ -110,75 +114,81 @@
 	};
 
 	if (r->disp.target != 0)
-		pass.target_ms = MAX((r->disp.target - now) / NS_MS, 1);
-	return str_n(
-	    own->pass, gate_forward_write(&pass, own->pass, sizeof(own->pass)));
+		forward.target_ms = MAX((r->disp.target - now) / NS_MS, 1);
+	return str_n(added->forward,
+	    gate_forward_write(
+		&forward, added->forward, sizeof(added->forward)));
 }
 
 /*
- * A gate that it is passed to has a little less time, so that its answer is
- * here before ours would be due.
+ * Writes the headers of a request and returns their number.  A gate that the
+ * request is forwarded to gets a deadline that is a little earlier, so that its
+ * response arrives before this gate's deadline.
  */
 static size_t
-request_headers(struct gate_req *r, h2o_header_t *out, struct own_headers *own)
+request_headers(
+    struct gate_req *r, h2o_header_t *out, struct added_headers *added)
 {
 	const struct dialect *dialect = r->gate->dialect;
 	const h2o_headers_t *in = &r->req->headers;
 	int64_t now = clk_ns(r->gate->clk);
-	int64_t left = (r->disp.deadline - now) / NS_MS;
-	struct str pass;
+	int64_t left_ms = (r->disp.deadline - now) / NS_MS;
+	struct str forward;
 	size_t i, n = 0;
 
-	for (i = 0; i < in->size && n < HEADERS_MAX - OWN_HEADERS; i++)
-		if (!is_hop_header(in->entries[i].name, dialect))
+	for (i = 0; i < in->size && n < HEADERS_MAX - ADDED_HEADERS_MAX; i++)
+		if (!is_hop_by_hop_header(in->entries[i].name, dialect))
 			out[n++] = in->entries[i];
 	if (r->owner != NULL)
-		left -= PASS_MARGIN_MS;
-	snprintf(own->deadline, sizeof(own->deadline), "%lld",
-	    (long long)MAX(left, 1));
-	out[n] = own_header(own, 0, dialect->deadline, str_c(own->deadline));
+		left_ms -= FORWARD_MARGIN_MS;
+	snprintf(added->deadline, sizeof(added->deadline), "%lld",
+	    (long long)MAX(left_ms, 1));
+	out[n] =
+	    added_header(added, 0, dialect->deadline, str_c(added->deadline));
 	n++;
 	if (r->owner != NULL) {
-		pass = pass_text(r, own, now);
-		out[n] = own_header(own, 1, STR_LIT(GATE_FORWARD_HEADER), pass);
+		forward = forward_text(r, added, now);
+		out[n] = added_header(
+		    added, 1, STR_LIT(GATE_FORWARD_HEADER), forward);
 		n++;
 		return n;
 	}
 	if (dialect->retried.n > 0 && (r->maybe_ran || r->disp.is_retry)) {
-		out[n] = own_header(own, 2, dialect->retried, STR_LIT("yes"));
+		out[n] =
+		    added_header(added, 2, dialect->retried, STR_LIT("yes"));
 		n++;
 	}
 	if (dialect->instance.n > 0 && r->disp.backend != NULL) {
-		out[n] = own_header(
-		    own, 3, dialect->instance, r->disp.backend->name);
+		out[n] = added_header(
+		    added, 3, dialect->instance, r->disp.backend->name);
 		n++;
 	}
 	if (dialect->customer.n > 0 && r->customer.n > 0) {
-		out[n] = own_header(own, 4, dialect->customer, r->customer);
+		out[n] = added_header(added, 4, dialect->customer, r->customer);
 		n++;
 	}
 	return n;
 }
 
 void
-gate_flow_send(struct gate_req *r, struct str address, bool fresh)
+gate_flow_send(struct gate_req *r, struct str address, bool new_connection)
 {
 	h2o_header_t headers[HEADERS_MAX];
-	struct own_headers own;
+	struct added_headers added;
 	h2o_req_t *req = r->req;
-	struct up_request rq = {
+	struct up_request up_req = {
 	    .address = address,
 	    .method = str_n(req->method.base, req->method.len),
 	    .path = str_n(req->path.base, req->path.len),
 	    .host = str_n(req->authority.base, req->authority.len),
 	    .headers = headers,
 	    .body = str_n(req->entity.base, req->entity.len),
-	    .new_connection = fresh,
+	    .new_connection = new_connection,
 	};
 
-	rq.nheaders = request_headers(r, headers, &own);
+	up_req.nheaders = request_headers(r, headers, &added);
 	gate_req_event(r, REQ_EV_TRY);
-	r->call = up_start(r->gate->up, &rq, &flow_ops, r);
+	r->call = up_start(r->gate->up, &up_req, &flow_ops, r);
 }
 
 void
@@ -207,7 +217,7 @@
 }
 
 static void
-on_silence(void *ctx)
+on_silence_timeout(void *ctx)
 {
 	struct gate_req *r = ctx;
 
@@ -218,15 +228,16 @@
 }
 
 static void
-watch_silence(struct gate_req *r)
+restart_silence_timer(struct gate_req *r)
 {
 	struct gate *g = r->gate;
 
-	tmr_set(&g->tmr, &r->timer, clk_ns(g->clk) + SILENCE_NS, on_silence, r);
+	tmr_set(&g->tmr, &r->timer, clk_ns(g->clk) + SILENCE_TIMEOUT_NS,
+	    on_silence_timeout, r);
 }
 
 static void
-answer_headers(struct gate_req *r, const h2o_header_t *headers, size_t n)
+copy_response_headers(struct gate_req *r, const h2o_header_t *headers, size_t n)
 {
 	h2o_req_t *req = r->req;
 	unsigned long long len;
@@ -241,7 +252,7 @@
 			name.base, name.len, H2O_STRLIT("content-length")) &&
 		    str_u64(str_n(value.base, value.len), &len))
 			req->res.content_length = (size_t)len;
-		if (is_hop_header(&name, r->gate->dialect))
+		if (is_hop_by_hop_header(&name, r->gate->dialect))
 			continue;
 		name = h2o_strdup(&req->pool, name.base, name.len);
 		value = h2o_strdup(&req->pool, value.base, value.len);
@@ -251,11 +262,12 @@
 }
 
 /*
- * An answer names its request.  One that names another is late, and came in
- * the place of ours.
+ * Returns whether a response belongs to this request.  In dialects with request
+ * ids a response repeats the id, which only those with a status of 300 or more
+ * may omit.  One with another id is a late response to an earlier request.
  */
 static bool
-is_own_answer(
+is_own_response(
     const struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
 	const struct dialect *dialect = r->gate->dialect;
@@ -277,44 +289,47 @@
 	h2o_req_t *req = r->req;
 	struct gate *g = r->gate;
 
-	if (r->owner == NULL && !is_own_answer(r, status, headers, n)) {
+	if (r->owner == NULL && !is_own_response(r, status, headers, n)) {
 		gate_flow_stop(r);
 		on_fail(r, NULL, ERR_CUT);
 		return;
 	}
 	/*
-	 * The state is left before the judge is asked, as that may send the
+	 * The call is cleared before gate_attempt_head(), as that may send the
 	 * request again at once.
 	 */
 	r->call = NULL;
-	if (r->state == REQ_SENT && gate_try_head(r, status, headers, n)) {
+	if (r->state == REQ_SENT && gate_attempt_head(r, status, headers, n)) {
 		up_drain(call);
 		return;
 	}
 	r->call = call;
 	gate_req_event(r, REQ_EV_HEAD);
-	watch_silence(r);
+	restart_silence_timer(r);
 	cnt_sample(g->cnt, GC_LATENCY, clk_ns(g->clk) - r->arrived_at);
 	req->res.status = status;
 	req->res.reason = status < 400 ? "OK" : "Error";
-	answer_headers(r, headers, n);
+	copy_response_headers(r, headers, n);
 	if (gate_box_leaving(g))
 		req->http1_is_persistent = 0;
-	r->gen.proceed = gate_flow_proceed;
-	r->gen.stop = on_stop;
+	r->generator.proceed = gate_flow_proceed;
+	r->generator.stop = on_stop;
 	r->response_started = true;
 	r->disp.can_retry = false;
-	h2o_start_response(req, &r->gen);
+	h2o_start_response(req, &r->generator);
 }
 
-/* Without a target each answer is. */
+/* Returns whether the target is met; without a target it always is. */
 static bool
-is_in_time(const struct gate_req *r)
+meets_target(const struct gate_req *r)
 {
 	return r->disp.target == 0 || clk_ns(r->gate->clk) <= r->disp.target;
 }
 
-/* Hand the caller what is there, and the end when it has been reached. */
+/*
+ * Sends the caller the body received so far, and the end of the response once
+ * that is reached.
+ */
 static void
 send_more(struct gate_req *r)
 {
@@ -342,7 +357,7 @@
 		    "id=%.*s service=%.*s status=%d whole=%d in_time=%d "
 		    "ms=%lld tries=%d",
 		    STR_ARG(r->request_id), STR_ARG(r->service),
-		    r->req->res.status, !r->body_cut, is_in_time(r),
+		    r->req->res.status, !r->body_cut, meets_target(r),
 		    (long long)((clk_ns(r->gate->clk) - r->arrived_at) / NS_MS),
 		    r->disp.attempt_count);
 		tmr_clear(&r->gate->tmr, &r->timer);
@@ -354,28 +369,29 @@
 void
 gate_flow_proceed(h2o_generator_t *gen, h2o_req_t *req)
 {
-	struct gate_req *r =
-	    (struct gate_req *)((char *)gen - offsetof(struct gate_req, gen));
+	struct gate_req *r = (struct gate_req *)((char *)gen -
+	    offsetof(struct gate_req, generator));
 
 	(void)req;
 	if (r->send_buffer.bytes_inflight > 0)
 		h2o_doublebuffer_consume(&r->send_buffer);
-	if (r->call != NULL && (*up_body(r->call))->size < BUFFER_MAX / 2) {
+	if (r->call != NULL &&
+	    (*up_body(r->call))->size < BODY_BUFFER_MAX / 2) {
 		up_resume(r->call);
-		watch_silence(r);
+		restart_silence_timer(r);
 	}
 	send_more(r);
 }
 
-/* h2o breaks the answer off; on_dispose follows. */
+/* h2o aborts the response; on_dispose() follows. */
 static void
 on_stop(h2o_generator_t *gen, h2o_req_t *req)
 {
-	struct gate_req *r =
-	    (struct gate_req *)((char *)gen - offsetof(struct gate_req, gen));
+	struct gate_req *r = (struct gate_req *)((char *)gen -
+	    offsetof(struct gate_req, generator));
 
 	(void)req;
-	gate_try_abandon(r, DISP_CANCELED);
+	gate_attempt_abandon(r, DISP_CANCELED);
 }
 
 static void
@@ -383,21 +399,21 @@
 {
 	struct gate_req *r = ctx;
 
-	watch_silence(r);
+	restart_silence_timer(r);
 	send_more(r);
-	if (r->call == call && (*up_body(call))->size >= BUFFER_MAX) {
+	if (r->call == call && (*up_body(call))->size >= BODY_BUFFER_MAX) {
 		tmr_clear(&r->gate->tmr, &r->timer);
 		up_pause(call);
 	}
 }
 
 static void
-keep_rest(struct gate_req *r, struct up_call *call)
+detach_body(struct gate_req *r, struct up_call *call)
 {
-	h2o_buffer_t **body = up_body(call), *swap = r->unsent_body;
+	h2o_buffer_t **body = up_body(call), *spare = r->unsent_body;
 
 	r->unsent_body = *body;
-	*body = swap;
+	*body = spare;
 	r->call = NULL;
 	r->body_ended = true;
 }
@@ -407,8 +423,8 @@
 {
 	struct gate_req *r = ctx;
 
-	keep_rest(r, call);
-	gate_try_end(r);
+	detach_body(r, call);
+	gate_attempt_done(r);
 	send_more(r);
 }
 
@@ -419,15 +435,15 @@
 
 	r->call = NULL;
 	if (!r->response_started) {
-		gate_try_failed(r, kind);
+		gate_attempt_failed(r, kind);
 		return;
 	}
 	if (call != NULL)
-		keep_rest(r, call);
+		detach_body(r, call);
 	r->body_ended = true;
 	r->body_cut = true;
 	slog_decision(SLOG_GATE, "answer was cut", "id=%.*s why=%s",
 	    STR_ARG(r->request_id), err_answer(kind)->name);
-	gate_try_failed(r, kind);
+	gate_attempt_failed(r, kind);
 	send_more(r);
 }
--- a/gate_open.c
+++ b/gate_open.c
@@ -14,24 +14,27 @@
 #include "set.h"
 #include "slog.h"
 
-/* The gate's settings and its start, and the tick that all its parts share. */
+/* The gate's settings and start-up, and the tick that all its parts share. */
 
 enum { ADMIN_BODY_MAX = 4096 };
 
-/* Between two looks at the dispatchers: with requests held, out, or none. */
-#define TICK_HELD_NS (10 * NS_MS)
+/*
+ * Intervals of the tick: with requests queued, with requests in flight, and
+ * with none.
+ */
+#define TICK_QUEUED_NS (10 * NS_MS)
 #define TICK_BUSY_NS (25 * NS_MS)
 #define TICK_IDLE_NS (250 * NS_MS)
-#define REPORT_NS (1 * NS_S)
-/* A tick that comes so late tells that the process was paused. */
-#define PAUSE_NS (1 * NS_S)
+#define REPORT_INTERVAL_NS (1 * NS_S)
+/* A tick that is so late means that the process was suspended. */
+#define SUSPENDED_NS (1 * NS_S)
 
 static void on_tick(void *);
 static bool open_charts(struct gate *, GError **);
 
 #define F(member) offsetof(struct gate_settings, member)
 
-static const char *const words_route[] = {"home", "alone", NULL};
+static const char *const route_names[] = {"home", "alone", NULL};
 
 static const struct field fields[] = {
     {.name = "box", .type = FIELD_NAME, .offset = F(box), .required = true},
@@ -71,7 +74,7 @@
     {.name = "route",
 	.type = FIELD_WORD,
 	.offset = F(route),
-	.words = words_route},
+	.words = route_names},
     {.name = "body_max",
 	.type = FIELD_INT,
 	.offset = F(body_max),
@@ -156,8 +159,8 @@
 }
 
 /*
- * Read the settings anew and take over what may change while the gate runs.
- * A file that is not valid changes nothing.
+ * Reads the settings file again and applies the settings that may change at run
+ * time.  A file that is not valid changes nothing.
  */
 void
 gate_reload(struct gate *g)
@@ -177,8 +180,8 @@
 	g->settings.summary_ms = set.summary_ms;
 	g->settings.silent_ms = set.silent_ms;
 	g->settings.ping_wait_ms = set.ping_wait_ms;
-	if (g->form->parse_bounds != NULL)
-		g->form->parse_bounds(set.bounds, &g->bounds);
+	if (g->platform_adapter->parse_bounds != NULL)
+		g->platform_adapter->parse_bounds(set.bounds, &g->bounds);
 	field_free(fields, G_N_ELEMENTS(fields), &set);
 	slog(SLOG_GATE, "settings are read anew", "file=%s", g->settings_file);
 }
@@ -195,21 +198,22 @@
 		return err_set(err, ERR_SETTINGS,
 		    "%s: policy: found \"%s\"; allowed is fern, pace or naive",
 		    file, g->settings.policy.p);
-	g->form = plat_adapter_by_name(g->settings.platform_form);
-	if (g->form == NULL)
+	g->platform_adapter = plat_adapter_by_name(g->settings.platform_form);
+	if (g->platform_adapter == NULL)
 		return err_set(err, ERR_SETTINGS,
 		    "%s: platform_form: found \"%s\"; allowed is fern or "
 		    "objects",
 		    file, g->settings.platform_form.p);
-	g->dialect = g->form->dialect;
-	if (g->form->parse_bounds != NULL)
-		g->form->parse_bounds(g->settings.bounds, &g->bounds);
+	g->dialect = g->platform_adapter->dialect;
+	if (g->platform_adapter->parse_bounds != NULL)
+		g->platform_adapter->parse_bounds(
+		    g->settings.bounds, &g->bounds);
 	slog(SLOG_GATE, "bounds", "retry_ratio=%.2f retry_slack=%lld",
 	    g->bounds.retry_ratio, (long long)g->bounds.retry_slack);
 	return open_charts(g, err);
 }
 
-/* Open all that the settings say to listen on. */
+/* Opens the sockets that the gate listens on. */
 static bool
 open_listeners(struct gate *g, GError **err)
 {
@@ -237,17 +241,17 @@
 gate_open(struct gate *g, GError **err)
 {
 	g->loop = uv_default_loop();
-	g->boot = (uint64_t)clk_wall_ms(g->clk);
+	g->started_ms = (uint64_t)clk_wall_ms(g->clk);
 	g->live_boxes = 1;
 	tmr_open(&g->tmr, g->loop, g->clk);
 	g->up = up_open(g->loop, &g->tmr, g->clk);
-	g->plat = plat_http_open(
-	    g->up, &g->tmr, g->clk, g->settings.platform, g->form->codec);
+	g->plat = plat_http_open(g->up, &g->tmr, g->clk, g->settings.platform,
+	    g->platform_adapter->codec);
 	g->cnt = gate_stat_open();
 	g->peers = g_ptr_array_new();
 	g->owners =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	/* Until its agent tells of other boxes a gate is on its own. */
+	/* Until the agent sends a member list, this gate owns all shards. */
 	g->is_hub = true;
 	gate_poison_open(g);
 	g->reports = reports_new();
@@ -256,9 +260,11 @@
 	    open_listeners(g, err);
 }
 
-/* A pause tells nothing of the others. */
+/*
+ * After a suspension of this process the silence of other gates means nothing.
+ */
 static void
-was_paused(struct gate *g, int64_t now, int64_t gap)
+on_suspended(struct gate *g, int64_t now, int64_t gap)
 {
 	struct gate_peer *p;
 	guint i;
@@ -272,8 +278,9 @@
 }
 
 /*
- * Looks that need no exact time go by one tick, which is rare while there is
- * nothing to look at: waking up is most of what an idle process costs.
+ * Returns the time until the next tick.  Work that needs no exact time is done
+ * by one tick, which is rare while there is little to do, as wake-ups are most
+ * of the cost of an idle process.
  */
 static int64_t
 next_tick(const struct gate *g)
@@ -288,7 +295,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		s = value;
 		if (disp_capacity_of(s->disp).queued > 0)
-			return TICK_HELD_NS;
+			return TICK_QUEUED_NS;
 	}
 	return TICK_BUSY_NS;
 }
@@ -302,8 +309,8 @@
 	GHashTableIter it;
 	gpointer value;
 
-	if (g->last_tick != 0 && gap > PAUSE_NS)
-		was_paused(g, now, gap);
+	if (g->last_tick != 0 && gap > SUSPENDED_NS)
+		on_suspended(g, now, gap);
 	g->last_tick = now;
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
@@ -314,7 +321,7 @@
 	gate_poison_tick(g, now);
 	gate_reports_tick(g, now);
 	gate_roll_tick(g, now);
-	if (now - g->last_report >= REPORT_NS) {
+	if (now - g->last_report >= REPORT_INTERVAL_NS) {
 		g->last_report = now;
 		gate_conf_report(g);
 	}
@@ -323,11 +330,11 @@
 	tmr_set(&g->tmr, &g->tick, now + next_tick(g), on_tick, g);
 }
 
-/* A request has come: the next look must not be far. */
+/* A request has arrived: makes sure that the next tick is soon. */
 void
 gate_tick_soon(struct gate *g)
 {
-	int64_t at = clk_ns(g->clk) + TICK_HELD_NS;
+	int64_t at = clk_ns(g->clk) + TICK_QUEUED_NS;
 
 	if (g->tick.armed && g->tick.item.deadline > at)
 		tmr_set(&g->tmr, &g->tick, at, on_tick, g);
@@ -340,6 +347,6 @@
 	gate_box_open(g);
 	slog(SLOG_GATE, "started", "box=%s hall=%s listen=%s policy=%s form=%s",
 	    g->settings.box.p, g->settings.hall.p, g->settings.listen.p,
-	    g->settings.policy.p, g->form->name);
+	    g->settings.policy.p, g->platform_adapter->name);
 	gate_conf_report(g);
 }
--- a/gate_pass.c
+++ b/gate_pass.c
@@ -12,32 +12,35 @@
 
 #include "libreq.h"
 
-/* The header that a gate sends with a request that it passes on. */
+/* Format of the header that a gate sends with a request that it forwards. */
 
-enum { FIELDS = 16 };
+enum { NUMBERS = 16 };
 
-/* No region is named: a word in the place of their names. */
+/* Placeholder where no regions are named. */
 static const char ANY_REGION[] = "-";
 
-/* A customer's name stands behind this sign, as any word may be a name. */
-enum { CUSTOMER_SIGN = '=' };
+/* Prefix of the customer's name, which may be empty or any text. */
+enum { CUSTOMER_PREFIX = '=' };
 
-/* Cut the text up to the next blank off the rest; false if there is none. */
+/*
+ * Cuts the text up to the next blank off `text`.  Returns false if there is no
+ * blank.
+ */
 static bool
-next_word(struct str *rest, struct str *word)
+next_field(struct str *text, struct str *field)
 {
-	const char *blank = memchr(rest->p, ' ', rest->n);
+	const char *blank = memchr(text->p, ' ', text->n);
 
 	if (blank == NULL)
 		return false;
-	*word = str_n(rest->p, (size_t)(blank - rest->p));
-	*rest = str_n(blank + 1, rest->n - word->n - 1);
+	*field = str_n(text->p, (size_t)(blank - text->p));
+	*text = str_n(blank + 1, text->n - field->n - 1);
 	return true;
 }
 
 /*
- * Numbers divided by blanks, then the names of the hall, of regions, of the
- * customer, and of the service.
+ * Numbers separated by blanks, then the names of the hall, the regions, the
+ * customer and the service.
  */
 bool
 gate_forward_read(struct str text, struct gate_forward *out)
@@ -54,14 +57,14 @@
 	copy[text.n] = '\0';
 	n = sscanf(copy,
 	    "%u %u %u %u %u %u %u %u %u %lld %lld %lld %llx %llx %llx %u %n",
-	    &out->hops, &bulk, &repeatable, &retried, &paid, &out->tries,
+	    &out->hops, &bulk, &repeatable, &retried, &paid, &out->attempts,
 	    &out->max_attempts, &out->rank, &out->kind, &target, &left, &waited,
 	    &hi, &lo, &caller, &suspect, &at);
-	if (n != FIELDS || at == 0)
+	if (n != NUMBERS || at == 0)
 		return false;
 	out->bulk = bulk != 0;
 	out->repeatable = repeatable != 0;
-	out->retried = retried != 0;
+	out->is_retry = retried != 0;
 	out->within_retry_budget = paid != 0;
 	out->suspect = suspect != 0;
 	out->target_ms = target;
@@ -69,10 +72,10 @@
 	out->waited_ms = waited;
 	out->fingerprint = (struct fprint){hi, lo, caller};
 	out->service = str_n(text.p + at, text.n - (size_t)at);
-	if (!next_word(&out->service, &out->target_hall) ||
-	    !next_word(&out->service, &out->regions) ||
-	    !next_word(&out->service, &out->customer) || out->customer.n == 0 ||
-	    out->customer.p[0] != CUSTOMER_SIGN)
+	if (!next_field(&out->service, &out->target_hall) ||
+	    !next_field(&out->service, &out->regions) ||
+	    !next_field(&out->service, &out->customer) ||
+	    out->customer.n == 0 || out->customer.p[0] != CUSTOMER_PREFIX)
 		return false;
 	out->customer = str_n(out->customer.p + 1, out->customer.n - 1);
 	if (str_eq(out->regions, str_c(ANY_REGION)))
@@ -81,20 +84,24 @@
 }
 
 size_t
-gate_forward_write(const struct gate_forward *p, char *out, size_t size)
+gate_forward_write(const struct gate_forward *forward, char *out, size_t size)
 {
-	struct str regions = p->regions.n > 0 ? p->regions : str_c(ANY_REGION);
+	struct str regions =
+	    forward->regions.n > 0 ? forward->regions : str_c(ANY_REGION);
 	int n = snprintf(out, size,
 	    "%u %u %u %u %u %u %u %u %u %lld %lld %lld %llx %llx %llx %u "
 	    "%.*s %.*s %c%.*s %.*s",
-	    p->hops, p->bulk, p->repeatable, p->retried, p->within_retry_budget,
-	    p->tries, p->max_attempts, p->rank, p->kind,
-	    (long long)p->target_ms, (long long)p->caller_deadline_ms,
-	    (long long)p->waited_ms, (unsigned long long)p->fingerprint.hi,
-	    (unsigned long long)p->fingerprint.lo,
-	    (unsigned long long)p->fingerprint.caller, p->suspect,
-	    STR_ARG(p->target_hall), STR_ARG(regions), CUSTOMER_SIGN,
-	    STR_ARG(p->customer), STR_ARG(p->service));
+	    forward->hops, forward->bulk, forward->repeatable,
+	    forward->is_retry, forward->within_retry_budget, forward->attempts,
+	    forward->max_attempts, forward->rank, forward->kind,
+	    (long long)forward->target_ms,
+	    (long long)forward->caller_deadline_ms,
+	    (long long)forward->waited_ms,
+	    (unsigned long long)forward->fingerprint.hi,
+	    (unsigned long long)forward->fingerprint.lo,
+	    (unsigned long long)forward->fingerprint.caller, forward->suspect,
+	    STR_ARG(forward->target_hall), STR_ARG(regions), CUSTOMER_PREFIX,
+	    STR_ARG(forward->customer), STR_ARG(forward->service));
 
 	return MIN((size_t)n, size - 1);
 }
--- a/gate_roll.c
+++ b/gate_roll.c
@@ -12,22 +12,24 @@
 #include "slog.h"
 
 /*
- * Roll-outs: what the homes of a service tell one another of them, and what
- * the platform is told.  That is written by the home of the first hall, on
- * condition that the order is as it was; where two boxes take themselves for
- * that home, the platform takes one write.
+ * Roll-outs: the owners of a service's shards report their state to each other
+ * and to the platform.  The owner of the first hall writes to the platform, on
+ * condition that the roll-out object has not changed; if two gates consider
+ * themselves that owner, the platform accepts only one write.
  */
-#define TELL_NS (250 * NS_MS)
-/* Nothing is written again before the platform's word of it is back. */
-#define WRITE_NS (1500 * NS_MS)
+#define REPORT_INTERVAL_NS (250 * NS_MS)
+/*
+ * The same state is not written again within this time, in which the platform's
+ * watch should deliver the last write.
+ */
+#define WRITE_INTERVAL_NS (1500 * NS_MS)
 
-enum { CALL_MS = 1000 };
+enum { CALL_TIMEOUT_MS = 1000 };
 
-/* Of the share that the platform allows an unproven version, so much is used.
- */
-static const double EXPOSE_USED = 0.5;
-/* Where it does not say. */
-static const double SHARE = 0.05;
+/* Part of the platform's allowed share for an unproven version that is used. */
+static const double EXPOSED_PART = 0.5;
+/* Share of the requests if the platform sets none. */
+static const double DEFAULT_SHARE = 0.05;
 
 static const struct str rollout_kind = STR_LIT("rollout");
 
@@ -35,8 +37,8 @@
 first_share(const struct gate *g)
 {
 	if (g->bounds.unproven_share > 0)
-		return g->bounds.unproven_share * EXPOSE_USED;
-	return SHARE;
+		return g->bounds.unproven_share * EXPOSED_PART;
+	return DEFAULT_SHARE;
 }
 
 void
@@ -45,59 +47,64 @@
 	if (s->roll_call != NULL)
 		plat_cancel(s->gate->plat, s->roll_call);
 	s->roll_call = NULL;
-	roll_free(s->roll);
-	s->roll = NULL;
+	roll_free(s->rollout);
+	s->rollout = NULL;
 }
 
-/* Bring a shard's roll-out up to date with the service's order. */
+/* Updates the roll-out of a shard from the service's roll-out object. */
 void
 gate_roll_update(
     struct gate *g, struct gate_shard *s, const struct route_service *svc)
 {
-	const struct obj_rollout *order = svc->rollout;
+	const struct obj_rollout *spec = svc->rollout;
 
-	if (s->roll != NULL && (order == NULL || !roll_matches(s->roll, order)))
+	if (s->rollout != NULL &&
+	    (spec == NULL || !roll_matches(s->rollout, spec)))
 		gate_roll_close(s);
-	if (order == NULL)
+	if (spec == NULL)
 		return;
-	if (s->roll == NULL) {
-		s->roll = roll_new(
-		    order, g->chart_roll, first_share(g), clk_ns(g->clk));
+	if (s->rollout == NULL) {
+		s->rollout = roll_new(
+		    spec, g->chart_roll, first_share(g), clk_ns(g->clk));
 		s->roll_logged_state = ROLL_WAITING;
 	}
-	roll_set_platform_state(s->roll, (enum obj_rollout_state)order->state);
+	roll_set_platform_state(
+	    s->rollout, (enum obj_rollout_state)spec->state);
 }
 
 static void
-note_step(struct gate_shard *s, int64_t now)
+log_state_change(struct gate_shard *s, int64_t now)
 {
-	enum roll_state state = roll_state(s->roll);
-	struct roll_report word;
-	const char *why;
+	enum roll_state state = roll_state(s->rollout);
+	struct roll_report report;
+	const char *reason;
 
 	if (state == s->roll_logged_state)
 		return;
 	s->roll_logged_state = state;
-	word =
-	    roll_make_report(s->roll, disp_old_version_inflight(s->disp), now);
-	why = roll_reason(s->roll);
+	report = roll_make_report(
+	    s->rollout, disp_old_version_inflight(s->disp), now);
+	reason = roll_reason(s->rollout);
 	slog(SLOG_PICK, "a roll-out goes on",
 	    "service=%.*s hall=%.*s state=%s age_ms=%lld answers=%llu "
 	    "bad=%llu old_out=%u why=%s",
 	    STR_ARG(s->service), STR_ARG(s->hall),
-	    roll_chart_names.states[state], (long long)(word.age / NS_MS),
-	    (unsigned long long)word.responses,
-	    (unsigned long long)word.failures, word.old_in_flight,
-	    slog_quote(why != NULL ? why : ""));
+	    roll_chart_names.states[state], (long long)(report.age / NS_MS),
+	    (unsigned long long)report.responses,
+	    (unsigned long long)report.failures, report.old_in_flight,
+	    slog_quote(reason != NULL ? reason : ""));
 }
 
-/* Tell the service's homes in the other halls; ours among them. */
+/*
+ * Sends a report to the owners of the service's shards in other halls, which
+ * may include this gate.
+ */
 static void
-tell(struct gate *g, struct gate_shard *s, const struct route_service *svc,
-    int64_t now)
+send_report(struct gate *g, struct gate_shard *s,
+    const struct route_service *svc, int64_t now)
 {
-	struct roll_report w =
-	    roll_make_report(s->roll, disp_old_version_inflight(s->disp), now);
+	struct roll_report report = roll_make_report(
+	    s->rollout, disp_old_version_inflight(s->disp), now);
 	struct msg m = {.kind = MSG_ROLLOUT};
 
 	s->roll_sent_at = now;
@@ -105,21 +112,24 @@
 	    .hall = s->hall,
 	    .box = g->settings.box,
 	    .version = svc->rollout->version,
-	    .age_ms = (uint64_t)(w.age / NS_MS),
-	    .state = (uint64_t)w.state,
-	    .responses = w.responses,
-	    .failures = w.failures,
-	    .old_in_flight = w.old_in_flight};
+	    .age_ms = (uint64_t)(report.age / NS_MS),
+	    .state = (uint64_t)report.state,
+	    .responses = report.responses,
+	    .failures = report.failures,
+	    .old_in_flight = report.old_in_flight};
 	gate_owner_send_others(g, s, svc, &m);
 }
 
-/* What a home told reaches our shards of the service's other halls. */
+/*
+ * Applies the report of another owner to this gate's shards of the service in
+ * other halls.
+ */
 void
 gate_roll_merge(struct gate *g, const struct msg_rollout *m)
 {
 	const struct route_service *svc = route_service(g->routes, m->service);
 	int64_t now = clk_ns(g->clk);
-	struct roll_report w = {
+	struct roll_report report = {
 	    .age = (int64_t)MIN(m->age_ms, (uint64_t)(now / NS_MS)) * NS_MS,
 	    .state = (enum roll_state)MIN(m->state, ROLL_ROLLED_BACK),
 	    .responses = m->responses,
@@ -135,30 +145,29 @@
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		s = value;
-		if (s->roll == NULL || !str_eq(s->service, m->service) ||
+		if (s->rollout == NULL || !str_eq(s->service, m->service) ||
 		    str_eq(s->hall, m->hall))
 			continue;
-		roll_merge_report(s->roll, m->box, m->hall, &w, now);
+		roll_merge_report(s->rollout, m->box, m->hall, &report, now);
 	}
 }
 
 /*
- * The watch brings what is there now; until it does, what the answer tells of
- * it is the condition for the next write.
+ * The watch delivers the object as it is now; until it does, the version in
+ * this response is the condition for the next write.
  */
 static void
 on_written(void *ctx, enum plat_result result, json_t *body)
 {
 	struct gate_shard *s = ctx;
-	const json_t *there =
+	const json_t *object =
 	    result == PLAT_CONFLICT ? json_object_get(body, "current") : body;
 
 	s->roll_call = NULL;
 	s->roll_version =
-	    (uint64_t)json_integer_value(json_object_get(there, "version"));
-	slog(SLOG_PICK, "a roll-out's state is written",
-	    "service=%.*s result=%s", STR_ARG(s->service),
-	    plat_result_name(result));
+	    (uint64_t)json_integer_value(json_object_get(object, "version"));
+	slog(SLOG_PICK, "roll-out state was written", "service=%.*s result=%s",
+	    STR_ARG(s->service), plat_result_name(result));
 }
 
 static void
@@ -171,7 +180,7 @@
 	    .kind = rollout_kind,
 	    .name = s->service,
 	    .version = MAX(e == NULL ? 0 : e->version, s->roll_version),
-	    .timeout_ms = CALL_MS};
+	    .timeout_ms = CALL_TIMEOUT_MS};
 	json_t *value;
 
 	g_free(key);
@@ -183,7 +192,9 @@
 	json_decref(value);
 }
 
-/* The hall whose home writes: the first one by name. */
+/*
+ * Returns the hall whose owner writes to the platform: the first one by name.
+ */
 static struct str
 first_hall(const struct route_service *svc)
 {
@@ -197,40 +208,40 @@
 }
 
 static void
-write_if_due(struct gate *g, struct gate_shard *s,
+write_if_changed(struct gate *g, struct gate_shard *s,
     const struct route_service *svc, int64_t now)
 {
 	struct str *halls = g_new0(struct str, svc->nhalls);
-	enum obj_rollout_state wants;
+	enum obj_rollout_state state;
 	unsigned i, n = 0;
 
 	for (i = 0; i < svc->nhalls; i++)
 		if (!str_eq(svc->halls[i].hall, s->hall))
 			halls[n++] = svc->halls[i].hall;
-	wants = roll_state_to_write(
-	    s->roll, halls, n, disp_old_version_inflight(s->disp), now);
+	state = roll_state_to_write(
+	    s->rollout, halls, n, disp_old_version_inflight(s->disp), now);
 	g_free(halls);
-	if ((int)wants == svc->rollout->state || s->roll_call != NULL ||
-	    (wants == s->roll_written_state &&
-		now - s->roll_written_at < WRITE_NS))
+	if ((int)state == svc->rollout->state || s->roll_call != NULL ||
+	    (state == s->roll_written_state &&
+		now - s->roll_written_at < WRITE_INTERVAL_NS))
 		return;
-	s->roll_written_state = wants;
-	write_state(g, s, svc, wants, now);
+	s->roll_written_state = state;
+	write_state(g, s, svc, state, now);
 }
 
 /*
- * Is there anything to tell the other homes?  One that is home no more tells of
- * the requests that it still has at the old version.
+ * Returns whether a report to the other owners is due.  A gate that no longer
+ * owns the shard still reports the requests that it has at the old version.
  */
 static bool
-is_news(const struct gate_shard *s, int64_t now)
+is_report_due(const struct gate_shard *s, int64_t now)
 {
 	if (!s->is_owner && disp_old_version_inflight(s->disp) == 0)
 		return false;
-	if (roll_state(s->roll) == ROLL_COMPLETED)
+	if (roll_state(s->rollout) == ROLL_COMPLETED)
 		return false;
-	return now - s->roll_sent_at >= TELL_NS ||
-	    roll_state(s->roll) != s->roll_logged_state;
+	return now - s->roll_sent_at >= REPORT_INTERVAL_NS ||
+	    roll_state(s->rollout) != s->roll_logged_state;
 }
 
 static void
@@ -238,15 +249,15 @@
 {
 	const struct route_service *svc = route_service(g->routes, s->service);
 
-	if (s->roll == NULL || svc == NULL || svc->rollout == NULL)
+	if (s->rollout == NULL || svc == NULL || svc->rollout == NULL)
 		return;
 	if (s->is_owner)
-		roll_tick(s->roll, svc->has_new_version, now);
-	if (is_news(s, now))
-		tell(g, s, svc, now);
-	note_step(s, now);
+		roll_tick(s->rollout, svc->has_new_version, now);
+	if (is_report_due(s, now))
+		send_report(g, s, svc, now);
+	log_state_change(s, now);
 	if (s->is_owner && str_eq(s->hall, first_hall(svc)))
-		write_if_due(g, s, svc, now);
+		write_if_changed(g, s, svc, now);
 }
 
 void
--- a/gate_stat.c
+++ b/gate_stat.c
@@ -13,12 +13,12 @@
 #include "libgate.h"
 #include "slog.h"
 
-/* The gate's counters and its admin pages. */
+/* The gate's metrics and its admin pages. */
 
 static void page_metrics(struct gate *, h2o_req_t *);
 static void page_ready(struct gate *, h2o_req_t *);
 static void page_backends(struct gate *, h2o_req_t *);
-static void page_homes(struct gate *, h2o_req_t *);
+static void page_owners(struct gate *, h2o_req_t *);
 
 static const struct cnt_desc descs[GC_MAX] = {
     [GC_REQUESTS] = {"fern_requests_total",
@@ -93,7 +93,7 @@
 	"Rules that came into force in an older version.", CNT_COUNTER},
     [GC_LATENCY] = {"fern_answer_seconds",
 	"Time from a request's arrival to its answer's head.", CNT_HISTOGRAM},
-    [GC_HELD] = {"fern_held_seconds",
+    [GC_QUEUE_TIME] = {"fern_held_seconds",
 	"Time from a request's arrival to its sending.", CNT_HISTOGRAM},
 };
 
@@ -104,7 +104,7 @@
     {"/metrics", page_metrics},
     {"/ready", page_ready},
     {"/backends", page_backends},
-    {"/homes", page_homes},
+    {"/homes", page_owners},
 };
 
 struct cnt *
@@ -140,14 +140,17 @@
 	    req, g->state == BOX_READY ? 200 : 503, "text/plain", str_c(name));
 }
 
-/* What is being printed, and the shard it is of. */
-struct print {
+/*
+ * State of print_backend(): the list that is written, and the shard of the
+ * backend servers.
+ */
+struct backend_list {
 	json_t *list;
 	const struct gate_shard *shard;
 };
 
 static int64_t
-rest_left(const struct gate_shard *s, const struct pick_backend *b)
+pause_left(const struct gate_shard *s, const struct pick_backend *b)
 {
 	return MAX(b->pause_until - clk_ns(s->gate->clk), 0);
 }
@@ -155,7 +158,7 @@
 static void
 print_backend(void *ctx, const struct pick_backend *b)
 {
-	struct print *p = ctx;
+	struct backend_list *p = ctx;
 
 	json_array_append_new(p->list,
 	    json_pack(
@@ -168,11 +171,11 @@
 		(double)b->usual_latency / NS_MS, "probe_down",
 		(int)b->probe_down, "takes_a_second", b->quota.rate, "leaves",
 		(int)b->leaving, "rest_ms",
-		(json_int_t)(rest_left(p->shard, b) / NS_MS)));
+		(json_int_t)(pause_left(p->shard, b) / NS_MS)));
 }
 
 static void
-answer_json(h2o_req_t *req, json_t *value)
+respond_json(h2o_req_t *req, json_t *value)
 {
 	char *text = json_dumps(value, JSON_COMPACT);
 
@@ -184,7 +187,7 @@
 static void
 page_backends(struct gate *g, h2o_req_t *req)
 {
-	struct print p = {json_array(), NULL};
+	struct backend_list p = {json_array(), NULL};
 	GHashTableIter it;
 	gpointer value;
 
@@ -193,10 +196,10 @@
 		p.shard = value;
 		disp_foreach_backend(p.shard->disp, print_backend, &p);
 	}
-	answer_json(req, p.list);
+	respond_json(req, p.list);
 }
 
-struct homes {
+struct owner_list {
 	struct gate *gate;
 	json_t *list;
 };
@@ -204,16 +207,17 @@
 static void
 print_service(void *ctx, const struct route_service *svc)
 {
-	struct homes *h = ctx;
+	struct owner_list *owners = ctx;
 	struct gate_peer *p;
 	struct str box;
 	unsigned i;
 	bool self;
 
 	for (i = 0; i < svc->nhalls; i++) {
-		p = gate_owner(h->gate, svc->name, svc->halls[i].hall, &self);
-		box = self ? h->gate->settings.box : p->info.box;
-		json_array_append_new(h->list,
+		p = gate_owner(
+		    owners->gate, svc->name, svc->halls[i].hall, &self);
+		box = self ? owners->gate->settings.box : p->info.box;
+		json_array_append_new(owners->list,
 		    json_pack("{s:s%, s:s%, s:s%, s:i}", "service", svc->name.p,
 			svc->name.n, "hall", svc->halls[i].hall.p,
 			svc->halls[i].hall.n, "home", box.p, box.n, "slots",
@@ -222,12 +226,12 @@
 }
 
 static void
-page_homes(struct gate *g, h2o_req_t *req)
+page_owners(struct gate *g, h2o_req_t *req)
 {
-	struct homes h = {g, json_array()};
+	struct owner_list owners = {g, json_array()};
 
-	route_each(g->routes, print_service, &h);
-	answer_json(req, h.list);
+	route_each(g->routes, print_service, &owners);
+	respond_json(req, owners.list);
 }
 
 void
--- a/gate_word.c
+++ b/gate_word.c
@@ -12,13 +12,16 @@
 #include "slog.h"
 
 /*
- * What backend servers say of themselves with their answers, to requests and
- * to questions: brought to the shard, and told in the log.
+ * Reports that backend servers make about themselves in responses to requests
+ * and to load queries: they are applied to the shard, and changes are logged.
  */
 
-/* One that is told wrong each time gets one line. */
+/*
+ * Logs a malformed report.  A backend server whose reports are always malformed
+ * gets one line.
+ */
 static void
-note_malformed(struct gate *g, struct pick_backend *b, struct str id)
+log_malformed(struct gate *g, struct pick_backend *b, struct str id)
 {
 	cnt_add(g->cnt, GC_MALFORMED_REPORTS, 1);
 	if (!b->malformed_report)
@@ -29,18 +32,18 @@
 }
 
 static void
-note_quota(
+log_quota(
     const struct gate_shard *s, struct str backend, struct str id, double rate)
 {
 	slog_decision(SLOG_PICK,
 	    rate > 0 ? "a backend server says how many requests it takes"
-		     : "a backend server takes any number again",
+		     : "a backend server has no rate limit any more",
 	    "id=%.*s service=%.*s backend=%.*s a_second=%.2f", STR_ARG(id),
 	    STR_ARG(s->service), STR_ARG(backend), rate);
 }
 
 static void
-note_leaving(const struct gate_shard *s, struct str backend, struct str id)
+log_leaving(const struct gate_shard *s, struct str backend, struct str id)
 {
 	slog_decision(SLOG_PICK, "a backend server says that it leaves",
 	    "id=%.*s service=%.*s backend=%.*s", STR_ARG(id),
@@ -48,96 +51,110 @@
 }
 
 static void
-note_rest(const struct gate_shard *s, struct str backend, struct str id,
-    int64_t rest_ms)
+log_pause(const struct gate_shard *s, struct str backend, struct str id,
+    int64_t pause_ms)
 {
 	cnt_add(s->gate->cnt, GC_RETRY_AFTER_PAUSES, 1);
 	slog_decision(SLOG_PICK, "a backend server asks for a rest",
 	    "id=%.*s service=%.*s backend=%.*s rest_ms=%lld", STR_ARG(id),
-	    STR_ARG(s->service), STR_ARG(backend), (long long)rest_ms);
+	    STR_ARG(s->service), STR_ARG(backend), (long long)pause_ms);
 }
 
 /*
- * An answer that says nothing of a limit ends it; but a refusal may be written
- * where the limit is not known.
+ * Returns whether a response states the rate limit.  A response without a limit
+ * ends the limit, except for refusals, as the part of a backend server that
+ * refuses may not know the limit.
  */
 static bool
-tells_quota(const struct gate_req *r, int status, const h2o_header_t *headers,
-    size_t n, const struct dial_report *word)
+states_quota(const struct gate_req *r, int status, const h2o_header_t *headers,
+    size_t n, const struct dial_report *report)
 {
-	return word->rate_limit > 0 ||
-	    (!word->malformed &&
+	return report->rate_limit > 0 ||
+	    (!report->malformed &&
 		!r->gate->dialect->not_executed(status, headers, n));
 }
 
 /*
- * What it has said by now is kept beside its entry, and told to others.  One
- * that may take back that it leaves tells that to probes, and they tell it.
+ * Stores the current report of a backend server, which outlives its
+ * configuration, and sends it to other gates.  In dialects where a backend
+ * server may cancel that it is leaving, this is not stored: the probes of each
+ * box find it.
  */
 static void
-keep(struct gate *g, const struct pick_backend *b)
+store_report(struct gate *g, const struct pick_backend *b)
 {
-	struct backend_report w = {.backend = b->name,
+	struct backend_report stored = {.backend = b->name,
 	    .started_ms = b->started_ms,
 	    .leaving = b->leaving && g->dialect->leaving_is_final,
 	    .rate = b->quota.rate,
 	    .reported_at = clk_ns(g->clk),
 	    .pause_until = b->pause_until};
 
-	gate_reports_add(g, &w);
+	gate_reports_add(g, &stored);
 }
 
-/* The answer is to what was sent at a time, a request's or a question's. */
+/*
+ * Applies a report.  `sent` is when the request or load query that it answers
+ * was sent.
+ */
 static void
-take(struct gate_shard *s, struct pick_backend *b, struct str id,
-    const struct dial_report *word, int64_t sent, bool quota)
+apply(struct gate_shard *s, struct pick_backend *b, struct str id,
+    const struct dial_report *report, int64_t sent, bool has_quota)
 {
-	bool news = false;
+	bool changed = false;
 
-	if (word->malformed)
-		note_malformed(s->gate, b, id);
-	if (word->leaving && disp_leaving_reported(b))
-		note_leaving(s, b->name, id);
-	if (disp_pause_reported(s->disp, b, word->retry_after_ms * NS_MS))
-		note_rest(s, b->name, id, word->retry_after_ms);
-	if (quota && disp_quota_reported(s->disp, b, word->rate_limit, sent)) {
-		note_quota(s, b->name, id, word->rate_limit);
-		news = true;
+	if (report->malformed)
+		log_malformed(s->gate, b, id);
+	if (report->leaving && disp_leaving_reported(b))
+		log_leaving(s, b->name, id);
+	if (disp_pause_reported(s->disp, b, report->retry_after_ms * NS_MS))
+		log_pause(s, b->name, id, report->retry_after_ms);
+	if (has_quota &&
+	    disp_quota_reported(s->disp, b, report->rate_limit, sent)) {
+		log_quota(s, b->name, id, report->rate_limit);
+		changed = true;
 	}
-	if (news || word->rate_limit > 0 || word->leaving ||
-	    word->retry_after_ms > 0)
-		keep(s->gate, b);
+	if (changed || report->rate_limit > 0 || report->leaving ||
+	    report->retry_after_ms > 0)
+		store_report(s->gate, b);
 }
 
 void
-gate_report_from_answer(
+gate_report_from_response(
     struct gate_req *r, int status, const h2o_header_t *headers, size_t n)
 {
 	const struct dialect *dialect = r->gate->dialect;
 	struct gate_shard *s = r->shard;
-	struct dial_report word;
+	struct dial_report report;
 
-	/* Another backend server has the address, and speaks of itself. */
+	/*
+	 * Another backend server has the address now; the report is about that
+	 * one.
+	 */
 	if (dialect->address_reassigned(status, headers, n))
 		return;
-	dialect->parse_report(status, headers, n, &word);
-	if (word.has_load)
-		disp_load_reported(s->disp, r->disp.backend, word.load.running,
-		    word.load.waiting, word.load.latency_percent);
-	take(s, r->disp.backend, r->request_id, &word, r->disp.sent_at,
-	    tells_quota(r, status, headers, n, &word));
+	dialect->parse_report(status, headers, n, &report);
+	if (report.has_load)
+		disp_load_reported(s->disp, r->disp.backend,
+		    report.load.running, report.load.waiting,
+		    report.load.latency_percent);
+	apply(s, r->disp.backend, r->request_id, &report, r->disp.sent_at,
+	    states_quota(r, status, headers, n, &report));
 }
 
-/* Where answers to requests name a limit, those to questions may not. */
+/*
+ * Responses to requests may state a limit where responses to load queries do
+ * not, so a query's response without a limit does not end the limit.
+ */
 void
 gate_report_from_query(struct gate_shard *s, struct pick_backend *b,
-    const struct dial_report *word)
+    const struct dial_report *report)
 {
-	if (disp_cold_reported(s->disp, b->name, word->slow_start_ms * NS_MS))
+	if (disp_cold_reported(s->disp, b->name, report->slow_start_ms * NS_MS))
 		slog_decision(SLOG_PICK,
-		    word->slow_start_ms > 0 ? "a backend server is cold"
-					    : "a backend server is warm",
+		    report->slow_start_ms > 0 ? "a backend server is cold"
+					      : "a backend server is warm",
 		    "backend=%.*s service=%.*s cold_ms=%lld", STR_ARG(b->name),
-		    STR_ARG(s->service), (long long)word->slow_start_ms);
-	take(s, b, str_c(NULL), word, b->queried_at, word->rate_limit > 0);
+		    STR_ARG(s->service), (long long)report->slow_start_ms);
+	apply(s, b, str_c(NULL), report, b->queried_at, report->rate_limit > 0);
 }
--- a/gate_words.c
+++ b/gate_words.c
@@ -13,34 +13,37 @@
 #include "libgate.h"
 
 /*
- * Gates tell one another what backend servers said of themselves, so that the
- * next home of a shard goes on with it.  That one leaves is told to all hubs at
- * once: a single request too many is lost with it.  A limit may change many
- * times a second, so it is told by turns to the hubs of our hall, one of which
- * is the next home.  All else goes to one hub of all at random: from n hubs
- * each hears of it within some seconds, whoever restarts.
+ * Gates exchange what backend servers reported about themselves, so that the
+ * next owner of a shard knows it.  That a backend server is leaving is sent to
+ * all hubs at once, as a request that it still gets may be lost.  A rate limit
+ * may change many times a second, so changes are sent periodically to the hubs
+ * of this hall, one of which will be the next owner.  All reports are also sent
+ * periodically, as a list to one hub at random: with n hubs each of them
+ * receives them within some seconds, so restarted hubs do too.
  *
- * A list has LIST_MAX words at most, 2 KB, and nothing is sent where backend
- * servers say nothing of the kind.
+ * A list has at most LIST_MAX reports, 2 KB.  Nothing is sent while there are
+ * no reports.
  */
-#define NEWS_NS (250 * NS_MS)
-#define TURN_NS (1 * NS_S)
+#define CHANGES_INTERVAL_NS (250 * NS_MS)
+#define LIST_INTERVAL_NS (1 * NS_S)
 
 enum { LIST_MAX = 32, MILLI = 1000 };
 
 static void
-write_word(struct msg_report *out, const struct backend_report *w, int64_t now)
+encode_report(
+    struct msg_report *out, const struct backend_report *report, int64_t now)
 {
-	*out = (struct msg_report){.backend = w->backend,
-	    .started_ms = (uint64_t)w->started_ms,
-	    .leaving = w->leaving,
-	    .rate_milli = (uint64_t)llround(w->rate * MILLI),
-	    .age_ms = (uint64_t)(MAX(now - w->reported_at, 0) / NS_MS)};
+	*out = (struct msg_report){.backend = report->backend,
+	    .started_ms = (uint64_t)report->started_ms,
+	    .leaving = report->leaving,
+	    .rate_milli = (uint64_t)llround(report->rate * MILLI),
+	    .age_ms = (uint64_t)(MAX(now - report->reported_at, 0) / NS_MS)};
 }
 
-/* An age beyond the start of our clock counts as of then. */
+/* An age that exceeds the uptime is read as the uptime. */
 static void
-read_word(struct backend_report *out, const struct msg_report *in, int64_t now)
+decode_report(
+    struct backend_report *out, const struct msg_report *in, int64_t now)
 {
 	uint64_t age = MIN(in->age_ms, (uint64_t)(now / NS_MS));
 
@@ -51,10 +54,13 @@
 	    .reported_at = now - (int64_t)age * NS_MS};
 }
 
-/* Send words to one gate, or to all that are listed, or to those near. */
+/*
+ * Sends reports to one gate, or, if `to` is NULL, to all listed gates, or to
+ * those of this hall if same_hall is set.
+ */
 static void
-tell(struct gate *g, const struct backend_report *words, unsigned n,
-    const struct gate_peer *to, bool near)
+send_reports(struct gate *g, const struct backend_report *reports, unsigned n,
+    const struct gate_peer *to, bool same_hall)
 {
 	struct msg_report items[LIST_MAX];
 	struct msg m = {.kind = MSG_REPORTS};
@@ -62,69 +68,69 @@
 	unsigned i;
 
 	for (i = 0; i < n; i++)
-		write_word(&items[i], &words[i], clk_ns(g->clk));
+		encode_report(&items[i], &reports[i], clk_ns(g->clk));
 	m.u.reports.reports = (struct msg_list){items, n};
 	for (i = 0; i < g->peers->len; i++) {
 		p = g_ptr_array_index(g->peers, i);
 		if (!p->listed || (to != NULL && to != p) ||
-		    (near && !str_eq(p->info.hall, g->settings.hall)))
+		    (same_hall && !str_eq(p->info.hall, g->settings.hall)))
 			continue;
 		wire_send(g->wire, p->info.gate_inbox, &m);
 	}
 }
 
 static void
-tell_list(struct gate *g, const struct gate_peer *to)
+send_list(struct gate *g, const struct gate_peer *to)
 {
-	struct backend_report words[LIST_MAX];
-	unsigned n = reports_next(g->reports, words, LIST_MAX);
+	struct backend_report reports[LIST_MAX];
+	unsigned n = reports_next(g->reports, reports, LIST_MAX);
 
 	if (n > 0)
-		tell(g, words, n, to, false);
+		send_reports(g, reports, n, to, false);
 }
 
 static void
-tell_news(struct gate *g)
+send_changes(struct gate *g)
 {
-	struct backend_report words[LIST_MAX];
-	unsigned n = reports_pop_unsent(g->reports, words, LIST_MAX);
+	struct backend_report reports[LIST_MAX];
+	unsigned n = reports_pop_unsent(g->reports, reports, LIST_MAX);
 
 	if (n > 0)
-		tell(g, words, n, NULL, true);
+		send_reports(g, reports, n, NULL, true);
 }
 
 void
-gate_reports_add(struct gate *g, const struct backend_report *w)
+gate_reports_add(struct gate *g, const struct backend_report *report)
 {
-	const struct backend_report *before =
-	    reports_find(g->reports, w->backend, w->started_ms);
-	bool left = before != NULL && before->leaving;
+	const struct backend_report *known =
+	    reports_find(g->reports, report->backend, report->started_ms);
+	bool was_leaving = known != NULL && known->leaving;
 
-	if (!reports_merge(g->reports, w))
+	if (!reports_merge(g->reports, report))
 		return;
-	if (w->leaving && !left)
-		tell(g, w, 1, NULL, false);
+	if (report->leaving && !was_leaving)
+		send_reports(g, report, 1, NULL, false);
 	else
-		reports_mark_unsent(g->reports, w->backend);
+		reports_mark_unsent(g->reports, report->backend);
 }
 
 void
 gate_reports_tick(struct gate *g, int64_t now)
 {
-	unsigned at;
+	unsigned index;
 
-	if (now - g->reports_sent_at >= NEWS_NS) {
+	if (now - g->reports_sent_at >= CHANGES_INTERVAL_NS) {
 		g->reports_sent_at = now;
-		tell_news(g);
+		send_changes(g);
 	}
-	if (now - g->reports_gossiped_at < TURN_NS)
+	if (now - g->reports_gossiped_at < LIST_INTERVAL_NS)
 		return;
 	g->reports_gossiped_at = now;
 	reports_expire(g->reports, now);
 	if (g->peers->len == 0)
 		return;
-	at = (unsigned)rnd_below(g->rnd, g->peers->len);
-	tell_list(g, g_ptr_array_index(g->peers, at));
+	index = (unsigned)rnd_below(g->rnd, g->peers->len);
+	send_list(g, g_ptr_array_index(g->peers, index));
 }
 
 void
@@ -133,16 +139,16 @@
 	const struct msg_report *v = m->reports.items;
 	int64_t now = clk_ns(g->clk);
 	GHashTableIter it;
-	struct backend_report word;
-	bool news = false;
+	struct backend_report report;
+	bool changed = false;
 	gpointer value;
 	size_t i;
 
 	for (i = 0; i < MIN(m->reports.n, (size_t)LIST_MAX); i++) {
-		read_word(&word, &v[i], now);
-		news = reports_merge(g->reports, &word) || news;
+		decode_report(&report, &v[i], now);
+		changed = reports_merge(g->reports, &report) || changed;
 	}
-	if (!news)
+	if (!changed)
 		return;
 	g_hash_table_iter_init(&it, g->shards);
 	while (g_hash_table_iter_next(&it, NULL, &value))
@@ -152,5 +158,5 @@
 void
 gate_reports_send_to(struct gate *g, const struct gate_peer *p)
 {
-	tell_list(g, p);
+	send_list(g, p);
 }
--- a/hsrv.c
+++ b/hsrv.c
@@ -103,8 +103,8 @@
 		rc = uv_listen(
 		    (uv_stream_t *)&s->listener, BACKLOG, on_connection);
 	if (rc != 0)
-		return err_set(err, ERR_SYSTEM, "cannot listen on %.*s: %s",
-		    STR_ARG(address), uv_strerror(rc));
+		return err_set(err, ERR_SYSTEM, "%.*s: %s", STR_ARG(address),
+		    uv_strerror(rc));
 	s->listening = true;
 	return true;
 }
--- a/roll.c
+++ b/roll.c
@@ -207,7 +207,7 @@
 
 void
 roll_request_ended(
-    struct roll *r, bool at_new, unsigned kind, enum verdict_answer answer)
+    struct roll *r, bool at_new, unsigned kind, enum verdict_outcome answer)
 {
 	const char *reason;
 
@@ -226,7 +226,7 @@
 static uint64_t
 count_responses(const struct roll *r)
 {
-	uint64_t n = r->verdict.answers;
+	uint64_t n = r->verdict.responses;
 	guint i;
 
 	for (i = 0; i < r->owners->len; i++)
@@ -265,7 +265,7 @@
 {
 	return (struct roll_report){.age = now - r->started,
 	    .state = r->state,
-	    .responses = r->verdict.answers,
+	    .responses = r->verdict.responses,
 	    .failures = r->verdict.bad,
 	    .old_in_flight = old_in_flight};
 }
--- a/roll.h
+++ b/roll.h
@@ -100,7 +100,7 @@
  * requests that are comparable.
  */
 void roll_request_ended(
-    struct roll *, bool at_new, unsigned kind, enum verdict_answer);
+    struct roll *, bool at_new, unsigned kind, enum verdict_outcome);
 
 /* Advances the state; `has_new`: servers of the new version are usable here. */
 void roll_tick(struct roll *, bool has_new, int64_t now);
--- a/word.c
+++ b/word.c
@@ -13,21 +13,25 @@
 #include "clk.h"
 #include "word.h"
 
-/* One that leaves has ended by then, and one with a limit speaks again. */
-#define KEEP_NS (600 * NS_S)
+/*
+ * Time that a report is kept after its rate was received.  By then a leaving
+ * backend server has exited, and one with a limit has reported it again.
+ */
+#define REPORT_TTL_NS (600 * NS_S)
 
-/* Of so many backend servers, each with some 100 bytes. */
-enum { WORDS_MAX = 1024 };
+/* Most reports that are kept, each of some 100 bytes. */
+enum { REPORTS_MAX = 1024 };
 
 struct backend_reports {
 	GPtrArray *v; /* struct backend_report * */
-	GHashTable *by_name; /* struct str * of a word to the word */
-	GPtrArray *untold; /* struct backend_report *, of these */
-	guint turn; /* whose turn it is to be told */
+	GHashTable *by_name; /* struct str * in a report to the report */
+	/* struct backend_report *, those in v not sent yet. */
+	GPtrArray *unsent;
+	guint next; /* index in v where reports_next() continues */
 };
 
 static guint
-hash_name(gconstpointer p)
+name_hash(gconstpointer p)
 {
 	const struct str *s = p;
 	guint h = 5381;
@@ -39,154 +43,165 @@
 }
 
 static gboolean
-same_name(gconstpointer a, gconstpointer b)
+name_equal(gconstpointer a, gconstpointer b)
 {
 	return str_eq(*(const struct str *)a, *(const struct str *)b);
 }
 
 static void
-word_free(void *p)
+report_free(void *p)
 {
-	struct backend_report *w = p;
+	struct backend_report *report = p;
 
-	str_free(&w->backend);
-	g_free(w);
+	str_free(&report->backend);
+	g_free(report);
 }
 
 struct backend_reports *
 reports_new(void)
 {
-	struct backend_reports *ws = g_new0(struct backend_reports, 1);
+	struct backend_reports *reports = g_new0(struct backend_reports, 1);
 
-	ws->v = g_ptr_array_new_with_free_func(word_free);
-	ws->by_name = g_hash_table_new(hash_name, same_name);
-	ws->untold = g_ptr_array_new();
-	return ws;
+	reports->v = g_ptr_array_new_with_free_func(report_free);
+	reports->by_name = g_hash_table_new(name_hash, name_equal);
+	reports->unsent = g_ptr_array_new();
+	return reports;
 }
 
 void
-reports_free(struct backend_reports *ws)
+reports_free(struct backend_reports *reports)
 {
-	g_hash_table_destroy(ws->by_name);
-	g_ptr_array_free(ws->untold, TRUE);
-	g_ptr_array_free(ws->v, TRUE);
-	g_free(ws);
+	g_hash_table_destroy(reports->by_name);
+	g_ptr_array_free(reports->unsent, TRUE);
+	g_ptr_array_free(reports->v, TRUE);
+	g_free(reports);
 }
 
 static void
-drop(struct backend_reports *ws, guint at)
+remove_at(struct backend_reports *reports, guint index)
 {
-	struct backend_report *w = g_ptr_array_index(ws->v, at);
+	struct backend_report *report = g_ptr_array_index(reports->v, index);
 
-	g_hash_table_remove(ws->by_name, &w->backend);
-	g_ptr_array_remove_fast(ws->untold, w);
-	g_ptr_array_remove_index_fast(ws->v, at);
+	g_hash_table_remove(reports->by_name, &report->backend);
+	g_ptr_array_remove_fast(reports->unsent, report);
+	g_ptr_array_remove_index_fast(reports->v, index);
 }
 
-/* Make room for one more, at the cost of what was heard longest ago. */
+/*
+ * Drops the report whose rate was received longest ago if there are too many.
+ */
 static void
-make_room(struct backend_reports *ws)
+evict_oldest(struct backend_reports *reports)
 {
-	const struct backend_report *w, *old;
+	const struct backend_report *report, *oldest_report;
 	guint i, oldest = 0;
 
-	if (ws->v->len < WORDS_MAX)
+	if (reports->v->len < REPORTS_MAX)
 		return;
-	for (i = 1; i < ws->v->len; i++) {
-		w = g_ptr_array_index(ws->v, i);
-		old = g_ptr_array_index(ws->v, oldest);
-		if (w->reported_at < old->reported_at)
+	for (i = 1; i < reports->v->len; i++) {
+		report = g_ptr_array_index(reports->v, i);
+		oldest_report = g_ptr_array_index(reports->v, oldest);
+		if (report->reported_at < oldest_report->reported_at)
 			oldest = i;
 	}
-	drop(ws, oldest);
+	remove_at(reports, oldest);
 }
 
 static struct backend_report *
-add(struct backend_reports *ws, struct str backend)
+add(struct backend_reports *reports, struct str backend)
 {
-	struct backend_report *w = g_new0(struct backend_report, 1);
+	struct backend_report *report = g_new0(struct backend_report, 1);
 
-	make_room(ws);
-	w->backend = str_dup(backend);
-	g_ptr_array_add(ws->v, w);
-	g_hash_table_insert(ws->by_name, &w->backend, w);
-	return w;
+	evict_oldest(reports);
+	report->backend = str_dup(backend);
+	g_ptr_array_add(reports->v, report);
+	g_hash_table_insert(reports->by_name, &report->backend, report);
+	return report;
 }
 
-/* Are these two lives?  One whose start is unsaid may be any. */
+/*
+ * Returns whether two start times are those of different runs of a backend
+ * server.  An unknown one matches any.
+ */
 static bool
-is_another(int64_t born_ms, int64_t other_ms)
+is_other_start(int64_t started_ms, int64_t other_started_ms)
 {
-	return born_ms != 0 && other_ms != 0 && born_ms != other_ms;
+	return started_ms != 0 && other_started_ms != 0 &&
+	    started_ms != other_started_ms;
 }
 
 static void
-begin_life(struct backend_report *w, int64_t born_ms)
+reset(struct backend_report *report, int64_t started_ms)
 {
-	struct str backend = w->backend;
+	struct str backend = report->backend;
 
-	*w = (struct backend_report){.backend = backend, .started_ms = born_ms};
+	*report = (struct backend_report){
+	    .backend = backend, .started_ms = started_ms};
 }
 
 bool
-reports_merge(struct backend_reports *ws, const struct backend_report *said)
+reports_merge(
+    struct backend_reports *reports, const struct backend_report *new_report)
 {
-	struct backend_report *w =
-	    g_hash_table_lookup(ws->by_name, &said->backend);
-	bool news;
+	struct backend_report *report =
+	    g_hash_table_lookup(reports->by_name, &new_report->backend);
+	bool changed;
 
-	if (w == NULL)
-		w = add(ws, said->backend);
-	if (is_another(w->started_ms, said->started_ms)) {
-		if (said->started_ms < w->started_ms)
+	if (report == NULL)
+		report = add(reports, new_report->backend);
+	if (is_other_start(report->started_ms, new_report->started_ms)) {
+		if (new_report->started_ms < report->started_ms)
 			return false;
-		begin_life(w, said->started_ms);
+		reset(report, new_report->started_ms);
 	}
-	w->started_ms = MAX(w->started_ms, said->started_ms);
-	w->pause_until = MAX(w->pause_until, said->pause_until);
-	news = said->leaving && !w->leaving;
-	w->leaving = w->leaving || said->leaving;
-	if (said->reported_at <= w->reported_at)
-		return news;
-	news = news || said->rate != w->rate;
-	w->rate = said->rate;
-	w->reported_at = said->reported_at;
-	return news;
+	report->started_ms = MAX(report->started_ms, new_report->started_ms);
+	report->pause_until = MAX(report->pause_until, new_report->pause_until);
+	changed = new_report->leaving && !report->leaving;
+	report->leaving = report->leaving || new_report->leaving;
+	if (new_report->reported_at <= report->reported_at)
+		return changed;
+	changed = changed || new_report->rate != report->rate;
+	report->rate = new_report->rate;
+	report->reported_at = new_report->reported_at;
+	return changed;
 }
 
 const struct backend_report *
-reports_find(
-    const struct backend_reports *ws, struct str backend, int64_t born_ms)
+reports_find(const struct backend_reports *reports, struct str backend,
+    int64_t started_ms)
 {
-	const struct backend_report *w =
-	    g_hash_table_lookup(ws->by_name, &backend);
+	const struct backend_report *report =
+	    g_hash_table_lookup(reports->by_name, &backend);
 
-	return w == NULL || is_another(w->started_ms, born_ms) ? NULL : w;
+	return report == NULL || is_other_start(report->started_ms, started_ms)
+	    ? NULL
+	    : report;
 }
 
 void
-reports_mark_unsent(struct backend_reports *ws, struct str backend)
+reports_mark_unsent(struct backend_reports *reports, struct str backend)
 {
-	struct backend_report *w = g_hash_table_lookup(ws->by_name, &backend);
+	struct backend_report *report =
+	    g_hash_table_lookup(reports->by_name, &backend);
 
-	if (w == NULL)
+	if (report == NULL)
 		return;
-	g_ptr_array_remove_fast(ws->untold, w);
-	g_ptr_array_add(ws->untold, w);
+	g_ptr_array_remove_fast(reports->unsent, report);
+	g_ptr_array_add(reports->unsent, report);
 }
 
 unsigned
 reports_pop_unsent(
-    struct backend_reports *ws, struct backend_report *out, unsigned max)
+    struct backend_reports *reports, struct backend_report *out, unsigned max)
 {
 	unsigned n = 0;
 	guint last;
 
-	while (n < max && ws->untold->len > 0) {
-		last = ws->untold->len - 1;
+	while (n < max && reports->unsent->len > 0) {
+		last = reports->unsent->len - 1;
 		out[n] = *(struct backend_report *)g_ptr_array_index(
-		    ws->untold, last);
-		g_ptr_array_remove_index_fast(ws->untold, last);
+		    reports->unsent, last);
+		g_ptr_array_remove_index_fast(reports->unsent, last);
 		n++;
 	}
 	return n;
@@ -194,28 +209,30 @@
 
 unsigned
 reports_next(
-    struct backend_reports *ws, struct backend_report *out, unsigned max)
+    struct backend_reports *reports, struct backend_report *out, unsigned max)
 {
-	unsigned i, n = MIN(ws->v->len, max);
-	const struct backend_report *w;
+	unsigned i, n = MIN(reports->v->len, max);
+	const struct backend_report *report;
 
 	for (i = 0; i < n; i++) {
-		w = g_ptr_array_index(ws->v, (ws->turn + i) % ws->v->len);
-		out[i] = *w;
+		report = g_ptr_array_index(
+		    reports->v, (reports->next + i) % reports->v->len);
+		out[i] = *report;
 	}
-	ws->turn = n == 0 ? 0 : (ws->turn + n) % ws->v->len;
+	reports->next = n == 0 ? 0 : (reports->next + n) % reports->v->len;
 	return n;
 }
 
 void
-reports_expire(struct backend_reports *ws, int64_t now)
+reports_expire(struct backend_reports *reports, int64_t now)
 {
-	const struct backend_report *w;
+	const struct backend_report *report;
 	guint i;
 
-	for (i = ws->v->len; i-- > 0;) {
-		w = g_ptr_array_index(ws->v, i);
-		if (now - w->reported_at >= KEEP_NS && now >= w->pause_until)
-			drop(ws, i);
+	for (i = reports->v->len; i-- > 0;) {
+		report = g_ptr_array_index(reports->v, i);
+		if (now - report->reported_at >= REPORT_TTL_NS &&
+		    now >= report->pause_until)
+			remove_at(reports, i);
 	}
 }
