--- a/agent_look.c
+++ b/agent_look.c
@@ -25,7 +25,8 @@
  */
 
 enum {
-	/* More boxes poll until the platform answers
+	/*
+	 * More boxes poll if the platform answers fewer than
 	 * MEMB_WATCHERS_WITH_PLATFORM_MIN of them.
 	 */
 	POLLERS = 1,
--- a/agent_peer.c
+++ b/agent_peer.c
@@ -175,7 +175,7 @@
 /* Whether this box or another of its hall has contact with the platform. */
 struct hall_contact {
 	const struct agent *agent;
-	bool has_platform;
+	bool platform_reachable;
 };
 
 static void
@@ -185,7 +185,7 @@
 
 	if (memb_is_alive(m) && !m->info.platform_unreachable &&
 	    str_eq(m->info.hall, contact->agent->settings.hall))
-		contact->has_platform = true;
+		contact->platform_reachable = true;
 }
 
 static bool
@@ -204,9 +204,9 @@
 		a->differs_since = now;
 	if (a->differs_since != 0)
 		difference.duration_ns = MAX(now - a->differs_since, 1);
-	if (!contact.has_platform)
+	if (!contact.platform_reachable)
 		memb_each(a->memb, find_hall_contact, &contact);
-	difference.hall_has_platform = contact.has_platform;
+	difference.hall_has_platform = contact.platform_reachable;
 	return spread_should_compare(&difference);
 }
 
@@ -278,7 +278,7 @@
 /*
  * Announces at once that the gate serves and may own services.  If this were
  * left to the periodic announcements, then after a loss of all boxes each box
- * would take itself for the owner of all services for a second, and together
+ * would act as the owner of all services for a second, and together
  * they would overload the backend servers.
  */
 void
@@ -299,7 +299,7 @@
 	agent_box_schedule_status(a);
 }
 
-/* The gate got no answer from the gate of another box; probes that box. */
+/* The gate of another box did not answer our gate; checks that box at once. */
 void
 agent_peer_suspect(struct agent *a, struct str box)
 {
--- a/agent_probe.c
+++ b/agent_probe.c
@@ -29,7 +29,7 @@
 /* State of a backend server, by probes of this box or of another one. */
 struct health {
 	enum msg_health_state state;
-	uint64_t at_ms;
+	uint64_t probed_ms;
 };
 
 /* One probe in flight. */
@@ -137,7 +137,7 @@
 
 static void
 store_state(struct agent *a, struct str backend, enum msg_health_state state,
-    uint64_t at_ms)
+    uint64_t probed_ms)
 {
 	char *key = g_strndup(backend.p, backend.n);
 	struct health *health = g_hash_table_lookup(a->health, key);
@@ -147,10 +147,10 @@
 		g_hash_table_insert(a->health, g_strdup(key), health);
 	}
 	g_free(key);
-	if (at_ms < health->at_ms)
+	if (probed_ms < health->probed_ms)
 		return;
 	health->state = state;
-	health->at_ms = at_ms;
+	health->probed_ms = probed_ms;
 }
 
 static void
@@ -278,7 +278,7 @@
 	g_hash_table_iter_init(&it, a->health);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		health = value;
-		if (now - health->at_ms < HEALTH_EXPIRE_MS)
+		if (now - health->probed_ms < HEALTH_EXPIRE_MS)
 			continue;
 		if (health->state == HEALTH_DOWN ||
 		    health->state == HEALTH_DRAINING)
--- a/sync.c
+++ b/sync.c
@@ -31,7 +31,7 @@
 struct msg_conf_summary
 sync_conf_summary(const struct sync *s)
 {
-	struct msg_conf_summary h = {
+	struct msg_conf_summary summary = {
 	    .digest = conf_digest(s->conf),
 	    .rules_digest = conf_digest_of(s->conf, CONF_RULES),
 	    .floor = conf_floor(s->conf),
@@ -40,10 +40,10 @@
 	};
 
 	if (!s->rules_only)
-		return h;
-	h.digest = h.rules_digest;
-	h.floor = conf_floor_of(s->conf, CONF_RULES);
-	return h;
+		return summary;
+	summary.digest = summary.rules_digest;
+	summary.floor = conf_floor_of(s->conf, CONF_RULES);
+	return summary;
 }
 
 void
@@ -53,12 +53,12 @@
 }
 
 void
-sync_confirm_from_peer(struct sync *s, const struct msg_conf_summary *h)
+sync_confirm_from_peer(struct sync *s, const struct msg_conf_summary *summary)
 {
-	int64_t age_ms = (int64_t)MIN(h->confirmed_age, AGE_MAX_MS) - 1;
+	int64_t age_ms = (int64_t)MIN(summary->confirmed_age, AGE_MAX_MS) - 1;
 
-	if (h->confirmed_age == 0 ||
-	    h->rules_digest != conf_digest_of(s->conf, CONF_RULES))
+	if (summary->confirmed_age == 0 ||
+	    summary->rules_digest != conf_digest_of(s->conf, CONF_RULES))
 		return;
 	s->confirmed_at = MAX(s->confirmed_at, clk_ns(s->clk) - age_ms * NS_MS);
 }
@@ -72,23 +72,25 @@
 }
 
 bool
-sync_is_equal(const struct sync *s, const struct msg_conf_summary *h)
+sync_is_equal(const struct sync *s, const struct msg_conf_summary *summary)
 {
-	if (s->rules_only || h->rules_only)
-		return h->rules_digest == conf_digest_of(s->conf, CONF_RULES);
-	return h->digest == conf_digest(s->conf);
+	if (s->rules_only || summary->rules_only)
+		return summary->rules_digest ==
+		    conf_digest_of(s->conf, CONF_RULES);
+	return summary->digest == conf_digest(s->conf);
 }
 
 void
-sync_compare(struct sync *s, struct str from, const struct msg_conf_summary *h)
+sync_compare(
+    struct sync *s, struct str from, const struct msg_conf_summary *summary)
 {
-	if (!sync_is_equal(s, h)) {
+	if (!sync_is_equal(s, summary)) {
 		send_buckets(s, from);
 		return;
 	}
-	conf_raise_floor(s->conf, CONF_RULES, h->floor);
-	if (!s->rules_only && !h->rules_only)
-		conf_raise_floor(s->conf, CONF_BACKENDS, h->floor);
+	conf_raise_floor(s->conf, CONF_RULES, summary->floor);
+	if (!s->rules_only && !summary->rules_only)
+		conf_raise_floor(s->conf, CONF_BACKENDS, summary->floor);
 }
 
 static void
--- a/sync_pack.c
+++ b/sync_pack.c
@@ -49,12 +49,12 @@
 {
 	char *text = json_dumps(spec, JSON_COMPACT);
 	size_t size = strlen(text);
-	struct str packed = {0};
+	struct str deflated = {0};
 
 	if (size >= DEFLATE_MIN)
-		packed = zip_deflate(str_n(text, size));
-	o->spec = packed.n > 0 ? packed : str_dup(str_n(text, size));
-	o->size = packed.n > 0 ? size : 0;
+		deflated = zip_deflate(str_n(text, size));
+	o->spec = deflated.n > 0 ? deflated : str_dup(str_n(text, size));
+	o->size = deflated.n > 0 ? size : 0;
 	free(text);
 }
 
