--- a/agent_lapse.c
+++ b/agent_lapse.c
@@ -27,7 +27,7 @@
 struct held_deletion {
 	struct agent *agent;
 	struct str key;
-	uint64_t version; /* of the deletion */
+	uint64_t version; /* revision of the deletion */
 	struct tmr_item timer;
 };
 
--- a/agent_probe.c
+++ b/agent_probe.c
@@ -180,7 +180,7 @@
 	send_state(ctx, backend, state, true);
 }
 
-/* Stores states from another box, unless older, and forwards them. */
+/* Stores states from another box, if newer, and forwards all to the gate. */
 void
 agent_probe_on_health(struct agent *a, const struct msg_health *health)
 {
--- a/libagent.h
+++ b/libagent.h
@@ -180,8 +180,8 @@
 	/* No box that has contact with the platform answers this one. */
 	bool unattended;
 	/*
-	 * Since when another hall's configuration differs from ours, in
-	 * monotonic ns; 0: it does not.
+	 * Since when the configuration of another box differs from ours, in
+	 * monotonic ns; 0: the last one received was equal.
 	 */
 	int64_t differs_since;
 	/* agent_gate.c */
