--- a/regress/disp_world.h
+++ b/regress/disp_world.h
@@ -22,12 +22,13 @@
 #include "disp.h"
 }
 
-/* The dispatcher in virtual time, and what it asked for. */
+/* A dispatcher in virtual time, for unit tests of its decisions. */
 namespace disp_world
 {
 
 struct World;
 
+/* A request; the dispatcher's part comes first, see World::of(). */
 struct Req {
 	struct disp_req d = {};
 	World *world = nullptr;
@@ -38,7 +39,10 @@
 	int64_t arrived = 0;
 };
 
-/* A dispatcher, its clock, and what it asked for. */
+/*
+ * A dispatcher, its clock, and a trace of the operations it called.  A test
+ * ends attempts itself, or sets on_send, on_end and on_stop.
+ */
 struct World {
 	int64_t now = NS_S;
 	uint64_t seed = 1;
@@ -47,7 +51,7 @@
 	struct chart *chart;
 	struct disp *disp;
 	std::vector<std::string> trace;
-	std::vector<std::string> asked; /* for their load */
+	std::vector<std::string> asked; /* load queries not yet answered */
 	std::function<void(Req *, struct pick_backend *)> on_send;
 	std::function<void(Req *)> on_end, on_stop;
 
@@ -203,7 +207,7 @@
 		return again;
 	}
 
-	/* Bring all backend servers out of their cold state. */
+	/* Serves requests until no backend server counts as cold. */
 	void warm(int n)
 	{
 		for (int i = 0; i < n * 12; i++) {
--- a/regress/test_disp.cpp
+++ b/regress/test_disp.cpp
@@ -21,7 +21,10 @@
 namespace
 {
 
-/* Two requests, one of which must not repeat, at one slot. */
+/*
+ * Runs every sequence of up to `depth` events on two requests, one of which is
+ * not repeatable, and one backend server with one slot.
+ */
 struct Explorer {
 	enum { ARRIVE, OK, REFUSED, CONNECT, CUT, FORGET, KINDS };
 	enum { TICK = 2 * KINDS, DRAIN, EVENTS };
@@ -65,7 +68,7 @@
 
 		for (auto &r : reqs) {
 			at += r.d.backend != nullptr;
-			/* Held, out, ended or not yet there: just one. */
+			/* At most one of: in flight, queued, ended. */
 			ASSERT_LE(
 			    (r.d.backend != nullptr) + r.d.queued + r.ended, 1);
 			if (!r.d.repeatable && r.maybe_runs > 0) {
@@ -126,7 +129,7 @@
 	EXPECT_GT(e.orders, 1000);
 }
 
-TEST(Disp, HoldsByDeadlineAndInteractiveFirst)
+TEST(Disp, QueueIsOrderedByClassThenDeadline)
 {
 	World w;
 	std::vector<Req> r(5);
@@ -146,16 +149,16 @@
 	}
 }
 
-TEST(Disp, GivesUpAtOnceWhatCannotBeMet)
+TEST(Disp, RejectsRequestsThatCannotMeetTheirDeadline)
 {
 	World w;
 	std::vector<Req> r(40);
 
 	w.backends(1, 1);
-	w.warm(1); /* 5 ms is usual */
+	w.warm(1); /* the service time is 5 ms */
 	for (auto &q : r)
 		w.arrive(&q, 100);
-	/* 100 ms hold twenty times 5 ms, and no more. */
+	/* 20 requests of 5 ms fit into the deadline of 100 ms. */
 	int busy = 0;
 	for (auto &q : r)
 		busy += q.kind == ERR_BUSY;
@@ -169,8 +172,11 @@
 			w.done(&q, DISP_CANCELED);
 }
 
-/* It holds and knows nothing of what was before, whatever that was. */
-TEST(Disp, ANewLifeUnderAnOldNameStartsAnew)
+/*
+ * A backend server that was restarted under its old name is cold and has no
+ * requests in flight.  Requests of its earlier run must not count for it.
+ */
+TEST(Disp, ARestartedServerStartsColdWithNothingInFlight)
 {
 	World w;
 	struct disp_backend_conf one = {STR_LIT("b0"), STR_LIT("127.0.0.1:1"),
@@ -182,7 +188,7 @@
 	w.arrive(&first);
 	ASSERT_NE(nullptr, first.d.backend);
 	EXPECT_EQ(2, disp_capacity_of(w.disp).free_slots);
-	/* The same word again changes nothing, a later start all. */
+	/* The same start time changes nothing; a later one is a restart. */
 	disp_set_backends(w.disp, &one, 1);
 	EXPECT_EQ(2, disp_capacity_of(w.disp).free_slots);
 	one.started_ms = 2000;
@@ -192,7 +198,7 @@
 	ASSERT_NE(nullptr, second.d.backend);
 	EXPECT_NE(first.d.backend, second.d.backend);
 	EXPECT_EQ(1, second.d.backend->inflight);
-	/* What ends in the earlier life speaks against that one only. */
+	/* A failure at the earlier run does not count for the new one. */
 	w.done(&first, DISP_CONN_BROKEN);
 	EXPECT_EQ(0, second.d.backend->consecutive_bad);
 	w.done(&second, DISP_OK);
@@ -202,7 +208,7 @@
 		disp_cancel(w.disp, &first.d);
 }
 
-TEST(Disp, WhatMustNotRepeatIsNotSentTwice)
+TEST(Disp, ARequestThatIsNotRepeatableIsNotSentTwice)
 {
 	for (enum disp_outcome o :
 	    {DISP_SERVER_ERROR, DISP_CONN_BROKEN, DISP_TIMED_OUT}) {
@@ -226,7 +232,7 @@
 	}
 }
 
-TEST(Disp, ARetryIsNotTriedAgainOnceItMayHaveRun)
+TEST(Disp, ACallersRetryIsNotSentAgainOnceItMayHaveRun)
 {
 	World w;
 	Req r;
@@ -239,7 +245,7 @@
 	EXPECT_EQ(2, r.sends);
 }
 
-TEST(Disp, BulkLeavesRoomAndMoves)
+TEST(Disp, BulkRequestsGetAShareOfTheSlots)
 {
 	World w;
 	std::vector<Req> bulk(30), more(10);
@@ -251,7 +257,7 @@
 		w.arrive(&r, 100000, CLASS_BULK);
 	for (auto &r : bulk)
 		out += r.d.backend != nullptr;
-	/* At most 40 % of the slots, and it does move. */
+	/* At most 40 % of the slots, but more than none. */
 	EXPECT_GE(out, 3);
 	EXPECT_LE(out, 4);
 	for (auto &r : more)
@@ -273,7 +279,7 @@
 	}
 }
 
-TEST(Disp, ACommonFaultDoesNotEmptyThePool)
+TEST(Disp, AFaultOfAllServersDoesNotEjectAll)
 {
 	World w;
 
@@ -289,7 +295,7 @@
 	}
 	EXPECT_GE(disp_usable_backends(w.disp), 3u);
 	EXPECT_LT(disp_usable_backends(w.disp), 6u);
-	/* Time and good answers bring all of them back. */
+	/* After a time without failures all servers are usable again. */
 	for (int i = 0; i < 200; i++) {
 		Req r;
 
@@ -303,7 +309,7 @@
 	EXPECT_EQ(6u, disp_usable_backends(w.disp));
 }
 
-TEST(Disp, PassesOnWhereAnotherHallHasRoom)
+TEST(Disp, ForwardsToAHallWithFreeCapacity)
 {
 	World w;
 	std::vector<Req> r(6);
@@ -315,7 +321,7 @@
 	for (auto &q : r)
 		q.d.can_forward = true;
 	w.arrive(&r[1]);
-	EXPECT_TRUE(r[1].d.queued); /* nothing is known of the other hall */
+	EXPECT_TRUE(r[1].d.queued); /* the other hall's capacity is unknown */
 	struct disp_capacity room = {6, 4, 0};
 	disp_set_hall_capacity(w.disp, STR_LIT("south"), &room);
 	EXPECT_TRUE(r[1].passed);
@@ -324,13 +330,16 @@
 	EXPECT_TRUE(r[2].passed);
 	EXPECT_TRUE(r[3].passed);
 	w.arrive(&r[4]);
-	EXPECT_FALSE(r[4].passed); /* one slot is left to the other hall */
+	EXPECT_FALSE(r[4].passed); /* the other hall keeps one slot */
 	disp_cancel(w.disp, &r[4].d);
 	w.done(&r[0], DISP_CANCELED);
 }
 
-/* Its own region's halls first, and never one that its rule does not allow. */
-TEST(Disp, PassesStayInTheRegionsOfTheirRule)
+/*
+ * A request is forwarded to halls of the same region first, and never to a
+ * region that its rule does not allow.
+ */
+TEST(Disp, ForwardsStayInTheRegionsOfTheirRule)
 {
 	World w;
 	std::vector<Req> r(5);
@@ -356,7 +365,7 @@
 	r[3].d.allowed_regions = STR_LIT("nowhere");
 	w.arrive(&r[3]);
 	EXPECT_TRUE(r[3].d.queued);
-	/* Nor where nothing here may be used any more. */
+	/* Evacuation of this hall does not lift the restriction. */
 	w.backends(1, 1, -1, true);
 	disp_tick(w.disp);
 	EXPECT_FALSE(r[3].passed);
@@ -364,8 +373,11 @@
 	w.done(&r[0], DISP_CANCELED);
 }
 
-/* What runs is finished; what is held, or comes, goes to another hall. */
-TEST(Disp, AnEvacuatedHallFinishesWhatRunsAndGetsNothingNew)
+/*
+ * In an evacuated hall requests in flight run to their end; queued and new ones
+ * are forwarded to another hall.
+ */
+TEST(Disp, AnEvacuatedHallFinishesRunningRequestsAndGetsNoNewOnes)
 {
 	World w;
 	std::vector<Req> r(6);
@@ -379,18 +391,18 @@
 	}
 	EXPECT_TRUE(r[2].d.queued);
 	w.backends(1, 2, -1, true);
-	EXPECT_TRUE(r[2].passed); /* whatever the other hall said last */
+	EXPECT_TRUE(r[2].passed); /* no capacity was reported for that hall */
 	EXPECT_EQ(0, disp_capacity_of(w.disp).slots);
-	/* One whose backend server fails it is not tried again here. */
+	/* A retry is forwarded as well. */
 	r[0].d.can_forward = true;
 	EXPECT_TRUE(w.done(&r[0], DISP_REFUSED));
 	EXPECT_TRUE(r[0].passed);
-	/* One that was passed to us has nowhere to go. */
+	/* A request that may not be forwarded fails. */
 	w.arrive(&r[3]);
 	EXPECT_TRUE(r[3].ended);
 	EXPECT_EQ(ERR_NO_BACKEND, r[3].kind);
 	w.done(&r[1], DISP_OK);
-	/* Back, it begins as if it had just started: one at a time. */
+	/* After the evacuation the server is cold: one request at a time. */
 	w.now += NS_S;
 	w.backends(1, 2);
 	r[4].d.can_forward = r[5].d.can_forward = false;
@@ -402,8 +414,11 @@
 	w.done(&r[5], DISP_OK);
 }
 
-/* A hall whose backend servers all drain holds nothing and has no room. */
-TEST(Disp, NothingIsPassedToAHallThatCannotServeIt)
+/*
+ * A hall whose backend servers all drain reports no slots and no queue.  It
+ * must not be taken for a hall that is free.
+ */
+TEST(Disp, NothingIsForwardedToAHallThatCannotServeIt)
 {
 	World w;
 	std::vector<Req> r(12);
@@ -432,7 +447,7 @@
 namespace
 {
 
-/* One day's worth of requests in virtual time against one policy. */
+/* What drive() measured: the requests' times, failures, and the trace. */
 struct Result {
 	std::vector<double> ms;
 	int failed = 0;
@@ -446,9 +461,14 @@
 	}
 };
 
-/* How a backend server behaves at a time. */
+/* Service time in ms of a backend server at a time, from a random draw. */
 using Service = std::function<double(int backend, int64_t now, double draw)>;
 
+/*
+ * Sends 20000 requests at a mean rate to ten backend servers, in virtual time.
+ * The server `fails_fast` (-1: none) answers all of its requests with an error
+ * after 0.5 ms.
+ */
 Result
 drive(const char *policy, unsigned seed, double per_ms, const Service &service,
     int fails_fast)
@@ -477,7 +497,7 @@
 		else
 			run.failed++;
 	};
-	/* A server goes on with what was stopped; its answer is ignored. */
+	/* A stopped request runs to its end; its response is ignored. */
 	std::function<void(int, Req *, int)> begin = [&](int i, Req *r,
 							 int turn) {
 		servers[static_cast<size_t>(i)].busy++;
@@ -537,7 +557,7 @@
 	return run;
 }
 
-/* Slow spells of 300 ms, ten times as slow, at one server after another. */
+/* One server after another is ten times slower for 300 ms. */
 double
 spells(int i, int64_t now, double draw)
 {
@@ -548,7 +568,7 @@
 
 } // namespace
 
-TEST(Differential, NoisyNeighboursHurtLessThanInNaive)
+TEST(Differential, FernHasLowerTailLatencyThanNaiveOnNoisyServers)
 {
 	Result naive = drive("naive", 5, 1.5, spells, -1);
 	Result fern = drive("fern", 5, 1.5, spells, -1);
@@ -558,14 +578,14 @@
 	    fern.p(99.9));
 	Result busy = drive("fern", 5, 2.25, spells, -1);
 
-	printf("at three quarters: fern %.1f %.1f %.1f\n", busy.p(50),
-	    busy.p(99), busy.p(99.9));
+	printf("at three quarters of the capacity: fern %.1f %.1f %.1f\n",
+	    busy.p(50), busy.p(99), busy.p(99.9));
 	EXPECT_EQ(0, fern.failed);
 	EXPECT_LT(fern.p(99), naive.p(99) / 3);
 	EXPECT_LT(fern.p(99.9), naive.p(99.9));
 }
 
-TEST(Disp, ANewOneIsTriedAlthoughTheOthersAreFast)
+TEST(Disp, ANewServerIsUsedAlthoughTheOthersAreFast)
 {
 	World w;
 	Req r;
@@ -584,7 +604,7 @@
 	w.done(&r, DISP_OK);
 }
 
-TEST(Disp, OneWithAnOldRequestIsTakenLast)
+TEST(Disp, AServerWithASlowRequestIsChosenLast)
 {
 	World w;
 	Req old, fresh[2], next;
@@ -599,14 +619,14 @@
 		w.arrive(&r);
 	EXPECT_NE(slow, fresh[0].d.backend);
 	EXPECT_NE(slow, fresh[1].d.backend);
-	/* The other one is fuller now, and still the better choice. */
+	/* The other server has more requests, but is still preferred. */
 	w.arrive(&next);
 	EXPECT_NE(slow, next.d.backend);
 	for (auto *r : {&old, &fresh[0], &fresh[1], &next})
 		w.done(r, DISP_OK);
 }
 
-TEST(Disp, ATryThatIsFarTooSlowIsBegunElsewhereOnce)
+TEST(Disp, ASlowAttemptIsMovedToAnotherServerOnce)
 {
 	World w;
 	Req r, pay;
@@ -619,7 +639,7 @@
 	first = r.d.backend;
 	w.now += 30 * NS_MS;
 	disp_tick(w.disp);
-	EXPECT_EQ(first, r.d.backend); /* no sooner than 40 ms */
+	EXPECT_EQ(first, r.d.backend); /* too early: moved after 40 ms */
 	w.now += 30 * NS_MS;
 	disp_tick(w.disp);
 	EXPECT_NE(first, r.d.backend);
@@ -627,13 +647,13 @@
 	w.now += 100 * NS_MS;
 	disp_tick(w.disp);
 	EXPECT_EQ(2, r.sends);
-	/* What must not repeat is left where it is. */
+	/* The request that is not repeatable is not moved. */
 	EXPECT_EQ(1, pay.sends);
 	w.done(&r, DISP_OK);
 	w.done(&pay, DISP_OK);
 }
 
-TEST(Differential, OneThatFailsFastDrawsNoTraffic)
+TEST(Differential, AServerThatFailsFastAttractsNoTraffic)
 {
 	auto calm = [](int, int64_t, double draw) {
 		return draw * 10;
@@ -647,7 +667,7 @@
 	EXPECT_LT(there, 100u);
 }
 
-TEST(Disp, OneOrderOfEventsGivesOneResult)
+TEST(Disp, TheSameEventsGiveTheSameResult)
 {
 	Result a = drive("fern", 7, 1.5, spells, 2);
 	Result b = drive("fern", 7, 1.5, spells, 2);
--- a/regress/test_paced.cpp
+++ b/regress/test_paced.cpp
@@ -15,12 +15,18 @@
 using disp_world::Req;
 using disp_world::World;
 
-/* The dispatcher under the policy that goes by pace. */
+/*
+ * Unit tests of the dispatcher with the policy "pace", which queries backend
+ * servers for their load and chooses by their latency factor (100: usual).
+ */
 
 namespace
 {
 
-/* Requests with a target of 100 ms that are known to take 20 ms. */
+/*
+ * A dispatcher whose n backend servers are warm, after requests with a target
+ * of 100 ms that took 20 ms each.
+ */
 struct Paced : World {
 	explicit Paced(int n) : World("pace")
 	{
@@ -48,7 +54,7 @@
 		return arrive(r, 400, CLASS_INTERACTIVE, repeatable);
 	}
 
-	/* Answer all questions that are out. */
+	/* Answers all open load queries with the given latency factor. */
 	void answer(int pace)
 	{
 		std::vector<std::string> names;
@@ -62,7 +68,7 @@
 
 } // namespace
 
-TEST(Paced, ARequestWaitsForAGoodPlaceButNotTooLong)
+TEST(Paced, ARequestWaitsForAFastServerButNotTooLong)
 {
 	Paced w(3);
 	Req r;
@@ -74,13 +80,16 @@
 	EXPECT_EQ(nullptr, r.d.backend);
 	w.now += 15 * NS_MS;
 	disp_tick(w.disp);
-	EXPECT_FALSE(w.asked.empty()); /* they are asked again */
+	EXPECT_FALSE(w.asked.empty()); /* new load queries */
 	w.answer(100);
 	ASSERT_NE(nullptr, r.d.backend);
 	w.now += 20 * NS_MS;
 	w.done(&r, DISP_OK);
 
-	/* In a spell to the end it begins while it can still be in time. */
+	/*
+	 * If all servers stay slow, it starts while it can still meet its
+	 * target.
+	 */
 	Req late;
 	int64_t began = w.now += NS_S;
 	w.aim(&late);
@@ -95,13 +104,16 @@
 	w.done(&late, DISP_OK);
 }
 
-TEST(Paced, ASlowTryIsMovedWhereThatIsInTimeAndMayBe)
+TEST(Paced, ASlowAttemptIsMovedIfAllowedAndInTime)
 {
 	Paced w(3);
 	Req r, pay;
 	struct pick_backend *first;
 
-	/* Spells are five times as slow, as is told often enough: 100 ms. */
+	/*
+	 * 500 reports of a latency factor of 500 teach the policy that a slow
+	 * period multiplies the 20 ms by five.
+	 */
 	for (int i = 0; i < 500; i++)
 		disp_load_query_done(w.disp, STR_LIT("b0"), true, 0, 0, 500);
 	w.now += NS_S;
@@ -122,7 +134,7 @@
 	EXPECT_NE(first, r.d.backend);
 	EXPECT_EQ(2, r.sends);
 	EXPECT_EQ(1, pay.sends);
-	/* Two are all that its rule allows. */
+	/* Its rule allows two attempts. */
 	w.now += 50 * NS_MS;
 	disp_tick(w.disp);
 	w.answer(100);
@@ -131,7 +143,7 @@
 	w.done(&pay, DISP_OK);
 }
 
-TEST(Paced, NoMoreBackendServersThanItsRuleAllows)
+TEST(Paced, NoMoreAttemptsThanItsRuleAllows)
 {
 	Paced w(4);
 	Req r;
@@ -145,7 +157,7 @@
 	EXPECT_EQ(2, r.sends);
 }
 
-TEST(Paced, WhatWouldBeLateIsRefusedAtOnce)
+TEST(Paced, ARequestThatWouldBeLateIsRefusedAtOnce)
 {
 	Paced w(1);
 	std::vector<Req> r(60);
@@ -156,7 +168,7 @@
 		w.answer(100);
 		refused += q.kind == ERR_BUSY;
 	}
-	/* Three slots serve about 15 of 20 ms each within 100 ms. */
+	/* Three slots serve about 15 requests of 20 ms within 100 ms. */
 	EXPECT_GE(refused, 35);
 	EXPECT_LE(refused, 55);
 	for (auto &q : r)
@@ -167,8 +179,11 @@
 			w.done(&q, DISP_CANCELED);
 }
 
-/* Also where it came later and may be answered later. */
-TEST(Paced, TheMoreUrgentGoesFirst)
+/*
+ * Rank goes before the order of arrival and the deadline: a request of a lower
+ * rank number starts first although it came later and has a later deadline.
+ */
+TEST(Paced, TheMoreUrgentRequestStartsFirst)
 {
 	Paced w(1);
 	std::vector<Req> full(3);
@@ -203,8 +218,11 @@
 			disp_cancel(w.disp, &q->d);
 }
 
-/* One that stands behind more urgent ones is not forgotten. */
-TEST(Paced, WhatExpiresBehindMoreUrgentOnesIsToldInTime)
+/*
+ * A request whose deadline passes while more urgent ones with later deadlines
+ * are queued before it must still be ended at its deadline.
+ */
+TEST(Paced, ARequestThatExpiresBehindMoreUrgentOnesEndsInTime)
 {
 	Paced w(1);
 	std::vector<Req> full(3), urgent(2);
@@ -239,18 +257,18 @@
 
 	r.d.target = w.now + 100 * NS_MS;
 	r.d.kind = 1;
-	w.now += 95 * NS_MS; /* it can no longer be in time */
+	w.now += 95 * NS_MS; /* it can no longer meet its target */
 	w.arrive(&r, 300);
 	EXPECT_NE(nullptr, r.d.backend);
 	w.done(&r, DISP_OK);
 }
 
-TEST(Paced, WhatALostHomeLeavesIsChargedOnce)
+TEST(Paced, RequestsOfALostOwnerAreChargedOnce)
 {
 	Paced w(2);
 	int sent = 0;
 
-	/* New here, sent elsewhere before, and charged by nobody. */
+	/* Received from an owner that was lost; no retry budget charged. */
 	for (int i = 0; i < 40; i++) {
 		Req r;
 
@@ -263,7 +281,7 @@
 	}
 	EXPECT_GT(sent, 0);
 	EXPECT_LT(sent, 30);
-	/* What another home moved here was charged there. */
+	/* A request that another owner moved here was charged there. */
 	Req paid;
 	paid.d.attempt_count = 1;
 	paid.d.budget_charged = true;
@@ -273,7 +291,7 @@
 	w.done(&paid, DISP_CANCELED);
 }
 
-TEST(Paced, OneThatTellsNoLoadIsAskedOnce)
+TEST(Paced, AServerThatReportsNoLoadIsQueriedOnce)
 {
 	World w("pace");
 	Req r, next;
@@ -296,7 +314,7 @@
 	w.done(&next, DISP_OK);
 }
 
-TEST(Paced, OneThatTellsNoLoadIsKnownByItsAnswers)
+TEST(Paced, AServerThatReportsNoLoadIsRatedByItsServiceTimes)
 {
 	World w("pace");
 	int there = 0;
@@ -326,10 +344,11 @@
 }
 
 /*
- * A request that has no time to ask would go to a backend server of which a new
- * home does not know whether it is cold.
+ * A new owner of the shard does not know which backend servers are cold.  A
+ * request that is too late to wait for a load query must not be sent to one
+ * before that is known.
  */
-TEST(Paced, ANewHomeSendsNothingBeforeItKnowsWhatIsCold)
+TEST(Paced, ANewOwnerSendsNothingBeforeItKnowsWhichServersAreCold)
 {
 	World w("pace");
 	struct disp_params p = {};
@@ -349,7 +368,7 @@
 		w.arrive(&q, 400);
 		EXPECT_EQ(nullptr, q.d.backend);
 	}
-	/* One is warm and gets them at once, the other bears a few a second. */
+	/* b0 is warm and gets them at once; b1 is cold, at a low rate. */
 	disp_cold_reported(w.disp, STR_LIT("b0"), 0);
 	disp_load_query_done(w.disp, STR_LIT("b0"), true, 0, 0, 100);
 	disp_cold_reported(w.disp, STR_LIT("b1"), 3 * NS_S);
@@ -361,7 +380,7 @@
 		    str_eq(q.d.backend->name, STR_LIT("b0")));
 	}
 	EXPECT_LT(0u, sent);
-	/* One that cannot be reached may be back cold: it is asked again. */
+	/* An unreachable server may have restarted cold: it is queried. */
 	w.asked.clear();
 	w.now += 60 * NS_MS;
 	for (auto &q : r)
@@ -379,9 +398,11 @@
 			w.done(&q, DISP_CANCELED);
 }
 
-/* A hall of hundreds that has gone dark must not drown its home in questions.
+/*
+ * When hundreds of backend servers of a hall stop answering, the owner limits
+ * its load queries: 32 at once, 600 a second.  All servers are queried in turn.
  */
-TEST(Paced, FewQuestionsAreOutAtOnceAndAllGetTheirTurn)
+TEST(Paced, LoadQueriesAreLimitedAndReachAllServers)
 {
 	const int n = 200;
 	World w("pace");
@@ -394,7 +415,7 @@
 	p.cold = {3.75, 4, 3 * NS_S};
 	disp_configure(w.disp, &p);
 	w.backends(n, 2);
-	/* New: each answer makes room for the next question, without a tick. */
+	/* At the start each reply allows the next query, without a tick. */
 	while (!w.asked.empty() && all.size() < n) {
 		most = std::max(most, w.asked.size());
 		std::string b = w.asked.front();
@@ -405,7 +426,7 @@
 	}
 	EXPECT_EQ(static_cast<size_t>(n), all.size());
 	EXPECT_GE(32u, most);
-	/* Dark: nothing answers any more, for ten seconds. */
+	/* For ten seconds no server answers. */
 	all.clear();
 	w.asked.clear();
 	for (int i = 0; i < n; i++)
@@ -434,7 +455,7 @@
 	EXPECT_GE(600u, asked / 10); /* a second */
 }
 
-TEST(Paced, OneThatDoesNotAnswerIsTakenLast)
+TEST(Paced, AServerThatDoesNotAnswerIsChosenLast)
 {
 	Paced w(2);
 	Req r;
@@ -451,8 +472,11 @@
 	w.done(&r, DISP_OK);
 }
 
-/* Where all say how many requests they take, the wait is known. */
-TEST(Paced, WhatALimitedServerTakesTooLateIsRefusedAtOnce)
+/*
+ * Where all backend servers reported a rate limit the waiting time is known: a
+ * request that would miss its target is refused at once.
+ */
+TEST(Paced, ARequestThatARateLimitMakesLateIsRefusedAtOnce)
 {
 	Paced w(1);
 	Req r[4];
@@ -460,7 +484,7 @@
 	w.aim(&r[0]);
 	w.answer(100);
 	ASSERT_NE(nullptr, r[0].d.backend);
-	/* The next is free in 50 ms, and the one after it in 100. */
+	/* At 20 a second the next may start in 50 ms, another in 100. */
 	EXPECT_TRUE(
 	    disp_quota_reported(w.disp, r[0].d.backend, 20, r[0].d.sent_at));
 	w.now += 20 * NS_MS;
@@ -480,7 +504,7 @@
 	EXPECT_EQ(VIOLATION_NONE, r[1].d.violation);
 	w.now += 20 * NS_MS;
 	w.done(&r[1], DISP_OK);
-	/* One that turns late behind others does not wait on for its end. */
+	/* A lower limit makes a queued request late: it is refused. */
 	w.aim(&r[3], true, 2, 60);
 	EXPECT_TRUE(r[3].d.queued);
 	EXPECT_TRUE(disp_quota_reported(
@@ -491,8 +515,11 @@
 	EXPECT_EQ(ERR_BUSY, r[3].kind);
 }
 
-/* In a rest of all of them a request is held if that ends in time. */
-TEST(Paced, WhatComesInARestIsHeldIfItIsServedInTime)
+/*
+ * While all backend servers pause (Retry-After), a request is queued if the
+ * pause ends early enough for its target, and is refused otherwise.
+ */
+TEST(Paced, ARequestInAPauseIsQueuedIfItCanBeServedInTime)
 {
 	Paced w(2);
 	Req r[4];
@@ -511,7 +538,7 @@
 	ASSERT_NE(nullptr, r[0].d.backend);
 	w.now += 20 * NS_MS;
 	w.done(&r[0], DISP_OK);
-	/* A shorter rest does not end one that was asked for before. */
+	/* A shorter pause does not cut a longer one that was reported. */
 	for (const char *b : {"b0", "b1"}) {
 		EXPECT_TRUE(disp_pause_reported(
 		    w.disp, disp_find_backend(w.disp, str_c(b)), 3 * NS_S));
@@ -522,7 +549,7 @@
 	w.aim(&r[1]);
 	EXPECT_TRUE(r[1].ended);
 	EXPECT_EQ(ERR_BUSY, r[1].kind);
-	/* Nobody is asked meanwhile, and one is enough to end the wait. */
+	/* No load queries in a pause; one server is enough to end it. */
 	EXPECT_TRUE(w.asked.empty());
 	w.now += 3 * NS_S;
 	EXPECT_TRUE(disp_pause_reported(
--- a/regress/test_policy.cpp
+++ b/regress/test_policy.cpp
@@ -9,9 +9,9 @@
  * WITH REGARD TO THIS SOFTWARE.  See LICENSE for the whole text.
  */
 /*
- * The policy "pace" in virtual time: arrivals, backend servers that slow when
- * full or in spells, callers that come back.  What is looked at is how many
- * requests are answered in time.
+ * The policy "pace" in virtual time, with simulated callers that retry and
+ * backend servers that slow down when full or for random periods.  The tests
+ * check how many requests meet their target.
  */
 #include <algorithm>
 #include <cmath>
@@ -37,17 +37,17 @@
 struct Attempt {
 	struct disp_req d = {};
 	Sim *sim = nullptr;
-	int64_t first = 0, deadline = 0; /* of the caller, over all attempts */
+	int64_t first = 0, deadline = 0; /* over all attempts of the caller */
 	int64_t work = 0;
-	int left = 0; /* times that it may come back */
-	uint64_t run = 0; /* the try whose end counts; 0: none */
+	int left = 0; /* retries that the caller has left */
+	uint64_t run = 0; /* the attempt whose end counts; 0: none */
 	int64_t came = 0, began = 0;
 };
 
 struct Server {
 	std::string name;
 	int running = 0, pace = 100;
-	std::vector<int> beside; /* of each request that began here */
+	std::vector<int> beside; /* requests running when each one began */
 };
 
 struct Fleet {
@@ -56,19 +56,20 @@
 	double mean_ms = 200;
 	int64_t target_ms = 600, deadline_ms = 4000;
 	uint64_t seed = 7;
-	double spells = 0; /* share of time that a server is 5 times slower */
+	double spells =
+	    0; /* share of time in which a server is 5 times slower */
 };
 
 struct Count {
 	int arrived = 0, in_time = 0, late = 0, refused = 0;
 };
 
-/* What a home and its backend servers do, event by event. */
+/* Event simulation of an owner, its backend servers and callers. */
 struct Sim {
 	Fleet fleet;
 	int64_t now = NS_S;
 	uint64_t seed, runs = 0;
-	bool spelling = true; /* servers are in and out of spells */
+	bool spelling = true; /* slow periods come and go at random */
 	struct clk clk;
 	struct rnd rnd;
 	struct disp *disp;
@@ -76,7 +77,8 @@
 	std::map<std::string, Server> servers;
 	std::vector<std::unique_ptr<Attempt>> attempts;
 	std::map<int64_t, Count> seconds; /* by the second of first attempts */
-	std::function<double(double)> slowdown; /* by the share in use */
+	std::function<double(double)>
+	    slowdown; /* by the share of slots in use */
 
 	static struct timespec mono(void *ctx)
 	{
@@ -186,8 +188,9 @@
 	}
 
 	/*
-	 * An attempt is a request of its own; the old one is left as it is.
-	 * Its target counts from the first, as the gate finds out (caller.h).
+	 * Submits a caller's attempt as a request of its own; `old` stays as it
+	 * is.  The target counts from the first attempt: the gate computes the
+	 * time that has passed since (caller.h).
 	 */
 	void attempt(const Attempt *old, int left)
 	{
@@ -221,7 +224,7 @@
 		attempt(&first, 2);
 	}
 
-	/* Arrivals until `end`, so many a second. */
+	/* Schedules random arrivals at a mean rate until `end`. */
 	void load(double per_s, int64_t end)
 	{
 		if (now >= end)
@@ -324,7 +327,7 @@
 		list_servers();
 	}
 
-	/* All that waits is forgotten, what runs ends. */
+	/* Cancels queued requests and ends those in flight. */
 	~Sim()
 	{
 		for (auto &a : attempts)
@@ -369,7 +372,7 @@
 	}
 };
 
-/* Beyond four fifths of the slots work takes 1.7 times as long. */
+/* Slowdown: above 80 % of the slots work takes 1.7 times as long. */
 double
 knee(double full)
 {
@@ -383,7 +386,7 @@
 	Sim sim((Fleet()));
 
 	sim.slowdown = knee;
-	sim.load(90, 12 * NS_S); /* of 80 that 4 of 6 slots can do */
+	sim.load(90, 12 * NS_S); /* 4 of 6 slots can serve 80 a second */
 	sim.run_to(5 * NS_S);
 	sim.forget_starts();
 	sim.run_to(12 * NS_S);
@@ -399,7 +402,8 @@
 		fleet.slots = slots;
 		Sim sim(fleet);
 
-		sim.load(22 * slots, 12 * NS_S); /* of 20 a slot */
+		sim.load(
+		    22 * slots, 12 * NS_S); /* a slot can serve 20 a second */
 		sim.run_to(5 * NS_S);
 		sim.forget_starts();
 		sim.run_to(12 * NS_S);
@@ -407,7 +411,7 @@
 	}
 }
 
-TEST(Policy, AChangeOfHowServersSlowIsFollowedWithinSeconds)
+TEST(Policy, AChangedSlowdownIsLearnedWithinSeconds)
 {
 	Sim sim((Fleet()));
 
@@ -427,7 +431,7 @@
 	EXPECT_GT(sim.began_beside(5), 0.5);
 }
 
-/* The mean over some runs of what is answered in time. */
+/* Returns the mean share of requests that met their target, over 5 runs. */
 double
 mean_in_time(Fleet fleet, double per_s, std::function<double(double)> slowdown)
 {
@@ -452,8 +456,11 @@
 	EXPECT_GT(mean_in_time(Fleet(), 76, knee), 0.85);
 }
 
-/* A gate that becomes home does not know since when its servers run. */
-TEST(Policy, WhatServedBeforeWeCameIsNotColdForUs)
+/*
+ * A gate that becomes owner does not know since when the backend servers have
+ * been running.  It must not treat them all as cold: that would cut capacity.
+ */
+TEST(Policy, ServersOfANewOwnerAreNotCold)
 {
 	Fleet fleet;
 
@@ -466,8 +473,11 @@
 	EXPECT_EQ(6u, disp_inflight(sim.disp));
 }
 
-/* One that joins later is cold: one request until it has answered some. */
-TEST(Policy, WhatJoinsLaterGetsOneRequestAtATime)
+/*
+ * A server that joins later is cold: it gets one request at a time until it has
+ * answered some.
+ */
+TEST(Policy, AServerThatJoinsLaterGetsOneRequestAtATime)
 {
 	Fleet fleet;
 
@@ -483,7 +493,10 @@
 	EXPECT_EQ(1u, sim.servers["b2"].beside.size());
 }
 
-/* One that is slow is free, and asked more often than those at work. */
+/*
+ * A slow server is free more often and so is queried more often.  Its reports
+ * must not make the policy expect the same slowness of all servers.
+ */
 TEST(Policy, OneSlowServerDoesNotMakeAllLookSlow)
 {
 	Sim sim((Fleet()));
@@ -501,8 +514,11 @@
 	EXPECT_EQ(30, sim.seconds[second].in_time);
 }
 
-/* A spell passes sooner than the work would be done in it. */
-TEST(Policy, ARequestWaitsForASpellToPassThoughItWillBeLate)
+/*
+ * Waiting for the end of a slow period is faster than running in it, although
+ * the target is missed either way.
+ */
+TEST(Policy, ALateRequestWaitsForTheEndOfASlowPeriod)
 {
 	Fleet fleet;
 
@@ -511,7 +527,7 @@
 	Sim sim(fleet);
 
 	sim.load(5, 3 * NS_S);
-	sim.run_to(4 * NS_S + 300 * NS_MS); /* the work is known */
+	sim.run_to(4 * NS_S + 300 * NS_MS); /* the service time is known */
 	for (auto &v : sim.servers)
 		v.second.pace = 500;
 	sim.in(149 * NS_MS, [&] {
@@ -525,7 +541,7 @@
 	EXPECT_EQ(1, sim.seconds[4].late + sim.seconds[4].in_time);
 }
 
-TEST(Caller, WhatIsMissingToACommonDeadlineHasPassed)
+TEST(Caller, ElapsedTimeIsTheDifferenceToTheCommonDeadline)
 {
 	struct callers c = {};
 
@@ -534,17 +550,17 @@
 		EXPECT_EQ(0, callers_elapsed_ms(&c, 900));
 	}
 	EXPECT_EQ(1234, callers_elapsed_ms(&c, 4000 - 1234));
-	/* The least that it can have been. */
+	/* Of two common deadlines the one that gives the shorter time. */
 	EXPECT_EQ(200, callers_elapsed_ms(&c, 700));
 	EXPECT_EQ(0, callers_elapsed_ms(&c, 6000));
-	/* Many that come again do not hide the first attempts. */
+	/* Many retries do not hide the first attempts' deadline. */
 	for (int i = 0; i < 2000; i++)
 		callers_elapsed_ms(&c, i % 3 == 0 ? 4000 : 100 + i);
 	EXPECT_EQ(0, callers_elapsed_ms(&c, 4000));
 	EXPECT_EQ(500, callers_elapsed_ms(&c, 3500));
 }
 
-TEST(Caller, WithoutACommonDeadlineNothingIsKnown)
+TEST(Caller, WithoutACommonDeadlineNoTimeIsAssumed)
 {
 	struct callers c = {};
 
@@ -552,8 +568,8 @@
 		EXPECT_EQ(0, callers_elapsed_ms(&c, 1000 + (i * 37) % 997));
 }
 
-/* Callers that change their deadline are followed. */
-TEST(Caller, ANewCommonDeadlineTakesTheOldOnesPlace)
+/* When callers change their common deadline, the new one is learned. */
+TEST(Caller, ANewCommonDeadlineReplacesTheOld)
 {
 	struct callers c = {};
 
@@ -566,8 +582,8 @@
 }
 
 /*
- * An overload ends with the load: what came too late for its target neither
- * delays the others nor keeps the backend servers full.
+ * Guards against an overload that outlasts its cause: requests that missed
+ * their target must neither delay others nor keep the backend servers full.
  */
 TEST(Policy, ASurgeIsOverSoonAfterItsEnd)
 {
