--- a/regress/test_conf.cpp
+++ b/regress/test_conf.cpp
@@ -8,7 +8,10 @@
  * THE SOFTWARE IS PROVIDED "AS IS" AND THE AUTHOR DISCLAIMS ALL WARRANTIES
  * WITH REGARD TO THIS SOFTWARE.  See LICENSE for the whole text.
  */
-/* The merge and exchange of configuration, through all orders of events. */
+/*
+ * Unit tests of the merge of configuration objects and of their exchange
+ * between boxes (anti-entropy).
+ */
 #include <algorithm>
 #include <deque>
 #include <gtest/gtest.h>
@@ -33,7 +36,7 @@
 	return str_n(s.data(), s.size());
 }
 
-/* One thing that can be told to a merge. */
+/* An object, a deletion or a list that is offered to a merge. */
 struct Offer {
 	std::string key;
 	uint64_t version;
@@ -63,7 +66,7 @@
 	json_decref(spec);
 }
 
-/* What is in force for a key, as text. */
+/* Returns as text the version in force for a key, and the rejected one. */
 std::string
 state(const struct conf *c, const std::string &key)
 {
@@ -81,9 +84,9 @@
 
 } // namespace
 
-TEST(Conf, EachOrderOfOffersLeadsToOneState)
+TEST(Conf, OffersInAnyOrderLeadToTheSameState)
 {
-	/* Versions 1 to 6 of one object, some deletions, some not valid. */
+	/* Versions 1 to 6 of an object, some deleted, some not valid. */
 	const std::vector<std::vector<Offer>> sets = {
 	    {{"service/a", 1, 'g'}, {"service/a", 3, 'g'},
 		{"service/a", 2, 'g'}, {"service/a", 5, 'd'},
@@ -113,7 +116,7 @@
 
 				tell(c, sets[s][i]);
 				e = conf_get(c, STR_LIT("service/a"));
-				/* What is in force never goes back. */
+				/* The version in force never falls. */
 				if (e != nullptr && !e->deleted) {
 					ASSERT_GE(e->version, highest);
 					highest = e->version;
@@ -137,7 +140,7 @@
 	tell(c, {"service/a", 2, 'd'});
 	EXPECT_EQ(digest, conf_digest(c));
 	EXPECT_EQ("4", state(c, "service/a"));
-	/* A stale list that has not the object does not delete it. */
+	/* A list older than the object does not delete it. */
 	tell(c, {"", 3, 'l'});
 	EXPECT_EQ("4", state(c, "service/a"));
 	tell(c, {"", 4, 'l'});
@@ -145,7 +148,7 @@
 	conf_free(c);
 }
 
-TEST(Conf, AnObjectThatIsNotValidLeavesTheLastGoodOne)
+TEST(Conf, AnInvalidObjectLeavesTheLastValidOneInForce)
 {
 	struct conf *c = conf_new(nullptr, nullptr);
 	const struct conf_entry *e;
@@ -238,7 +241,7 @@
 
 } // namespace
 
-TEST(Sync, PeersComeTogetherOverABadNetworkAndNeverGoBack)
+TEST(Sync, PeersConvergeOverABadNetworkAndVersionsNeverFall)
 {
 	for (unsigned seed = 0; seed < 60; seed++) {
 		Net net;
@@ -296,7 +299,7 @@
 	net.add("old");
 	tell(net.peers["old"].conf, {"service/gone", 5, 'g'});
 	tell(net.peers["old"].conf, {"service/kept", 6, 'g'});
-	/* The fresh one lists at revision 9: only the other one is left. */
+	/* "fresh" gets a list of revision 9 that has service/kept only. */
 	GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
 	g_hash_table_add(keys, const_cast<char *>("service/kept"));
 	tell(net.peers["fresh"].conf, {"service/kept", 6, 'g'});
@@ -315,10 +318,11 @@
 }
 
 /*
- * A box that holds rules only is equal to one that holds all as soon as the
- * rules are, and what it has seen whole says nothing of backend servers.
+ * A box that stores rules only counts as equal to one that stores all objects
+ * once their rules are equal.  The revision up to which its rules are complete
+ * must not be applied to backend servers.
  */
-TEST(Sync, APeerThatHoldsRulesOnlyIsToldNoBackendServers)
+TEST(Sync, APeerWithRulesOnlyIsSentNoBackendServers)
 {
 	Net net;
 
@@ -347,21 +351,21 @@
 	net.sent = 0;
 	exchange();
 	EXPECT_EQ(0u, net.sent);
-	/* It lists the rules at revision 100, before which a server came. */
+	/* Rules complete up to revision 100; a server of 90 is still new. */
 	conf_raise_floor(rules, CONF_RULES, 100);
 	exchange();
 	EXPECT_EQ(100u, conf_floor_of(all, CONF_RULES));
 	EXPECT_EQ(0u, conf_floor_of(all, CONF_BACKENDS));
 	tell(all, {"backend/late", 90, 'g'});
 	EXPECT_EQ("90", state(all, "backend/late"));
-	/* From now on it holds all, and what it missed is no deletion. */
+	/* Now it stores all objects; those it lacked count as no deletions. */
 	net.peers["rules"].sync.rules_only = false;
 	exchange();
 	EXPECT_EQ(42u, conf_count(rules));
 	EXPECT_EQ(conf_digest(all), conf_digest(rules));
 }
 
-TEST(Sync, TheExchangeGrowsWithTheDifference)
+TEST(Sync, TheExchangeIsProportionalToTheDifference)
 {
 	Net net;
 
@@ -388,7 +392,7 @@
 	++*static_cast<int *>(ctx);
 }
 
-/* How many objects each message that went out has. */
+/* Records how many objects each sent message has. */
 void
 note_objects(void *ctx, struct str, const struct msg *m)
 {
@@ -398,7 +402,7 @@
 
 } // namespace
 
-TEST(Conf, EachListenerHearsOfAChange)
+TEST(Conf, EachListenerIsCalledOnAChange)
 {
 	int first = 0, second = 0;
 	struct conf *c = conf_new(count_change, &first);
@@ -411,7 +415,7 @@
 	conf_free(c);
 }
 
-TEST(Sync, ManyObjectsGoOutInFewMessages)
+TEST(Sync, ManyObjectsAreSentInFewMessages)
 {
 	std::vector<size_t> sent;
 	struct conf *c = conf_new(nullptr, nullptr);
@@ -432,8 +436,11 @@
 	conf_free(c);
 }
 
-/* A large object crosses deflated, and is not read where it is known. */
-TEST(Sync, LargeTextsAreDeflatedAndReadBack)
+/*
+ * A large object is sent compressed.  The receiver restores it, and ignores it
+ * when it is sent again.
+ */
+TEST(Sync, LargeObjectsAreCompressedAndRestored)
 {
 	Net net;
 	json_t *labels = json_object();
@@ -476,8 +483,11 @@
 
 } // namespace
 
-/* What one box was told of the rules goes for all that have the same ones. */
-TEST(Sync, TheAgeOfAConfirmationGoesWithEqualRules)
+/*
+ * The age of a box's last confirmation by the platform is valid for each box
+ * with equal rules.
+ */
+TEST(Sync, TheAgeOfAConfirmationIsSharedByEqualRules)
 {
 	struct timespec now = {1000, 0};
 	struct clk clk = {time_of, time_of, &now};
@@ -488,13 +498,13 @@
 	struct msg_conf_summary holds = sync_conf_summary(&told);
 
 	tell(a, {"service/s1", 1, 'g'});
-	/* Nobody was told anything. */
+	/* No box has a confirmation yet. */
 	sync_confirm_from_peer(&hears, &holds);
 	EXPECT_EQ(-1, sync_age_ms(&told));
 	EXPECT_EQ(-1, sync_age_ms(&hears));
 	sync_confirm(&told);
 	now.tv_sec += 2;
-	/* Other rules: what holds for those says nothing of ours. */
+	/* The rules differ, so the peer's confirmation does not count. */
 	holds = sync_conf_summary(&told);
 	sync_confirm_from_peer(&hears, &holds);
 	EXPECT_EQ(-1, sync_age_ms(&hears));
@@ -502,7 +512,7 @@
 	tell(b, {"backend/b1", 2, 'g'});
 	sync_confirm_from_peer(&hears, &holds);
 	EXPECT_EQ(2000, sync_age_ms(&hears));
-	/* An older word does not undo a newer one. */
+	/* An older confirmation does not replace a newer one. */
 	now.tv_sec += 1;
 	sync_confirm(&hears);
 	sync_confirm_from_peer(&hears, &holds);
--- a/regress/test_poison.cpp
+++ b/regress/test_poison.cpp
@@ -17,12 +17,15 @@
 using disp_world::Req;
 using disp_world::World;
 
-/* Requests that end backend servers: what is remembered, and the trials. */
+/*
+ * Requests that crash backend servers: the records of suspects that boxes keep
+ * and exchange, and the trials by which the dispatcher proves or clears one.
+ */
 
 namespace
 {
 
-/* One box's memory, in a time that may be shared. */
+/* One box's records of suspects; boxes may share a clock. */
 struct Memory {
 	int64_t *now;
 	uint64_t seed;
@@ -53,7 +56,7 @@
 		poison_free(p);
 	}
 
-	/* Tell another box all; its times are a little later there. */
+	/* Sends all records to another box; `delay` is added to their times. */
 	void tell(Memory *other, int64_t delay = 0)
 	{
 		struct poison_record words[POISON_MSG_RECORDS_MAX];
@@ -71,22 +74,22 @@
 constexpr struct fprint BAD = {1, 2, 5}, OTHER = {3, 4, 5};
 
 /*
- * A dispatcher with backend servers that end under some requests, in virtual
- * time.  Questions are answered after a millisecond by those that live.
+ * A dispatcher with backend servers that crash under some requests, in virtual
+ * time.  Servers that run answer load queries after a millisecond.
  */
 struct Servers : World {
 	Memory memory{&now, 7};
 	std::multimap<int64_t, std::function<void()>> events;
 	std::map<std::string, int64_t> dead_until, full_until;
 	std::map<std::string, std::set<Req *>> there;
-	std::set<uint64_t> poison; /* fingerprints, their `lo` */
-	std::map<uint64_t, int> ends; /* by fingerprint */
+	std::set<uint64_t> poison; /* `lo` of the fingerprints */
+	std::map<uint64_t, int> ends; /* crashes by fingerprint */
 	std::vector<std::unique_ptr<Req>> reqs;
 	int64_t work = 40 * NS_MS, back = 3 * NS_S;
-	size_t trials_beside = 0; /* requests at a server with a trial */
-	/* Connections break, the servers live, and answer questions or not. */
+	size_t trials_beside = 0; /* requests that ran beside a trial */
+	/* Connections break but servers run on; they answer load queries. */
 	bool cuts_only = false, answers = true;
-	bool dark = false; /* they end without a word */
+	bool dark = false; /* a crash breaks no connection: requests time out */
 
 	explicit Servers(int n) : World("pace")
 	{
@@ -148,7 +151,7 @@
 			done(r, outcome);
 	}
 
-	/* The backend server ends, and all that is there breaks off. */
+	/* The backend server crashes; all of its requests break off. */
 	void end(Req *r, const std::string &b)
 	{
 		std::set<Req *> cut;
@@ -225,7 +228,7 @@
 		return r;
 	}
 
-	/* Requests with a fingerprint that ended so. */
+	/* Counts the requests with a fingerprint that ended with `kind`. */
 	size_t ended_as(struct fprint print, enum err_kind kind)
 	{
 		size_t n = 0;
@@ -236,7 +239,7 @@
 		return n;
 	}
 
-	/* Those that nothing answered, for whatever reason. */
+	/* Counts the requests with a fingerprint that got no response. */
 	size_t unserved(struct fprint print)
 	{
 		size_t n = 0;
@@ -249,8 +252,8 @@
 };
 
 /*
- * Requests break off at backend servers that live.  A full one may break the
- * question off as well.
+ * Checks that a fingerprint whose connections break at backend servers that run
+ * on is not suspected.  A full server may break off the load query as well.
  */
 void
 expect_no_blame(bool answers)
@@ -272,7 +275,7 @@
 
 } // namespace
 
-TEST(Poison, AnEndMakesASuspectAndTwoTrialsProveIt)
+TEST(Poison, ACrashMakesASuspectAndTwoTrialsProveIt)
 {
 	int64_t now = NS_S;
 	Memory m(&now, 1);
@@ -290,12 +293,12 @@
 	EXPECT_EQ(1u, poison_count_proved(m.p));
 	EXPECT_EQ(now + POISON_HOLD_NS, poison_retry_at(m.p, BAD));
 	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, OTHER));
-	/* One that is not known is never blamed. */
+	/* A request without a fingerprint is never a suspect. */
 	poison_record_crash(m.p, {}, true);
 	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, {}));
 }
 
-TEST(Poison, AnAnswerClears)
+TEST(Poison, AResponseClearsASuspect)
 {
 	int64_t now = NS_S;
 	Memory m(&now, 1);
@@ -304,13 +307,13 @@
 	now += NS_S;
 	poison_record_success(m.p, BAD);
 	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, BAD));
-	/* What was before does not count any more. */
+	/* The crash before the response does not count any more. */
 	now += NS_S;
 	poison_record_crash(m.p, BAD, true);
 	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
 }
 
-TEST(Poison, ItEndsWithTimeAndOneMoreTrialDecides)
+TEST(Poison, AProvedOneExpiresAndOneMoreTrialDecides)
 {
 	int64_t now = NS_S;
 	Memory m(&now, 1);
@@ -334,8 +337,11 @@
 	EXPECT_EQ(0u, poison_records(m.p, words));
 }
 
-/* Backend servers do not see who sends it: two callers' trials will do. */
-TEST(Poison, TrialsOfTwoCallersProveItForAll)
+/*
+ * A crash depends on the request, not on its caller: trials of two callers
+ * prove a request for all callers.
+ */
+TEST(Poison, TrialsOfTwoCallersProveItForAllCallers)
 {
 	int64_t now = NS_S;
 	Memory m(&now, 1);
@@ -353,8 +359,11 @@
 	EXPECT_EQ(now + POISON_HOLD_NS, poison_retry_at(m.p, third));
 }
 
-/* What others' requests do is not held against who gets answers to the same. */
-TEST(Poison, WhoWasServedIsNotRefusedForOthers)
+/*
+ * A caller whose request was answered is not refused because the same request
+ * of other callers crashed servers.
+ */
+TEST(Poison, ACallerThatWasServedIsNotRefusedForOthers)
 {
 	int64_t now = NS_S;
 	Memory m(&now, 1), other(&now, 2);
@@ -368,20 +377,19 @@
 	now += NS_S;
 	poison_record_crash(m.p, BAD, true);
 	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
-	/* After an end it has to run by itself once more, and is not refused.
-	 */
+	/* After that crash it needs a trial again, but is not refused. */
 	now += NS_S;
 	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, served));
 	poison_record_success(m.p, served);
 	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, served));
-	/* Another box is told of both. */
+	/* Another box receives both records. */
 	m.tell(&other);
 	EXPECT_EQ(POISON_NONE, poison_status_of(other.p, served));
 	EXPECT_EQ(POISON_PROVED, poison_status_of(other.p, BAD));
 }
 
-/* Each order, and each word twice: the verdict is the same. */
-TEST(Poison, WordsMayComeInAnyOrder)
+/* Records merged in any order, each of them twice, give the same status. */
+TEST(Poison, RecordsMayBeMergedInAnyOrder)
 {
 	int64_t now = NS_S;
 	std::vector<struct poison_record> words;
@@ -408,8 +416,8 @@
 	} while (std::next_permutation(order.begin(), order.end()));
 }
 
-/* What is cleared at one box stays cleared, whatever old words come. */
-TEST(Poison, AnOldWordUndoesNoAnswer)
+/* A request cleared at one box stays cleared when older records arrive. */
+TEST(Poison, AnOldRecordDoesNotUndoAResponse)
 {
 	int64_t now = NS_S;
 	Memory a(&now, 1), b(&now, 2);
@@ -425,8 +433,11 @@
 	EXPECT_EQ(POISON_NONE, poison_status_of(a.p, BAD));
 }
 
-/* Told to and fro for hours, an end does not become younger. */
-TEST(Poison, WordsThatGoToAndFroDoNotLast)
+/*
+ * Records that two boxes send to and fro, with a delay each time, must not
+ * renew each other: the suspect expires.
+ */
+TEST(Poison, RecordsSentToAndFroExpire)
 {
 	int64_t now = NS_S;
 	Memory a(&now, 1), b(&now, 2);
@@ -441,8 +452,11 @@
 	EXPECT_EQ(POISON_NONE, poison_status_of(b.p, BAD));
 }
 
-/* However many there are, and what is proved is kept. */
-TEST(Poison, MemoryAndWordsAreBounded)
+/*
+ * The number of suspects kept and sent is bounded.  The oldest are dropped
+ * first, and proved ones are kept.
+ */
+TEST(Poison, RecordsKeptAndSentAreBounded)
 {
 	int64_t now = NS_S;
 	Memory m(&now, 1);
@@ -462,8 +476,8 @@
 	EXPECT_TRUE(fprint_eq(BAD, words[0].fingerprint));
 }
 
-/* A word from the future, or one of nothing, is not taken. */
-TEST(Poison, WordsThatMakeNoSenseAreLeft)
+/* Records with a time in the future or no fingerprint are ignored. */
+TEST(Poison, InvalidRecordsAreIgnored)
 {
 	int64_t now = NS_S;
 	Memory m(&now, 1);
@@ -476,7 +490,7 @@
 	EXPECT_EQ(0u, poison_count_proved(m.p));
 }
 
-TEST(Trial, ThreeEndsAndThenItIsRefusedAtOnce)
+TEST(Trial, AfterThreeCrashesItIsRefusedAtOnce)
 {
 	Servers w(7);
 
@@ -494,8 +508,8 @@
 	EXPECT_EQ(0, r->sends);
 }
 
-/* One that must not repeat is tried once each time that it comes. */
-TEST(Trial, WhatMustNotRepeatEndsThreeToo)
+/* A request that is not repeatable is sent at most once per arrival. */
+TEST(Trial, ARequestThatIsNotRepeatableCrashesThreeServersToo)
 {
 	Servers w(7);
 
@@ -513,8 +527,8 @@
 	EXPECT_EQ(3, w.ends[BAD.lo]);
 }
 
-/* Each copy comes from another caller. */
-TEST(Trial, ThreeEndsAreEnoughWhoeverSendsIt)
+/* The bound of three crashes holds if each copy has another caller. */
+TEST(Trial, ThreeCrashesAreEnoughWhoeverSendsIt)
 {
 	Servers w(7);
 
@@ -527,8 +541,11 @@
 	EXPECT_EQ(3, w.ends[BAD.lo]);
 }
 
-/* It ends machines with their power: nothing is reset, all is silent. */
-TEST(Trial, ASilentEndIsOneToo)
+/*
+ * The request crashes the whole machine: connections are not reset, and the
+ * requests time out instead.
+ */
+TEST(Trial, ACrashWithoutAResetCountsToo)
 {
 	Servers w(7);
 
@@ -543,8 +560,8 @@
 	EXPECT_LE(8u, w.ended_as(BAD, ERR_POISON));
 }
 
-/* Copies that come at once do not end a backend server each. */
-TEST(Trial, OfManyCopiesOneIsTriedAtATime)
+/* Copies that arrive at once must not each crash a backend server. */
+TEST(Trial, OneOfManyCopiesIsTriedAtATime)
 {
 	Servers w(12);
 
@@ -557,16 +574,17 @@
 		w.run(10 * NS_MS);
 	}
 	w.run(NS_S);
-	/* Five were under way before the first end was known; two trials. */
+	/* Five were in flight before the first crash was seen; two trials. */
 	EXPECT_EQ(7, w.ends[BAD.lo]);
 	EXPECT_EQ(0u, w.trials_beside);
 }
 
 /*
- * One caller's request runs beside one that ends servers after the other, each
- * of them new.  It comes again and again itself, and is never refused for it.
+ * A harmless request that is sent again and again often runs beside one of
+ * twenty different requests that crash servers.  It must never be refused for
+ * that.
  */
-TEST(Trial, WhoRunsBesideIsNeverRefused)
+TEST(Trial, ARequestThatRunsBesideASuspectIsNeverRefused)
 {
 	Servers w(9);
 	uint64_t next = 100;
@@ -587,20 +605,23 @@
 		EXPECT_TRUE(r->kind != ERR_POISON ||
 		    w.poison.count(r->d.fingerprint.lo) != 0);
 	EXPECT_EQ(0u, w.trials_beside);
-	/* Each of the twenty ended two backend servers: its rule allows two. */
+	/* Each crashed at most two servers, as its rule allows two attempts. */
 	for (uint64_t bad : w.poison)
 		EXPECT_GE(2, w.ends[bad]);
 }
 
-/* A broken connection to a backend server that lives makes no suspect. */
-TEST(Trial, AConnectionThatBreaksBlamesNobody)
+/* A broken connection to a backend server that runs makes no suspect. */
+TEST(Trial, ABrokenConnectionMakesNoSuspect)
 {
 	for (bool answers : {true, false})
 		expect_no_blame(answers);
 }
 
-/* After a loss of many at once the others' room does not go to suspects. */
-TEST(Trial, ManySuspectsLeaveRoomForOthers)
+/*
+ * After half of the servers were lost at once, many harmless requests are
+ * suspects.  Their trials must not take the capacity that others need.
+ */
+TEST(Trial, ManySuspectsLeaveCapacityForOthers)
 {
 	Servers w(12);
 	size_t late = 0;
@@ -629,8 +650,8 @@
 	EXPECT_EQ(0u, w.trials_beside);
 }
 
-/* All halls bring a suspect to the same one. */
-TEST(Trial, OneHallTriesIt)
+/* All halls forward a suspect to the same hall for its trial. */
+TEST(Trial, OneHallTriesASuspect)
 {
 	int passed = 0, tried = 0;
 
--- a/regress/test_roll.cpp
+++ b/regress/test_roll.cpp
@@ -19,8 +19,9 @@
 }
 
 /*
- * Roll-outs, decided in virtual time: what an answer proves, what a new version
- * may get, and when the platform is told which one stays.
+ * Unit tests of roll-outs in virtual time: the statistical verdict on the
+ * responses of the new version, the share of requests that it gets, and when
+ * the result is written to the platform.
  */
 
 namespace
@@ -45,14 +46,20 @@
 	return static_cast<double>(rnd_split(seed) >> 11) * 0x1p-53;
 }
 
-/* Bad answers of each version, as shares, and how many of each come. */
+/*
+ * The shares of bad responses of each version, and how many responses of the
+ * new version are counted at most.
+ */
 struct Trial {
 	enum verdict_answer bad;
 	double old_share, new_share;
 	int answers;
 };
 
-/* Is the new version found bad?  Old answers come twenty times as often. */
+/*
+ * Returns whether the new version is found bad.  For each of its responses
+ * there are 20 of the old version, after 400 of that.
+ */
 bool
 convicts(const Trial &t, uint64_t seed, int *after = nullptr)
 {
@@ -79,6 +86,7 @@
 	return found;
 }
 
+/* Returns for how many seeds the new version is found bad. */
 int
 count(const Trial &t, int seeds)
 {
@@ -107,7 +115,7 @@
 };
 using Roll = std::unique_ptr<struct roll, RollFree>;
 
-/* A roll-out that the first answers have proved, at a time of its order. */
+/* A roll-out after 40 good responses of the new version, at a time `at`. */
 Roll
 proved(int64_t at, const struct obj_rollout &o)
 {
@@ -120,7 +128,7 @@
 	return r;
 }
 
-/* Old and new servers of one shard, under a roll-out. */
+/* A shard with servers of the old and the new version in a roll-out. */
 struct Shard : disp_world::World {
 	struct obj_rollout o = order("v2", 10000);
 	Roll roll{roll_new(&o, roll_chart(), 0.05, now)};
@@ -176,8 +184,11 @@
 
 } // namespace
 
-/* Ten thousand seeds of each share that both versions may have. */
-TEST(Verdict, WhatHitsBothAlikeConvictsNobody)
+/*
+ * If both versions fail equally often, the new one is found bad for at most two
+ * of 2000 seeds.
+ */
+TEST(Verdict, EqualFailureSharesRarelyConvictTheNewVersion)
 {
 	for (double share : {0.0, 0.01, 0.05, 0.2, 0.5}) {
 		EXPECT_LE(
@@ -189,11 +200,11 @@
 	}
 }
 
-TEST(Verdict, OneThatIsWorseIsFoundWithinFewAnswers)
+TEST(Verdict, AWorseVersionIsFoundWithinFewResponses)
 {
 	const struct {
 		Trial t;
-		int found; /* of a thousand seeds, at least */
+		int found; /* minimum, of 1000 seeds */
 	} table[] = {
 	    {{VERDICT_FAILED, 0.005, 0.5, 40}, 990},
 	    {{VERDICT_FAILED, 0.005, 0.2, 150}, 990},
@@ -208,8 +219,11 @@
 		    << row.t.old_share << " " << row.t.new_share;
 }
 
-/* Bad on one kind of request only, among many answers of another. */
-TEST(Verdict, AKindIsJudgedByItself)
+/*
+ * The new version fails on one kind of request only, among many good responses
+ * to another kind.
+ */
+TEST(Verdict, EachKindOfRequestIsJudgedSeparately)
 {
 	struct verdict v;
 	const char *why = nullptr;
@@ -244,8 +258,8 @@
 	EXPECT_EQ(ROLL_ALL, roll_state(r.get()));
 }
 
-/* The old version is known to work: it stays where nothing is proved. */
-TEST(Roll, WithoutAnswersItIsRolledBackInTime)
+/* Without responses the old version stays, as that is known to work. */
+TEST(Roll, WithoutResponsesItIsRolledBackInTime)
 {
 	struct obj_rollout o = order("v2", 10000);
 	Roll r(roll_new(&o, roll_chart(), 0.05, 0));
@@ -258,8 +272,8 @@
 	    roll_state_to_write(r.get(), nullptr, 0, 0, 9 * NS_S));
 }
 
-/* A home that starts goes on where the others are. */
-TEST(Roll, TheAgeOfTheOrderAndABadVerdictComeFromOtherHomes)
+/* An owner that starts continues at the step of the other owners. */
+TEST(Roll, AgeAndABadVerdictAreTakenFromOtherOwners)
 {
 	struct obj_rollout o = order("v2", 10000);
 	struct roll_report w = {4 * NS_S, ROLL_SMALL, 100, 0, 3};
@@ -278,8 +292,11 @@
 	EXPECT_TRUE(roll_allows(r.get(), false));
 }
 
-/* Old servers end at once then: nobody may have a request there. */
-TEST(Roll, CompletedIsSaidOnceAllHomesHaveLeftTheOldVersion)
+/*
+ * The platform stops the old servers as soon as the state is "completed", so no
+ * owner may still have a request in flight there.
+ */
+TEST(Roll, CompletedIsWrittenOnceNoOwnerUsesTheOldVersion)
 {
 	struct obj_rollout o = order("v2", 10000);
 	struct str halls[] = {STR_LIT("south")};
@@ -306,12 +323,12 @@
 	    ROLLOUT_RUNNING, roll_state_to_write(r.get(), halls, 1, 2, t));
 	EXPECT_EQ(
 	    ROLLOUT_COMPLETED, roll_state_to_write(r.get(), halls, 1, 0, t));
-	/* A word of before is none. */
+	/* An outdated report does not count. */
 	EXPECT_EQ(ROLLOUT_RUNNING,
 	    roll_state_to_write(r.get(), halls, 1, 0, t + 2 * NS_S));
 }
 
-TEST(Roll, AnOrderIsNewWhereThePlatformHadEndedTheOther)
+TEST(Roll, ARolloutIsNewIfThePlatformHadEndedTheOther)
 {
 	struct obj_rollout o = order("v2", 10000), again = o;
 	Roll r(roll_new(&o, roll_chart(), 0.05, 0));
@@ -323,7 +340,10 @@
 	EXPECT_FALSE(roll_matches(r.get(), &again));
 }
 
-/* Its servers are empty and quick, and would draw most requests. */
+/*
+ * The new version's servers are idle and fast, so that without a limit the
+ * policy would send them most requests.
+ */
 TEST(RollDisp, TheNewVersionGetsItsShareAndNoMore)
 {
 	Shard s;
@@ -333,7 +353,7 @@
 	EXPECT_LE(s.sent_new, 2000 * 0.05 + 3);
 }
 
-TEST(RollDisp, OneThatFailsGetsNothingMore)
+TEST(RollDisp, AVersionThatFailsGetsNoMoreRequests)
 {
 	Shard s;
 	int before;
@@ -350,8 +370,11 @@
 	EXPECT_EQ(before, s.sent_new);
 }
 
-/* They are left out as failing, and yet enough is learned of them. */
-TEST(RollDisp, FewServersThatFailAreFoundOut)
+/*
+ * Outlier ejection excludes the failing servers, but enough requests must reach
+ * them for a verdict.
+ */
+TEST(RollDisp, AFailingVersionWithFewServersIsFound)
 {
 	for (int servers : {1, 2}) {
 		Shard s(servers);
@@ -366,7 +389,7 @@
 	}
 }
 
-TEST(RollDisp, OnceItGetsAllTheOldOneGetsNothing)
+TEST(RollDisp, OnceTheNewVersionGetsAllTheOldGetsNothing)
 {
 	Shard s;
 
