--- a/regress/disp_world.h
+++ b/regress/disp_world.h
@@ -28,13 +28,13 @@
 
 struct World;
 
-/* A request; the dispatcher's part comes first, see World::of(). */
+/* A request; the dispatcher's part comes first, see World::request_of(). */
 struct Req {
 	struct disp_req d = {};
 	World *world = nullptr;
 	int id = 0;
-	int sends = 0, maybe_runs = 0;
-	bool ended = false, passed = false;
+	int sends = 0, possible_runs = 0;
+	bool ended = false, forwarded = false;
 	enum err_kind kind = ERR_NONE;
 	int64_t arrived = 0;
 };
@@ -51,11 +51,11 @@
 	struct chart *chart;
 	struct disp *disp;
 	std::vector<std::string> trace;
-	std::vector<std::string> asked; /* load queries not yet answered */
+	std::vector<std::string> load_queries; /* not answered */
 	std::function<void(Req *, struct pick_backend *)> on_send;
 	std::function<void(Req *)> on_end, on_stop;
 
-	static Req *of(struct disp_req *d)
+	static Req *request_of(struct disp_req *d)
 	{
 		return reinterpret_cast<Req *>(d);
 	}
@@ -75,7 +75,7 @@
 	static void send(void *ctx, struct disp_req *d, struct pick_backend *b)
 	{
 		World *w = static_cast<World *>(ctx);
-		Req *r = of(d);
+		Req *r = request_of(d);
 
 		r->sends++;
 		w->trace.push_back("send " + std::to_string(r->id) + " " +
@@ -84,27 +84,28 @@
 			w->on_send(r, b);
 	}
 
-	static void pass(void *ctx, struct disp_req *d, struct str hall)
+	static void forward(void *ctx, struct disp_req *d, struct str hall)
 	{
 		World *w = static_cast<World *>(ctx);
 
-		of(d)->passed = of(d)->ended = true;
-		w->trace.push_back("pass " + std::to_string(of(d)->id) + " " +
+		request_of(d)->forwarded = request_of(d)->ended = true;
+		w->trace.push_back("forward " +
+		    std::to_string(request_of(d)->id) + " " +
 		    std::string(hall.p, hall.n));
 	}
 
 	static void
-	give_up(void *ctx, struct disp_req *d, enum err_kind kind, int64_t)
+	fail(void *ctx, struct disp_req *d, enum err_kind kind, int64_t)
 	{
 		World *w = static_cast<World *>(ctx);
 
-		EXPECT_FALSE(of(d)->ended);
-		of(d)->ended = true;
-		of(d)->kind = kind;
-		w->trace.push_back("give up " + std::to_string(of(d)->id) +
+		EXPECT_FALSE(request_of(d)->ended);
+		request_of(d)->ended = true;
+		request_of(d)->kind = kind;
+		w->trace.push_back("fail " + std::to_string(request_of(d)->id) +
 		    " " + err_answer(kind)->name);
 		if (w->on_end)
-			w->on_end(of(d));
+			w->on_end(request_of(d));
 	}
 
 	static void stop(void *ctx, struct disp_req *d)
@@ -112,22 +113,22 @@
 		World *w = static_cast<World *>(ctx);
 
 		EXPECT_TRUE(d->repeatable);
-		w->trace.push_back("stop " + std::to_string(of(d)->id));
+		w->trace.push_back("stop " + std::to_string(request_of(d)->id));
 		if (w->on_stop)
-			w->on_stop(of(d));
+			w->on_stop(request_of(d));
 		EXPECT_TRUE(disp_attempt_done(w->disp, d, DISP_STOPPED_SLOW));
 	}
 
-	static void peek(void *ctx, struct pick_backend *b)
+	static void query_load(void *ctx, struct pick_backend *b)
 	{
 		World *w = static_cast<World *>(ctx);
 
-		w->asked.push_back(std::string(b->name.p, b->name.n));
+		w->load_queries.push_back(std::string(b->name.p, b->name.n));
 	}
 
-	static void ended(void *ctx, const struct pick_backend *b, unsigned n)
+	static void crashed(void *ctx, const struct pick_backend *b, unsigned n)
 	{
-		static_cast<World *>(ctx)->trace.push_back("ended " +
+		static_cast<World *>(ctx)->trace.push_back("crashed " +
 		    std::string(b->name.p, b->name.n) + " " +
 		    std::to_string(n));
 	}
@@ -139,8 +140,8 @@
 	explicit World(const char *policy = "fern", int64_t queue = 1000)
 	    : clk{mono, mono, this}, rnd{next, this}
 	{
-		struct disp_ops ops = {
-		    send, pass, give_up, stop, peek, ended, release, this};
+		struct disp_ops ops = {send, forward, fail, stop, query_load,
+		    crashed, release, this};
 		struct disp_params p = {};
 		GError *err = nullptr;
 		const char *root = getenv("FERN_ROOT");
@@ -196,10 +197,10 @@
 		return r;
 	}
 
-	bool done(Req *r, enum disp_outcome outcome)
+	bool end_attempt(Req *r, enum disp_outcome outcome)
 	{
 		if (outcome == DISP_CONN_BROKEN || outcome == DISP_SERVER_ERROR)
-			r->maybe_runs++;
+			r->possible_runs++;
 		bool again = disp_attempt_done(disp, &r->d, outcome);
 
 		if (!again && !r->ended)
@@ -208,7 +209,7 @@
 	}
 
 	/* Serves requests until no backend server counts as cold. */
-	void warm(int n)
+	void warm_up(int n)
 	{
 		for (int i = 0; i < n * 12; i++) {
 			Req r;
@@ -216,7 +217,7 @@
 			arrive(&r);
 			now += 5 * NS_MS;
 			if (r.d.backend != nullptr)
-				done(&r, DISP_OK);
+				end_attempt(&r, DISP_OK);
 		}
 	}
 };
--- a/regress/test_conf.cpp
+++ b/regress/test_conf.cpp
@@ -27,8 +27,8 @@
 namespace
 {
 
-const char *const GOOD = R"({"select":"app=%"})";
-const char *const BAD = R"({"selekt":"app=%"})";
+const char *const VALID = R"({"select":"app=%"})";
+const char *const INVALID = R"({"selekt":"app=%"})";
 
 struct str
 view(const std::string &s)
@@ -40,18 +40,18 @@
 struct Offer {
 	std::string key;
 	uint64_t version;
-	char what; /* 'g'ood, 'b'ad, 'd'eletion, 'l'ist without the key */
+	char type; /* 'g'ood, 'b'ad, 'd'eletion, 'l'ist without the key */
 };
 
 void
-tell(struct conf *c, const Offer &o)
+offer(struct conf *c, const Offer &o)
 {
-	std::string text = o.what == 'b' ? BAD : GOOD;
+	std::string text = o.type == 'b' ? INVALID : VALID;
 
 	text.replace(text.find('%'), 1, std::to_string(o.version));
 	if (o.key.compare(0, 8, "backend/") == 0)
 		text = R"({"address":"127.0.0.1:9","hall":"n","slots":3})";
-	if (o.what == 'l') {
+	if (o.type == 'l') {
 		GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
 
 		conf_apply_list(c, o.version, keys);
@@ -59,9 +59,9 @@
 		return;
 	}
 	json_t *spec =
-	    o.what == 'd' ? nullptr : json_loads(text.c_str(), 0, nullptr);
+	    o.type == 'd' ? nullptr : json_loads(text.c_str(), 0, nullptr);
 
-	conf_offer(c, view(o.key), o.version, o.what == 'd', spec, STR_LIT("t"),
+	conf_offer(c, view(o.key), o.version, o.type == 'd', spec, STR_LIT("t"),
 	    nullptr);
 	json_decref(spec);
 }
@@ -99,7 +99,7 @@
 	    {{"service/a", 2, 'g'}, {"", 3, 'l'}, {"service/a", 5, 'g'},
 		{"", 1, 'l'}, {"service/a", 4, 'd'}},
 	};
-	const std::vector<std::string> want = {
+	const std::vector<std::string> expected = {
 	    "none, bad 6", "4, bad 5", "none", "5"};
 
 	for (size_t s = 0; s < sets.size(); s++) {
@@ -114,7 +114,7 @@
 			for (size_t i : order) {
 				const struct conf_entry *e;
 
-				tell(c, sets[s][i]);
+				offer(c, sets[s][i]);
 				e = conf_get(c, STR_LIT("service/a"));
 				/* The version in force never falls. */
 				if (e != nullptr && !e->deleted) {
@@ -122,7 +122,7 @@
 					highest = e->version;
 				}
 			}
-			ASSERT_EQ(want[s], state(c, "service/a"));
+			ASSERT_EQ(expected[s], state(c, "service/a"));
 			conf_free(c);
 		} while (std::next_permutation(order.begin(), order.end()));
 	}
@@ -133,17 +133,17 @@
 	struct conf *c = conf_new(nullptr, nullptr);
 	uint64_t digest;
 
-	tell(c, {"service/a", 4, 'g'});
+	offer(c, {"service/a", 4, 'g'});
 	digest = conf_digest(c);
 	for (uint64_t v : {4, 3, 2, 1, 4})
-		tell(c, {"service/a", v, 'g'});
-	tell(c, {"service/a", 2, 'd'});
+		offer(c, {"service/a", v, 'g'});
+	offer(c, {"service/a", 2, 'd'});
 	EXPECT_EQ(digest, conf_digest(c));
 	EXPECT_EQ("4", state(c, "service/a"));
 	/* A list older than the object does not delete it. */
-	tell(c, {"", 3, 'l'});
+	offer(c, {"", 3, 'l'});
 	EXPECT_EQ("4", state(c, "service/a"));
-	tell(c, {"", 4, 'l'});
+	offer(c, {"", 4, 'l'});
 	EXPECT_EQ("none", state(c, "service/a"));
 	conf_free(c);
 }
@@ -153,14 +153,14 @@
 	struct conf *c = conf_new(nullptr, nullptr);
 	const struct conf_entry *e;
 
-	tell(c, {"service/a", 1, 'g'});
-	tell(c, {"service/a", 2, 'b'});
+	offer(c, {"service/a", 1, 'g'});
+	offer(c, {"service/a", 2, 'b'});
 	e = conf_get(c, STR_LIT("service/a"));
 	EXPECT_EQ(1u, e->version);
 	EXPECT_EQ(2u, e->rejected_version);
 	EXPECT_NE(
 	    nullptr, strstr(e->rejected_reason, "the nearest known name"));
-	tell(c, {"service/a", 3, 'g'});
+	offer(c, {"service/a", 3, 'g'});
 	EXPECT_EQ("3", state(c, "service/a"));
 	conf_free(c);
 }
@@ -176,7 +176,7 @@
 		struct conf *conf;
 		struct sync sync;
 	};
-	std::deque<std::pair<std::string, std::string>> wire;
+	std::deque<std::pair<std::string, std::string>> in_transit;
 	std::map<std::string, Peer> peers;
 	std::mt19937 rng;
 	unsigned sent = 0;
@@ -190,7 +190,7 @@
 		copy.from = view(p->name);
 		msgpack_sbuffer_init(&buf);
 		msg_encode(&copy, &buf);
-		p->net->wire.push_back(
+		p->net->in_transit.push_back(
 		    {std::string(to.p, to.n), std::string(buf.data, buf.size)});
 		p->net->sent++;
 		msgpack_sbuffer_destroy(&buf);
@@ -208,14 +208,15 @@
 
 	void deliver(bool faults)
 	{
-		if (faults && wire.size() > 1)
-			std::swap(wire[0], wire[rng() % wire.size()]);
-		auto w = wire.front();
-		wire.pop_front();
+		if (faults && in_transit.size() > 1)
+			std::swap(in_transit[0],
+			    in_transit[rng() % in_transit.size()]);
+		auto w = in_transit.front();
+		in_transit.pop_front();
 		if (faults && rng() % 5 == 0)
 			return;
 		if (faults && rng() % 5 == 0)
-			wire.push_back(w);
+			in_transit.push_back(w);
 		struct msg m;
 
 		ASSERT_TRUE(
@@ -226,10 +227,10 @@
 
 	void compare(const std::string &a, const std::string &b)
 	{
-		struct msg_conf_summary holds =
+		struct msg_conf_summary summary =
 		    sync_conf_summary(&peers[b].sync);
 
-		sync_compare(&peers[a].sync, view(b), &holds);
+		sync_compare(&peers[a].sync, view(b), &summary);
 	}
 
 	~Net()
@@ -256,12 +257,12 @@
 			auto &p = net.peers[names[net.rng() % 3]];
 
 			if (net.rng() % 4 == 0 && step < 200)
-				tell(p.conf,
+				offer(p.conf,
 				    {"service/s" +
 					    std::to_string(net.rng() % 8),
 					++version, "ggggdb"[net.rng() % 6]});
 			net.compare(names[net.rng() % 3], names[net.rng() % 3]);
-			for (int k = 0; k < 3 && !net.wire.empty(); k++)
+			for (int k = 0; k < 3 && !net.in_transit.empty(); k++)
 				net.deliver(step < 250);
 			for (auto &q : net.peers) {
 				for (int s = 0; s < 8; s++) {
@@ -282,7 +283,7 @@
 			net.compare("p0", "p1");
 			net.compare("p1", "p2");
 			net.compare("p2", "p0");
-			while (!net.wire.empty())
+			while (!net.in_transit.empty())
 				net.deliver(false);
 		}
 		uint64_t d = conf_digest(net.peers["p0"].conf);
@@ -297,18 +298,18 @@
 
 	net.add("fresh");
 	net.add("old");
-	tell(net.peers["old"].conf, {"service/gone", 5, 'g'});
-	tell(net.peers["old"].conf, {"service/kept", 6, 'g'});
+	offer(net.peers["old"].conf, {"service/gone", 5, 'g'});
+	offer(net.peers["old"].conf, {"service/kept", 6, 'g'});
 	/* "fresh" gets a list of revision 9 that has service/kept only. */
 	GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
 	g_hash_table_add(keys, const_cast<char *>("service/kept"));
-	tell(net.peers["fresh"].conf, {"service/kept", 6, 'g'});
+	offer(net.peers["fresh"].conf, {"service/kept", 6, 'g'});
 	conf_apply_list(net.peers["fresh"].conf, 9, keys);
 	g_hash_table_destroy(keys);
 	for (int i = 0; i < 4; i++) {
 		net.compare("old", "fresh");
 		net.compare("fresh", "old");
-		while (!net.wire.empty())
+		while (!net.in_transit.empty())
 			net.deliver(false);
 	}
 	EXPECT_EQ("none", state(net.peers["fresh"].conf, "service/gone"));
@@ -331,23 +332,23 @@
 	net.peers["rules"].sync.rules_only = true;
 	struct conf *all = net.peers["all"].conf;
 	struct conf *rules = net.peers["rules"].conf;
-	tell(all, {"service/s", 1, 'g'});
+	offer(all, {"service/s", 1, 'g'});
 	for (uint64_t i = 0; i < 40; i++)
-		tell(all, {"backend/b" + std::to_string(i), 2 + i, 'g'});
+		offer(all, {"backend/b" + std::to_string(i), 2 + i, 'g'});
 	auto exchange = [&net] {
 		for (int i = 0; i < 4; i++) {
 			net.compare("all", "rules");
 			net.compare("rules", "all");
-			while (!net.wire.empty())
+			while (!net.in_transit.empty())
 				net.deliver(false);
 		}
 	};
 	exchange();
 	EXPECT_EQ("1", state(rules, "service/s"));
 	EXPECT_EQ(1u, conf_count(rules));
-	struct msg_conf_summary holds =
+	struct msg_conf_summary summary =
 	    sync_conf_summary(&net.peers["all"].sync);
-	EXPECT_TRUE(sync_is_equal(&net.peers["rules"].sync, &holds));
+	EXPECT_TRUE(sync_is_equal(&net.peers["rules"].sync, &summary));
 	net.sent = 0;
 	exchange();
 	EXPECT_EQ(0u, net.sent);
@@ -356,7 +357,7 @@
 	exchange();
 	EXPECT_EQ(100u, conf_floor_of(all, CONF_RULES));
 	EXPECT_EQ(0u, conf_floor_of(all, CONF_BACKENDS));
-	tell(all, {"backend/late", 90, 'g'});
+	offer(all, {"backend/late", 90, 'g'});
 	EXPECT_EQ("90", state(all, "backend/late"));
 	/* Now it stores all objects; those it lacked count as no deletions. */
 	net.peers["rules"].sync.rules_only = false;
@@ -373,11 +374,11 @@
 	net.add("b");
 	for (uint64_t v = 1; v <= 1000; v++)
 		for (auto n : {"a", "b"})
-			tell(net.peers[n].conf,
+			offer(net.peers[n].conf,
 			    {"service/s" + std::to_string(v), v, 'g'});
-	tell(net.peers["a"].conf, {"service/s500", 2000, 'g'});
+	offer(net.peers["a"].conf, {"service/s500", 2000, 'g'});
 	net.compare("b", "a");
-	while (!net.wire.empty())
+	while (!net.in_transit.empty())
 		net.deliver(false);
 	EXPECT_EQ("2000", state(net.peers["b"].conf, "service/s500"));
 	EXPECT_LE(net.sent, 4u);
@@ -394,7 +395,7 @@
 
 /* Records how many objects each sent message has. */
 void
-note_objects(void *ctx, struct str, const struct msg *m)
+record_object_count(void *ctx, struct str, const struct msg *m)
 {
 	static_cast<std::vector<size_t> *>(ctx)->push_back(
 	    m->u.objects.objects.n);
@@ -408,8 +409,8 @@
 	struct conf *c = conf_new(count_change, &first);
 
 	conf_add_listener(c, count_change, &second);
-	tell(c, {"service/s1", 1, 'g'});
-	tell(c, {"service/s1", 1, 'g'});
+	offer(c, {"service/s1", 1, 'g'});
+	offer(c, {"service/s1", 1, 'g'});
 	EXPECT_EQ(1, first);
 	EXPECT_EQ(1, second);
 	conf_free(c);
@@ -419,7 +420,7 @@
 {
 	std::vector<size_t> sent;
 	struct conf *c = conf_new(nullptr, nullptr);
-	struct sync s = {c, note_objects, &sent, false, 0, nullptr, 0};
+	struct sync s = {c, record_object_count, &sent, false, 0, nullptr, 0};
 	struct sync_pack *pack = sync_pack_new();
 
 	sync_pack_send(&s, pack, STR_LIT("p1"));
@@ -427,7 +428,7 @@
 	for (int i = 0; i < 300; i++) {
 		std::string key = "service/s" + std::to_string(i);
 
-		tell(c, {key, static_cast<uint64_t>(i + 1), 'g'});
+		offer(c, {key, static_cast<uint64_t>(i + 1), 'g'});
 		sync_pack_add(pack, conf_get(c, view(key)));
 	}
 	sync_pack_send(&s, pack, STR_LIT("p1"));
@@ -493,33 +494,33 @@
 	struct clk clk = {time_of, time_of, &now};
 	struct conf *a = conf_new(nullptr, nullptr);
 	struct conf *b = conf_new(nullptr, nullptr);
-	struct sync told = {a, nullptr, nullptr, false, 0, &clk, 0};
-	struct sync hears = {b, nullptr, nullptr, true, 0, &clk, 0};
-	struct msg_conf_summary holds = sync_conf_summary(&told);
+	struct sync confirmed = {a, nullptr, nullptr, false, 0, &clk, 0};
+	struct sync receiver = {b, nullptr, nullptr, true, 0, &clk, 0};
+	struct msg_conf_summary summary = sync_conf_summary(&confirmed);
 
-	tell(a, {"service/s1", 1, 'g'});
+	offer(a, {"service/s1", 1, 'g'});
 	/* No box has a confirmation yet. */
-	sync_confirm_from_peer(&hears, &holds);
-	EXPECT_EQ(-1, sync_age_ms(&told));
-	EXPECT_EQ(-1, sync_age_ms(&hears));
-	sync_confirm(&told);
+	sync_confirm_from_peer(&receiver, &summary);
+	EXPECT_EQ(-1, sync_age_ms(&confirmed));
+	EXPECT_EQ(-1, sync_age_ms(&receiver));
+	sync_confirm(&confirmed);
 	now.tv_sec += 2;
 	/* The rules differ, so the peer's confirmation does not count. */
-	holds = sync_conf_summary(&told);
-	sync_confirm_from_peer(&hears, &holds);
-	EXPECT_EQ(-1, sync_age_ms(&hears));
-	tell(b, {"service/s1", 1, 'g'});
-	tell(b, {"backend/b1", 2, 'g'});
-	sync_confirm_from_peer(&hears, &holds);
-	EXPECT_EQ(2000, sync_age_ms(&hears));
+	summary = sync_conf_summary(&confirmed);
+	sync_confirm_from_peer(&receiver, &summary);
+	EXPECT_EQ(-1, sync_age_ms(&receiver));
+	offer(b, {"service/s1", 1, 'g'});
+	offer(b, {"backend/b1", 2, 'g'});
+	sync_confirm_from_peer(&receiver, &summary);
+	EXPECT_EQ(2000, sync_age_ms(&receiver));
 	/* An older confirmation does not replace a newer one. */
 	now.tv_sec += 1;
-	sync_confirm(&hears);
-	sync_confirm_from_peer(&hears, &holds);
-	EXPECT_EQ(0, sync_age_ms(&hears));
-	holds.confirmed_age = UINT64_MAX;
-	sync_confirm_from_peer(&hears, &holds);
-	EXPECT_EQ(0, sync_age_ms(&hears));
+	sync_confirm(&receiver);
+	sync_confirm_from_peer(&receiver, &summary);
+	EXPECT_EQ(0, sync_age_ms(&receiver));
+	summary.confirmed_age = UINT64_MAX;
+	sync_confirm_from_peer(&receiver, &summary);
+	EXPECT_EQ(0, sync_age_ms(&receiver));
 	conf_free(a);
 	conf_free(b);
 }
--- a/regress/test_disp.cpp
+++ b/regress/test_disp.cpp
@@ -26,16 +26,16 @@
  * not repeatable, and one backend server with one slot.
  */
 struct Explorer {
-	enum { ARRIVE, OK, REFUSED, CONNECT, CUT, FORGET, KINDS };
+	enum { ARRIVE, OK, REFUSED, CONNECT, BROKEN, CANCEL, KINDS };
 	enum { TICK = 2 * KINDS, DRAIN, EVENTS };
 	const size_t depth = 6;
-	long orders = 0;
+	long sequences = 0;
 
-	static bool possible(const Req &r, int kind)
+	static bool is_possible(const Req &r, int kind)
 	{
 		if (kind == ARRIVE)
 			return r.sends == 0 && !r.ended && !r.d.queued;
-		if (kind == FORGET)
+		if (kind == CANCEL)
 			return r.d.queued;
 		return r.d.backend != nullptr;
 	}
@@ -54,30 +54,30 @@
 		} else if (ev % KINDS == ARRIVE) {
 			r->id = ev / KINDS;
 			w.arrive(r, 1000, CLASS_INTERACTIVE, r->id == 0);
-		} else if (ev % KINDS == FORGET) {
+		} else if (ev % KINDS == CANCEL) {
 			disp_cancel(w.disp, &r->d);
 			r->ended = true;
 		} else {
-			w.done(r, outcomes[ev % KINDS]);
+			w.end_attempt(r, outcomes[ev % KINDS]);
 		}
 	}
 
 	static void check(const World &w, const std::vector<Req> &reqs)
 	{
-		unsigned at = 0;
+		unsigned in_flight = 0;
 
 		for (auto &r : reqs) {
-			at += r.d.backend != nullptr;
+			in_flight += r.d.backend != nullptr;
 			/* At most one of: in flight, queued, ended. */
 			ASSERT_LE(
 			    (r.d.backend != nullptr) + r.d.queued + r.ended, 1);
-			if (!r.d.repeatable && r.maybe_runs > 0) {
+			if (!r.d.repeatable && r.possible_runs > 0) {
 				ASSERT_EQ(nullptr, r.d.backend);
 				ASSERT_FALSE(r.d.queued);
 			}
 		}
-		ASSERT_EQ(at, disp_inflight(w.disp));
-		ASSERT_LE(at, 1u);
+		ASSERT_EQ(in_flight, disp_inflight(w.disp));
+		ASSERT_LE(in_flight, 1u);
 	}
 
 	void explore(std::vector<int> &path)
@@ -93,7 +93,7 @@
 				apply(w, reqs, ev);
 			check(w, reqs);
 			for (int ev = 0; ev < TICK; ev++)
-				next[static_cast<size_t>(ev)] = possible(
+				next[static_cast<size_t>(ev)] = is_possible(
 				    reqs[static_cast<size_t>(ev / KINDS)],
 				    ev % KINDS);
 			for (auto &r : reqs) {
@@ -104,7 +104,7 @@
 					    w.disp, &r.d, DISP_CANCELED);
 			}
 		}
-		orders++;
+		sequences++;
 		if (path.size() == depth || testing::Test::HasFatalFailure())
 			return;
 		for (int ev = 0; ev < EVENTS; ev++) {
@@ -125,8 +125,8 @@
 	std::vector<int> path;
 
 	e.explore(path);
-	printf("%ld orders of events\n", e.orders);
-	EXPECT_GT(e.orders, 1000);
+	printf("%ld orders of events\n", e.sequences);
+	EXPECT_GT(e.sequences, 1000);
 }
 
 TEST(Disp, QueueIsOrderedByClassThenDeadline)
@@ -145,7 +145,7 @@
 	for (int i : {0, 3, 4, 2, 1}) {
 		ASSERT_NE(nullptr, r[static_cast<size_t>(i)].d.backend) << i;
 		w.now += NS_MS;
-		w.done(&r[static_cast<size_t>(i)], DISP_OK);
+		w.end_attempt(&r[static_cast<size_t>(i)], DISP_OK);
 	}
 }
 
@@ -155,7 +155,7 @@
 	std::vector<Req> r(40);
 
 	w.backends(1, 1);
-	w.warm(1); /* the service time is 5 ms */
+	w.warm_up(1); /* the service time is 5 ms */
 	for (auto &q : r)
 		w.arrive(&q, 100);
 	/* 20 requests of 5 ms fit into the deadline of 100 ms. */
@@ -169,7 +169,7 @@
 			disp_cancel(w.disp, &q.d);
 	for (auto &q : r)
 		if (q.d.backend != nullptr)
-			w.done(&q, DISP_CANCELED);
+			w.end_attempt(&q, DISP_CANCELED);
 }
 
 /*
@@ -184,7 +184,7 @@
 	Req first, second;
 
 	disp_set_backends(w.disp, &one, 1);
-	w.warm(1);
+	w.warm_up(1);
 	w.arrive(&first);
 	ASSERT_NE(nullptr, first.d.backend);
 	EXPECT_EQ(2, disp_capacity_of(w.disp).free_slots);
@@ -199,11 +199,11 @@
 	EXPECT_NE(first.d.backend, second.d.backend);
 	EXPECT_EQ(1, second.d.backend->inflight);
 	/* A failure at the earlier run does not count for the new one. */
-	w.done(&first, DISP_CONN_BROKEN);
+	w.end_attempt(&first, DISP_CONN_BROKEN);
 	EXPECT_EQ(0, second.d.backend->consecutive_bad);
-	w.done(&second, DISP_OK);
+	w.end_attempt(&second, DISP_OK);
 	if (first.d.backend != nullptr)
-		w.done(&first, DISP_OK);
+		w.end_attempt(&first, DISP_OK);
 	else if (first.d.queued)
 		disp_cancel(w.disp, &first.d);
 }
@@ -217,7 +217,7 @@
 
 		w.backends(3, 3);
 		w.arrive(&r, 1000, CLASS_INTERACTIVE, false);
-		EXPECT_FALSE(w.done(&r, o));
+		EXPECT_FALSE(w.end_attempt(&r, o));
 		EXPECT_EQ(1, r.sends);
 	}
 	for (enum disp_outcome o : {DISP_REFUSED, DISP_CONNECT_FAILED}) {
@@ -226,9 +226,9 @@
 
 		w.backends(3, 3);
 		w.arrive(&r, 1000, CLASS_INTERACTIVE, false);
-		EXPECT_TRUE(w.done(&r, o));
+		EXPECT_TRUE(w.end_attempt(&r, o));
 		EXPECT_EQ(2, r.sends);
-		w.done(&r, DISP_OK);
+		w.end_attempt(&r, DISP_OK);
 	}
 }
 
@@ -240,8 +240,8 @@
 	w.backends(3, 3);
 	r.d.is_retry = true;
 	w.arrive(&r);
-	EXPECT_TRUE(w.done(&r, DISP_REFUSED));
-	EXPECT_FALSE(w.done(&r, DISP_SERVER_ERROR));
+	EXPECT_TRUE(w.end_attempt(&r, DISP_REFUSED));
+	EXPECT_FALSE(w.end_attempt(&r, DISP_SERVER_ERROR));
 	EXPECT_EQ(2, r.sends);
 }
 
@@ -252,7 +252,7 @@
 	int out = 0;
 
 	w.backends(4, 3);
-	w.warm(4);
+	w.warm_up(4);
 	for (auto &r : bulk)
 		w.arrive(&r, 100000, CLASS_BULK);
 	for (auto &r : bulk)
@@ -274,7 +274,7 @@
 			if (r.d.queued)
 				disp_cancel(w.disp, &r.d);
 			if (r.d.backend != nullptr)
-				w.done(&r, DISP_CANCELED);
+				w.end_attempt(&r, DISP_CANCELED);
 		}
 	}
 }
@@ -284,14 +284,14 @@
 	World w;
 
 	w.backends(6, 3);
-	w.warm(6);
+	w.warm_up(6);
 	for (int i = 0; i < 200; i++) {
 		Req r;
 
 		w.arrive(&r, 1000, CLASS_INTERACTIVE, false);
 		w.now += NS_MS;
 		ASSERT_NE(nullptr, r.d.backend);
-		w.done(&r, DISP_SERVER_ERROR);
+		w.end_attempt(&r, DISP_SERVER_ERROR);
 	}
 	EXPECT_GE(disp_usable_backends(w.disp), 3u);
 	EXPECT_LT(disp_usable_backends(w.disp), 6u);
@@ -304,7 +304,7 @@
 		w.arrive(&r);
 		w.now += 5 * NS_MS;
 		if (r.d.backend != nullptr)
-			w.done(&r, DISP_OK);
+			w.end_attempt(&r, DISP_OK);
 	}
 	EXPECT_EQ(6u, disp_usable_backends(w.disp));
 }
@@ -315,24 +315,24 @@
 	std::vector<Req> r(6);
 
 	w.backends(1, 1);
-	w.warm(1);
+	w.warm_up(1);
 	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
 	w.arrive(&r[0]);
 	for (auto &q : r)
 		q.d.can_forward = true;
 	w.arrive(&r[1]);
 	EXPECT_TRUE(r[1].d.queued); /* the other hall's capacity is unknown */
-	struct disp_capacity room = {6, 4, 0};
-	disp_set_hall_capacity(w.disp, STR_LIT("south"), &room);
-	EXPECT_TRUE(r[1].passed);
+	struct disp_capacity capacity = {6, 4, 0};
+	disp_set_hall_capacity(w.disp, STR_LIT("south"), &capacity);
+	EXPECT_TRUE(r[1].forwarded);
 	w.arrive(&r[2]);
 	w.arrive(&r[3]);
-	EXPECT_TRUE(r[2].passed);
-	EXPECT_TRUE(r[3].passed);
+	EXPECT_TRUE(r[2].forwarded);
+	EXPECT_TRUE(r[3].forwarded);
 	w.arrive(&r[4]);
-	EXPECT_FALSE(r[4].passed); /* the other hall keeps one slot */
+	EXPECT_FALSE(r[4].forwarded); /* the other hall keeps one slot */
 	disp_cancel(w.disp, &r[4].d);
-	w.done(&r[0], DISP_CANCELED);
+	w.end_attempt(&r[0], DISP_CANCELED);
 }
 
 /*
@@ -346,7 +346,7 @@
 	struct disp_capacity some = {6, 3, 0}, more = {6, 6, 0};
 
 	w.backends(1, 1);
-	w.warm(1);
+	w.warm_up(1);
 	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
 	disp_set_hall_slots(w.disp, STR_LIT("overseas"), 6);
 	disp_set_hall_region(w.disp, STR_LIT("south"), STR_LIT("here"), true);
@@ -358,19 +358,19 @@
 	for (auto &q : r)
 		q.d.can_forward = true;
 	w.arrive(&r[1]);
-	EXPECT_EQ("pass 0 south", w.trace.back());
+	EXPECT_EQ("forward 0 south", w.trace.back());
 	r[2].d.allowed_regions = STR_LIT("there");
 	w.arrive(&r[2]);
-	EXPECT_EQ("pass 0 overseas", w.trace.back());
+	EXPECT_EQ("forward 0 overseas", w.trace.back());
 	r[3].d.allowed_regions = STR_LIT("nowhere");
 	w.arrive(&r[3]);
 	EXPECT_TRUE(r[3].d.queued);
 	/* Evacuation of this hall does not lift the restriction. */
 	w.backends(1, 1, -1, true);
 	disp_tick(w.disp);
-	EXPECT_FALSE(r[3].passed);
+	EXPECT_FALSE(r[3].forwarded);
 	EXPECT_EQ(ERR_NO_BACKEND, r[3].kind);
-	w.done(&r[0], DISP_CANCELED);
+	w.end_attempt(&r[0], DISP_CANCELED);
 }
 
 /*
@@ -383,7 +383,7 @@
 	std::vector<Req> r(6);
 
 	w.backends(1, 2);
-	w.warm(1);
+	w.warm_up(1);
 	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
 	for (size_t i = 0; i < 3; i++) {
 		r[i].d.can_forward = true;
@@ -391,17 +391,17 @@
 	}
 	EXPECT_TRUE(r[2].d.queued);
 	w.backends(1, 2, -1, true);
-	EXPECT_TRUE(r[2].passed); /* no capacity was reported for that hall */
+	EXPECT_TRUE(r[2].forwarded); /* capacity unknown */
 	EXPECT_EQ(0, disp_capacity_of(w.disp).slots);
 	/* A retry is forwarded as well. */
 	r[0].d.can_forward = true;
-	EXPECT_TRUE(w.done(&r[0], DISP_REFUSED));
-	EXPECT_TRUE(r[0].passed);
+	EXPECT_TRUE(w.end_attempt(&r[0], DISP_REFUSED));
+	EXPECT_TRUE(r[0].forwarded);
 	/* A request that may not be forwarded fails. */
 	w.arrive(&r[3]);
 	EXPECT_TRUE(r[3].ended);
 	EXPECT_EQ(ERR_NO_BACKEND, r[3].kind);
-	w.done(&r[1], DISP_OK);
+	w.end_attempt(&r[1], DISP_OK);
 	/* After the evacuation the server is cold: one request at a time. */
 	w.now += NS_S;
 	w.backends(1, 2);
@@ -410,8 +410,8 @@
 	w.arrive(&r[5]);
 	EXPECT_NE(nullptr, r[4].d.backend);
 	EXPECT_TRUE(r[5].d.queued);
-	w.done(&r[4], DISP_OK);
-	w.done(&r[5], DISP_OK);
+	w.end_attempt(&r[4], DISP_OK);
+	w.end_attempt(&r[5], DISP_OK);
 }
 
 /*
@@ -425,39 +425,39 @@
 	struct disp_capacity none = {0, 0, 0}, some = {6, 0, 0};
 
 	w.backends(1, 1);
-	w.warm(1);
+	w.warm_up(1);
 	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
 	disp_set_hall_capacity(w.disp, STR_LIT("south"), &none);
 	for (auto &q : r) {
 		q.d.can_forward = true;
 		w.arrive(&q);
-		EXPECT_FALSE(q.passed);
+		EXPECT_FALSE(q.forwarded);
 	}
 	disp_set_hall_capacity(w.disp, STR_LIT("south"), &some);
 	Req late;
 	late.d.can_forward = true;
 	w.arrive(&late);
-	EXPECT_TRUE(late.passed);
+	EXPECT_TRUE(late.forwarded);
 	for (auto &q : r)
 		if (q.d.queued)
 			disp_cancel(w.disp, &q.d);
-	w.done(&r[0], DISP_CANCELED);
+	w.end_attempt(&r[0], DISP_CANCELED);
 }
 
 namespace
 {
 
-/* What drive() measured: the requests' times, failures, and the trace. */
+/* What simulate() measured: the requests' times, failures, and the trace. */
 struct Result {
 	std::vector<double> ms;
 	int failed = 0;
 	std::vector<std::string> trace;
 
-	double p(double q)
+	double percentile(double percent)
 	{
 		std::sort(ms.begin(), ms.end());
-		return ms[std::min(
-		    ms.size() - 1, static_cast<size_t>(q / 100 * ms.size()))];
+		return ms[std::min(ms.size() - 1,
+		    static_cast<size_t>(percent / 100 * ms.size()))];
 	}
 };
 
@@ -466,12 +466,12 @@
 
 /*
  * Sends 20000 requests at a mean rate to ten backend servers, in virtual time.
- * The server `fails_fast` (-1: none) answers all of its requests with an error
- * after 0.5 ms.
+ * The server `failing_server` (-1: none) answers all of its requests with an
+ * error after 0.5 ms.
  */
 Result
-drive(const char *policy, unsigned seed, double per_ms, const Service &service,
-    int fails_fast)
+simulate(const char *policy, unsigned seed, double per_ms,
+    const Service &service, int failing_server)
 {
 	const int N = 10, SLOTS = 3, REQUESTS = 20000;
 	World w(policy);
@@ -489,7 +489,7 @@
 	w.seed = seed;
 	w.backends(N, SLOTS);
 	auto finish = [&](Req *r, enum disp_outcome o) {
-		if (w.done(r, o))
+		if (w.end_attempt(r, o))
 			return;
 		if (o == DISP_OK)
 			run.ms.push_back(
@@ -498,13 +498,13 @@
 			run.failed++;
 	};
 	/* A stopped request runs to its end; its response is ignored. */
-	std::function<void(int, Req *, int)> begin = [&](int i, Req *r,
-							 int turn) {
+	std::function<void(int, Req *, int)> start = [&](int i, Req *r,
+							 int attempt) {
 		servers[static_cast<size_t>(i)].busy++;
 		double ms = service(i, w.now, unit(rng));
 
-		events.emplace(
-		    w.now + static_cast<int64_t>(ms * NS_MS), [&, i, r, turn] {
+		events.emplace(w.now + static_cast<int64_t>(ms * NS_MS),
+		    [&, i, r, attempt] {
 			    Server &s = servers[static_cast<size_t>(i)];
 
 			    s.busy--;
@@ -513,25 +513,25 @@
 				    s.queue.pop_front();
 				    next();
 			    }
-			    if (turn == r->sends)
+			    if (attempt == r->sends)
 				    finish(r, DISP_OK);
 		    });
 	};
 	w.on_send = [&](Req *r, struct pick_backend *b) {
 		int i = atoi(std::string(b->name.p + 1, b->name.n - 1).c_str());
 		Server &s = servers[static_cast<size_t>(i)];
-		int turn = r->sends;
+		int attempt = r->sends;
 
-		if (i == fails_fast) {
+		if (i == failing_server) {
 			events.emplace(w.now + NS_MS / 2,
 			    [&, r] { finish(r, DISP_SERVER_ERROR); });
 			return;
 		}
 		if (s.busy < SLOTS)
-			begin(i, r, turn);
+			start(i, r, attempt);
 		else
 			s.queue.push_back(
-			    [&, i, r, turn] { begin(i, r, turn); });
+			    [&, i, r, attempt] { start(i, r, attempt); });
 	};
 	w.on_end = [&](Req *) {
 		run.failed++;
@@ -559,30 +559,30 @@
 
 /* One server after another is ten times slower for 300 ms. */
 double
-spells(int i, int64_t now, double draw)
+slow_periods(int i, int64_t now, double draw)
 {
-	int64_t turn = now / (300 * NS_MS);
+	int64_t period = now / (300 * NS_MS);
 
-	return draw * 10 * (turn % 13 == i ? 10 : 1);
+	return draw * 10 * (period % 13 == i ? 10 : 1);
 }
 
 } // namespace
 
 TEST(Differential, FernHasLowerTailLatencyThanNaiveOnNoisyServers)
 {
-	Result naive = drive("naive", 5, 1.5, spells, -1);
-	Result fern = drive("fern", 5, 1.5, spells, -1);
+	Result naive = simulate("naive", 5, 1.5, slow_periods, -1);
+	Result fern = simulate("fern", 5, 1.5, slow_periods, -1);
 
 	printf("p50 p99 p99.9 ms: naive %.1f %.1f %.1f, fern %.1f %.1f %.1f\n",
-	    naive.p(50), naive.p(99), naive.p(99.9), fern.p(50), fern.p(99),
-	    fern.p(99.9));
-	Result busy = drive("fern", 5, 2.25, spells, -1);
+	    naive.percentile(50), naive.percentile(99), naive.percentile(99.9),
+	    fern.percentile(50), fern.percentile(99), fern.percentile(99.9));
+	Result busy = simulate("fern", 5, 2.25, slow_periods, -1);
 
 	printf("at three quarters of the capacity: fern %.1f %.1f %.1f\n",
-	    busy.p(50), busy.p(99), busy.p(99.9));
+	    busy.percentile(50), busy.percentile(99), busy.percentile(99.9));
 	EXPECT_EQ(0, fern.failed);
-	EXPECT_LT(fern.p(99), naive.p(99) / 3);
-	EXPECT_LT(fern.p(99.9), naive.p(99.9));
+	EXPECT_LT(fern.percentile(99), naive.percentile(99) / 3);
+	EXPECT_LT(fern.percentile(99.9), naive.percentile(99.9));
 }
 
 TEST(Disp, ANewServerIsUsedAlthoughTheOthersAreFast)
@@ -596,12 +596,12 @@
 
 		w.arrive(&fast);
 		w.now += NS_MS;
-		w.done(&fast, DISP_OK);
+		w.end_attempt(&fast, DISP_OK);
 	}
 	w.backends(2, 3);
 	w.arrive(&r);
 	EXPECT_TRUE(str_eq(r.d.backend->name, STR_LIT("b1")));
-	w.done(&r, DISP_OK);
+	w.end_attempt(&r, DISP_OK);
 }
 
 TEST(Disp, AServerWithASlowRequestIsChosenLast)
@@ -611,7 +611,7 @@
 	struct pick_backend *slow;
 
 	w.backends(2, 3);
-	w.warm(2);
+	w.warm_up(2);
 	w.arrive(&old, 1000, CLASS_INTERACTIVE, false);
 	slow = old.d.backend;
 	w.now += 60 * NS_MS;
@@ -623,18 +623,18 @@
 	w.arrive(&next);
 	EXPECT_NE(slow, next.d.backend);
 	for (auto *r : {&old, &fresh[0], &fresh[1], &next})
-		w.done(r, DISP_OK);
+		w.end_attempt(r, DISP_OK);
 }
 
 TEST(Disp, ASlowAttemptIsMovedToAnotherServerOnce)
 {
 	World w;
-	Req r, pay;
+	Req r, not_repeatable;
 	struct pick_backend *first;
 
 	w.backends(2, 3);
-	w.warm(2);
-	w.arrive(&pay, 1000, CLASS_INTERACTIVE, false);
+	w.warm_up(2);
+	w.arrive(&not_repeatable, 1000, CLASS_INTERACTIVE, false);
 	w.arrive(&r);
 	first = r.d.backend;
 	w.now += 30 * NS_MS;
@@ -648,29 +648,30 @@
 	disp_tick(w.disp);
 	EXPECT_EQ(2, r.sends);
 	/* The request that is not repeatable is not moved. */
-	EXPECT_EQ(1, pay.sends);
-	w.done(&r, DISP_OK);
-	w.done(&pay, DISP_OK);
+	EXPECT_EQ(1, not_repeatable.sends);
+	w.end_attempt(&r, DISP_OK);
+	w.end_attempt(&not_repeatable, DISP_OK);
 }
 
 TEST(Differential, AServerThatFailsFastAttractsNoTraffic)
 {
-	auto calm = [](int, int64_t, double draw) {
+	auto constant_speed = [](int, int64_t, double draw) {
 		return draw * 10;
 	};
-	Result fern = drive("fern", 6, 1.5, calm, 4);
-	size_t there = 0;
+	Result fern = simulate("fern", 6, 1.5, constant_speed, 4);
+	size_t attempts_at_failing = 0;
 
 	for (auto &t : fern.trace)
-		there += t.size() > 3 && t.substr(t.size() - 3) == " b4";
+		attempts_at_failing +=
+		    t.size() > 3 && t.substr(t.size() - 3) == " b4";
 	EXPECT_EQ(0, fern.failed);
-	EXPECT_LT(there, 100u);
+	EXPECT_LT(attempts_at_failing, 100u);
 }
 
 TEST(Disp, TheSameEventsGiveTheSameResult)
 {
-	Result a = drive("fern", 7, 1.5, spells, 2);
-	Result b = drive("fern", 7, 1.5, spells, 2);
+	Result a = simulate("fern", 7, 1.5, slow_periods, 2);
+	Result b = simulate("fern", 7, 1.5, slow_periods, 2);
 
 	EXPECT_EQ(a.trace, b.trace);
 }
--- a/regress/test_gossip.cpp
+++ b/regress/test_gossip.cpp
@@ -49,18 +49,18 @@
 	std::string name, hall, inbox;
 	uint64_t power = 100;
 	bool strong = false;
-	bool up = false, cut = false, ready = false, listed = false;
+	bool running = false, isolated = false, ready = false, listed = false;
 	uint64_t version = 0; /* of the configuration that it has */
 	uint64_t starts = 0;
 	int64_t busy = 0; /* its processor is busy until then */
 	struct memb *memb = nullptr;
 	struct gossip *gossip = nullptr;
-	/* Messages and bytes sent and received since forget_costs(). */
-	uint64_t in = 0, out = 0, bytes = 0, away = 0;
+	/* Messages and bytes sent and received since reset_costs(). */
+	uint64_t received = 0, sent = 0, bytes = 0, bytes_to_other_halls = 0;
 	std::set<std::string> peers;
 
 	/* Takes over the configuration version that a peer announced. */
-	void hears_of(uint64_t other)
+	void update_version(uint64_t other)
 	{
 		version = std::max(version, other);
 	}
@@ -81,8 +81,8 @@
 	 * age of its stale lists, and whether it answers no calls.
 	 */
 	std::vector<std::pair<int64_t, Box *>> entries;
-	int64_t stale = 3 * NS_S;
-	bool silent = false;
+	int64_t list_delay = 3 * NS_S;
+	bool platform_down = false;
 	uint64_t lists = 0, writes = 0;
 
 	static struct timespec mono(void *ctx)
@@ -132,7 +132,7 @@
 		json_decref(seeds);
 	}
 
-	void in(int64_t ns, std::function<void()> fn)
+	void schedule(int64_t ns, std::function<void()> fn)
 	{
 		events.emplace(now + ns, std::move(fn));
 	}
@@ -159,8 +159,8 @@
 
 		b.busy = std::max(b.busy, now) +
 		    ns * MEMB_POWER_ONE_CPU / static_cast<int64_t>(b.power);
-		in(b.busy - now, [&b, start, fn] {
-			if (b.up && b.starts == start)
+		schedule(b.busy - now, [&b, start, fn] {
+			if (b.running && b.starts == start)
 				fn();
 		});
 	}
@@ -172,19 +172,19 @@
 
 	/* Delivers a message, and like ZeroMQ retries for two seconds. */
 	void deliver(
-	    Box &from, Box &to, std::shared_ptr<std::string> text, int tries)
+	    Box &from, Box &to, std::shared_ptr<std::string> text, int retries)
 	{
-		if (!to.up || to.cut != from.cut) {
-			if (tries < 20)
-				in(100 * NS_MS,
-				    [this, &from, &to, text, tries] {
-					    if (from.up)
+		if (!to.running || to.isolated != from.isolated) {
+			if (retries < 20)
+				schedule(100 * NS_MS,
+				    [this, &from, &to, text, retries] {
+					    if (from.running)
 						    deliver(from, to, text,
-							tries + 1);
+							retries + 1);
 				    });
 			return;
 		}
-		to.in++;
+		to.received++;
 		work(to, 100 * NS_US, [&to, text] {
 			struct msg m;
 
@@ -193,17 +193,17 @@
 			if (m.kind == MSG_ANNOUNCEMENT) {
 				gossip_on_announcement(
 				    to.gossip, m.from, &m.u.announcement);
-				to.hears_of(
+				to.update_version(
 				    m.u.announcement.conf_summary.rules_digest);
 			} else if (m.kind == MSG_HEARTBEAT) {
 				gossip_on_heartbeat(
 				    to.gossip, m.from, &m.u.heartbeat);
-				to.hears_of(
+				to.update_version(
 				    m.u.heartbeat.conf_summary.rules_digest);
 			} else
 				gossip_on_members(to.gossip, &m.u.members);
 			msg_release(&m);
-			to.fleet->look(to);
+			to.fleet->run_gossip(to);
 		});
 	}
 
@@ -218,11 +218,12 @@
 		msg_encode(m, &buf);
 		auto text = std::make_shared<std::string>(buf.data, buf.size);
 		msgpack_sbuffer_destroy(&buf);
-		b.out++;
+		b.sent++;
 		b.bytes += text->size();
-		b.away += peer.hall == b.hall ? 0 : text->size();
+		b.bytes_to_other_halls +=
+		    peer.hall == b.hall ? 0 : text->size();
 		b.peers.insert(peer.inbox);
-		f->in(delay(b, peer),
+		f->schedule(delay(b, peer),
 		    [f, &b, &peer, text] { f->deliver(b, peer, text, 0); });
 	}
 
@@ -237,7 +238,7 @@
 	}
 
 	static void
-	beat(void *ctx, struct str to, const struct msg_heartbeat *b)
+	heartbeat(void *ctx, struct str to, const struct msg_heartbeat *b)
 	{
 		struct msg m = {};
 
@@ -246,7 +247,7 @@
 		send(*static_cast<Box *>(ctx), to, &m);
 	}
 
-	static struct msg_conf_summary holds(void *ctx)
+	static struct msg_conf_summary conf_summary(void *ctx)
 	{
 		struct msg_conf_summary h = {};
 
@@ -269,21 +270,21 @@
 		Box &b = *static_cast<Box *>(ctx);
 		Fleet *f = b.fleet;
 
-		if (f->silent)
+		if (f->platform_down)
 			return;
 		f->lists++;
-		f->in(4 * NS_MS, [f, &b] {
-			f->work(b, 3 * NS_MS, [f, &b] { f->take_list(b); });
+		f->schedule(4 * NS_MS, [f, &b] {
+			f->work(b, 3 * NS_MS, [f, &b] { f->apply_list(b); });
 		});
 	}
 
-	void take_list(Box &b)
+	void apply_list(Box &b)
 	{
 		memb_list_begin(b.memb);
 		for (auto &e : entries) {
 			struct memb_info info = {};
 
-			if (e.first > now - stale)
+			if (e.first > now - list_delay)
 				continue;
 			b.listed = b.listed || e.second == &b;
 			info.box = view(e.second->name);
@@ -293,11 +294,11 @@
 			memb_list_add(b.memb, &info);
 		}
 		gossip_list_received(b.gossip);
-		look(b);
+		run_gossip(b);
 	}
 
 	/* Runs the gossip as an agent does after each event. */
-	void look(Box &b)
+	void run_gossip(Box &b)
 	{
 		int64_t next = gossip_run(b.gossip);
 		uint64_t start = b.starts;
@@ -310,19 +311,19 @@
 				gossip_announce(b.gossip, false);
 			next = now;
 		}
-		in(std::max(next - now, NS_MS), [this, &b, start] {
-			if (b.up && b.starts == start && due(b))
-				look(b);
+		schedule(std::max(next - now, NS_MS), [this, &b, start] {
+			if (b.running && b.starts == start && is_first_run(b))
+				run_gossip(b);
 		});
 	}
 
 	/* Returns whether the box did not run at this time yet. */
-	std::map<Box *, int64_t> looked;
-	bool due(Box &b)
+	std::map<Box *, int64_t> last_run;
+	bool is_first_run(Box &b)
 	{
-		bool first = looked[&b] != now;
+		bool first = last_run[&b] != now;
 
-		looked[&b] = now;
+		last_run[&b] = now;
 		return first;
 	}
 
@@ -331,14 +332,14 @@
 		uint64_t start = b.starts;
 
 		memb_tick(b.memb, now);
-		if (gossip_is_hub(b.gossip) && !b.listed && !silent) {
+		if (gossip_is_hub(b.gossip) && !b.listed && !platform_down) {
 			writes++;
 			b.listed = true;
 			entries.emplace_back(now, &b);
 		}
-		look(b);
-		in(500 * NS_MS, [this, &b, start] {
-			if (b.up && b.starts == start)
+		run_gossip(b);
+		schedule(500 * NS_MS, [this, &b, start] {
+			if (b.running && b.starts == start)
 				tick(b);
 		});
 	}
@@ -347,7 +348,7 @@
 	{
 		struct memb_info self = {};
 		const struct gossip_ops ops = {
-		    announcement, beat, members, holds, list, &b};
+		    announcement, heartbeat, members, conf_summary, list, &b};
 		const struct gossip_settings set = {
 		    NS_S, 15 * NS_S, 60 * NS_S, 6, seeds};
 
@@ -357,7 +358,7 @@
 		    view(b.inbox);
 		self.power = b.power;
 		self.started_ms = static_cast<uint64_t>(now / NS_MS);
-		b.up = true;
+		b.running = true;
 		b.starts++;
 		b.ready = b.listed = false;
 		b.busy = now;
@@ -369,9 +370,9 @@
 
 	void stop(Box &b)
 	{
-		if (!b.up)
+		if (!b.running)
 			return;
-		b.up = false;
+		b.running = false;
 		gossip_free(b.gossip);
 		memb_free(b.memb);
 	}
@@ -381,7 +382,8 @@
 	 */
 	void start_later(Box &b, int64_t after)
 	{
-		in(after + static_cast<int64_t>(rnd_below(&rnd, 300 * NS_MS)) +
+		schedule(after +
+			static_cast<int64_t>(rnd_below(&rnd, 300 * NS_MS)) +
 			30 * NS_MS * MEMB_POWER_ONE_CPU /
 			    static_cast<int64_t>(b.power),
 		    [this, &b] { start(b); });
@@ -390,41 +392,42 @@
 	void start_all(int64_t after = 0)
 	{
 		for (auto &b : boxes)
-			if (!b->up)
+			if (!b->running)
 				start_later(*b, after);
 	}
 
 	/* Stops boxes at random; gates that run soon suspect lost owners. */
-	void kill(int percent)
+	void stop_some(int percent)
 	{
 		for (auto &b : boxes)
 			if (rnd_below(&rnd, 100) <
 			    static_cast<uint64_t>(percent))
 				stop(*b);
 		for (auto &b : boxes)
-			if (b->up)
-				doubt_homes(*b);
+			if (b->running)
+				suspect_owners(*b);
 	}
 
-	void doubt_homes(Box &b)
+	void suspect_owners(Box &b)
 	{
-		for (auto &home : homes_by(b, b.hall))
+		for (auto &owner : owners_seen_by(b, b.hall))
 			for (auto &other : boxes)
-				if (other->name == home.second && !other->up)
-					in(static_cast<int64_t>(
-					       rnd_below(&rnd, NS_S)),
+				if (other->name == owner.second &&
+				    !other->running)
+					schedule(static_cast<int64_t>(
+						     rnd_below(&rnd, NS_S)),
 					    [this, &b, name = other->name] {
-						    if (!b.up)
+						    if (!b.running)
 							    return;
 						    gossip_check_suspect(
 							b.gossip, view(name));
-						    look(b);
+						    run_gossip(b);
 					    });
 	}
 
 	/* Assigns the services of a hall to owners among its ready hubs. */
-	std::map<std::string, std::string>
-	deal(const std::string &hall, const std::vector<std::string> &hubs)
+	std::map<std::string, std::string> assign_owners(
+	    const std::string &hall, const std::vector<std::string> &hubs)
 	{
 		std::vector<struct home_service> s;
 		std::vector<struct home_gate> gates;
@@ -445,7 +448,7 @@
 	}
 
 	std::map<std::string, std::string>
-	homes_by(Box &b, const std::string &hall)
+	owners_seen_by(Box &b, const std::string &hall)
 	{
 		const struct memb_info *hubs[MEMB_HUBS_MAX];
 		std::vector<std::string> names;
@@ -455,7 +458,7 @@
 			if (hubs[i]->ready)
 				names.emplace_back(
 				    hubs[i]->box.p, hubs[i]->box.n);
-		return deal(hall, names);
+		return assign_owners(hall, names);
 	}
 
 	/*
@@ -464,71 +467,74 @@
 	 */
 	double agreement()
 	{
-		std::map<std::string, std::map<std::string, std::string>> truth;
-		int right = 0, all = 0;
+		std::map<std::string, std::map<std::string, std::string>>
+		    expected;
+		int correct = 0, all = 0;
 
 		for (auto &hall : halls) {
 			std::vector<std::string> names;
 
 			for (auto &b : boxes)
 				if (b->hall == hall && b->strong && b->ready &&
-				    b->up)
+				    b->running)
 					names.push_back(b->name);
-			truth[hall] = deal(hall, names);
+			expected[hall] = assign_owners(hall, names);
 		}
 		for (auto &b : boxes) {
-			if (!b->up || !b->ready)
+			if (!b->running || !b->ready)
 				continue;
 			for (auto &hall : halls) {
 				if (hall != b->hall && !b->strong)
 					continue;
-				auto own = homes_by(*b, hall);
+				auto seen = owners_seen_by(*b, hall);
 
 				for (auto &s : services) {
 					all++;
-					right += own[s] == truth[hall][s];
+					correct += seen[s] == expected[hall][s];
 				}
 			}
 		}
-		return all == 0 ? 0 : static_cast<double>(right) / all;
+		return all == 0 ? 0 : static_cast<double>(correct) / all;
 	}
 
-	void forget_costs()
+	void reset_costs()
 	{
 		lists = writes = 0;
 		for (auto &b : boxes) {
-			b->in = b->out = b->bytes = b->away = 0;
+			b->received = b->sent = b->bytes =
+			    b->bytes_to_other_halls = 0;
 			b->peers.clear();
 		}
 	}
 
 	/* Returns the most messages that any hub (or leaf) exchanged. */
-	uint64_t most_messages(bool strong)
+	uint64_t max_messages(bool strong)
 	{
-		uint64_t most = 0;
+		uint64_t highest = 0;
 
 		for (auto &b : boxes)
 			if (b->strong == strong)
-				most = std::max(most, b->in + b->out);
-		return most;
+				highest =
+				    std::max(highest, b->received + b->sent);
+		return highest;
 	}
 
-	size_t most_peers(bool strong)
+	size_t max_peers(bool strong)
 	{
-		size_t most = 0;
+		size_t highest = 0;
 
 		for (auto &b : boxes)
 			if (b->strong == strong)
-				most = std::max(most, b->peers.size());
-		return most;
+				highest = std::max(highest, b->peers.size());
+		return highest;
 	}
 
-	uint64_t bytes_away()
+	uint64_t total_bytes_to_other_halls()
 	{
 		uint64_t n = 0;
 
 		for (auto &b : boxes)
-			n += b->away;
+			n += b->bytes_to_other_halls;
 		return n;
 	}
 
@@ -538,10 +544,11 @@
 		       "leaf %llu, most peers: hub %zu leaf %zu, kB between "
 		       "halls %llu, lists %llu, writes %llu\n",
 		    what, boxes.size(), agreement(),
-		    static_cast<unsigned long long>(most_messages(true)),
-		    static_cast<unsigned long long>(most_messages(false)),
-		    most_peers(true), most_peers(false),
-		    static_cast<unsigned long long>(bytes_away() / 1000),
+		    static_cast<unsigned long long>(max_messages(true)),
+		    static_cast<unsigned long long>(max_messages(false)),
+		    max_peers(true), max_peers(false),
+		    static_cast<unsigned long long>(
+			total_bytes_to_other_halls() / 1000),
 		    static_cast<unsigned long long>(lists),
 		    static_cast<unsigned long long>(writes));
 	}
@@ -555,7 +562,7 @@
 
 	f->start_all();
 	f->run_for(20 * NS_S);
-	f->forget_costs();
+	f->reset_costs();
 	return f;
 }
 
@@ -600,7 +607,7 @@
 	for (int n : {100, 473, 1000}) {
 		auto f = settled_fleet(n);
 
-		f->kill(100);
+		f->stop_some(100);
 		f->run_for(NS_S);
 		f->start_all();
 		/* The last box has started after 0.6 s. */
@@ -621,7 +628,7 @@
 	for (int n : {100, 473, 1000}) {
 		auto f = settled_fleet(n);
 
-		f->kill(55);
+		f->stop_some(55);
 		f->start_all(2 * NS_S);
 		f->run_for(3600 * NS_MS);
 		f->print("half lost, back for 1 s");
@@ -637,10 +644,10 @@
 		auto f = settled_fleet(n);
 
 		for (auto &b : f->boxes)
-			b->cut = b->hall == "hall-0";
+			b->isolated = b->hall == "hall-0";
 		f->run_for(30 * NS_S);
 		for (auto &b : f->boxes)
-			b->cut = false;
+			b->isolated = false;
 		f->run_for(4 * NS_S);
 		f->print("hall back for 4 s");
 		EXPECT_LE(0.99, f->agreement()) << n;
@@ -657,7 +664,7 @@
 	int wrong = 0;
 
 	for (auto &b : f.boxes) {
-		if (!b->up)
+		if (!b->running)
 			continue;
 		for (auto &hall : f.halls) {
 			size_t n = memb_hubs(b->memb, view(hall), hubs);
@@ -666,7 +673,7 @@
 				wrong += !f.by_inbox
 					      .at(std::string(hubs[i]->inbox.p,
 						  hubs[i]->inbox.n))
-					      ->up;
+					      ->running;
 		}
 	}
 	return wrong;
@@ -700,19 +707,19 @@
 	f->stop(hub);
 	f->run_for(15 * NS_S);
 	for (auto &b : f->boxes) {
-		if (b->up && b->hall == hub.hall) {
+		if (b->running && b->hall == hub.hall) {
 			EXPECT_FALSE(memb_is_hub(b->memb, view(hub.name)))
 			    << b->name;
 		}
 	}
 	f->run_for(45 * NS_S);
 	EXPECT_EQ(0, wrong_hubs(*f));
-	f->forget_costs();
+	f->reset_costs();
 	f->run_for(10 * NS_S);
 	f->print("10 s, a minute after a hub died");
 	/* Heartbeats of 0.1 kB, and no lists. */
 	for (auto &b : f->boxes)
-		EXPECT_GT(200u * b->out + 1, b->bytes) << b->name;
+		EXPECT_GT(200u * b->sent + 1, b->bytes) << b->name;
 }
 
 /*
@@ -729,7 +736,7 @@
 			auto f = settled_fleet(n, 4, seed);
 
 			for (auto &b : f->boxes)
-				b->cut = b->strong && b->hall == "hall-0";
+				b->isolated = b->strong && b->hall == "hall-0";
 			EXPECT_EQ(0, late_leaves(*f, 2 * NS_S)) << seed;
 		}
 }
@@ -743,7 +750,8 @@
 
 		for (auto &b : f->boxes)
 			if (b->strong)
-				b->cut = b->hall == "hall-0" || ++hubs % 3 != 0;
+				b->isolated =
+				    b->hall == "hall-0" || ++hubs % 3 != 0;
 		EXPECT_EQ(0, late_leaves(*f, 2500 * NS_MS)) << seed;
 	}
 }
@@ -755,7 +763,8 @@
 	size_t n = 0;
 
 	for (auto &b : f.boxes)
-		n += b->up && !b->strong && gossip_is_unattended(b->gossip);
+		n +=
+		    b->running && !b->strong && gossip_is_unattended(b->gossip);
 	return n;
 }
 
@@ -770,13 +779,13 @@
 		size_t leaves = 0;
 
 		for (auto &b : f->boxes) {
-			b->cut = b->strong;
+			b->isolated = b->strong;
 			leaves += !b->strong;
 		}
 		f->run_for(2 * NS_S);
 		EXPECT_EQ(leaves, unattended(*f)) << n;
 		for (auto &b : f->boxes)
-			b->cut = false;
+			b->isolated = false;
 		f->run_for(5 * NS_S);
 		EXPECT_EQ(0u, unattended(*f)) << n;
 	}
@@ -810,7 +819,7 @@
 {
 	Fleet f(473, 6);
 
-	f.silent = true;
+	f.platform_down = true;
 	f.start_all();
 	f.run_for(10 * NS_S);
 	f.print("without the platform");
@@ -828,21 +837,21 @@
 		f->run_for(20 * NS_S);
 		f->print("20 s at rest");
 		/* One request and its reply a second, and messages of hubs. */
-		EXPECT_LE(f->most_messages(false), 100u) << n;
-		EXPECT_LE(f->most_peers(false), 18u) << n;
+		EXPECT_LE(f->max_messages(false), 100u) << n;
+		EXPECT_LE(f->max_peers(false), 18u) << n;
 		if (n == 100) {
-			leaf = f->most_messages(false);
-			hub = f->most_messages(true);
-			peers = f->most_peers(true);
+			leaf = f->max_messages(false);
+			hub = f->max_messages(true);
+			peers = f->max_peers(true);
 			continue;
 		}
-		EXPECT_LE(f->most_messages(false), leaf * 2) << n;
-		/* A hub's cost grows with its hall, not with the square. */
+		EXPECT_LE(f->max_messages(false), leaf * 2) << n;
+		/* A hub's cost is linear in the fleet's size, not quadratic. */
 		EXPECT_LE(
-		    f->most_messages(true), hub * static_cast<uint64_t>(n) / 50)
+		    f->max_messages(true), hub * static_cast<uint64_t>(n) / 50)
 		    << n;
 		EXPECT_LE(
-		    f->most_peers(true), peers * static_cast<size_t>(n) / 50)
+		    f->max_peers(true), peers * static_cast<size_t>(n) / 50)
 		    << n;
 	}
 }
@@ -850,10 +859,10 @@
 namespace
 {
 
-struct Deal {
+struct Assignment {
 	std::vector<std::string> names, boxes;
 
-	Deal(int n, int gates)
+	Assignment(int n, int gates)
 	{
 		for (int i = 0; i < n; i++)
 			names.push_back("service" + std::to_string(i));
@@ -861,7 +870,8 @@
 			boxes.push_back("box" + std::to_string(i));
 	}
 
-	std::map<std::string, std::string> deal(const std::string &hall) const
+	std::map<std::string, std::string>
+	assign_owners(const std::string &hall) const
 	{
 		std::vector<struct home_service> s;
 		std::vector<struct home_gate> g;
@@ -878,12 +888,13 @@
 		return out;
 	}
 
-	static unsigned most(const std::map<std::string, std::string> &homes)
+	static unsigned
+	highest(const std::map<std::string, std::string> &owners)
 	{
 		std::map<std::string, unsigned> n;
 		unsigned found = 0;
 
-		for (auto &h : homes)
+		for (auto &h : owners)
 			found = std::max(found, ++n[h.second]);
 		return found;
 	}
@@ -900,23 +911,23 @@
 	for (int gates = 1; gates <= 6; gates++)
 		for (int n = 1; n <= 20; n++)
 			for (int h = 0; h < 20; h++) {
-				Deal d(n, gates);
+				Assignment d(n, gates);
 
 				EXPECT_EQ(static_cast<unsigned>(
 					      (n + gates - 1) / gates),
-				    Deal::most(
-					d.deal("hall" + std::to_string(h))));
+				    Assignment::highest(d.assign_owners(
+					"hall" + std::to_string(h))));
 			}
 }
 
 /* The assignment does not depend on the order of gates and services. */
 TEST(Home, EachBoxAssignsAlike)
 {
-	Deal d(7, 3), other(7, 3);
+	Assignment d(7, 3), other(7, 3);
 
 	std::reverse(other.names.begin(), other.names.end());
 	std::reverse(other.boxes.begin(), other.boxes.end());
-	EXPECT_EQ(d.deal("north"), other.deal("north"));
+	EXPECT_EQ(d.assign_owners("north"), other.assign_owners("north"));
 }
 
 /* When a gate stops, its own services move, and few of the others. */
@@ -925,14 +936,17 @@
 	int moved = 0, kept = 0;
 
 	for (int h = 0; h < 50; h++) {
-		Deal before(30, 6), after(30, 6);
+		Assignment before(30, 6), after(30, 6);
 		std::string hall = "hall" + std::to_string(h);
 
 		after.boxes.pop_back();
-		auto was = before.deal(hall), is = after.deal(hall);
-		for (auto &s : was)
+		auto before_by_service = before.assign_owners(hall),
+		     after_by_service = after.assign_owners(hall);
+		for (auto &s : before_by_service)
 			if (s.second != before.boxes.back())
-				(is[s.first] == s.second ? kept : moved)++;
+				(after_by_service[s.first] == s.second
+					? kept
+					: moved)++;
 	}
 	EXPECT_LT(moved * 4, kept);
 }
@@ -1042,8 +1056,7 @@
 	struct spread_difference d = {};
 
 	d.hall_has_platform = true;
-	EXPECT_TRUE(spread_should_compare(
-	    &d)); /* no difference: revisions are exchanged */
+	EXPECT_TRUE(spread_should_compare(&d)); /* no difference */
 	d.duration_ns = 1;
 	EXPECT_FALSE(spread_should_compare(&d));
 	d.same_hall = true;
--- a/regress/test_hsrv.cpp
+++ b/regress/test_hsrv.cpp
@@ -41,31 +41,31 @@
 	std::string ip = net::own_ip();
 	struct hsrv *srv;
 	std::vector<h2o_req_t *> reqs; /* NULL: freed */
-	std::vector<std::string> seen; /* method, path and body */
-	int gone = 0;
+	std::vector<std::string> requests; /* method, path and body */
+	int freed = 0;
 
 	struct Guard {
 		Server *server;
 		size_t at;
 	};
 
-	static void on_gone(void *p)
+	static void on_freed(void *p)
 	{
 		Guard *g = static_cast<Guard *>(p);
 
 		g->server->reqs[g->at] = nullptr;
-		g->server->gone++;
+		g->server->freed++;
 	}
 
 	static void on_request(void *ctx, h2o_req_t *req)
 	{
 		Server *s = static_cast<Server *>(ctx);
 		Guard *g = static_cast<Guard *>(
-		    h2o_mem_alloc_shared(&req->pool, sizeof(Guard), on_gone));
+		    h2o_mem_alloc_shared(&req->pool, sizeof(Guard), on_freed));
 
 		*g = {s, s->reqs.size()};
 		s->reqs.push_back(req);
-		s->seen.push_back(
+		s->requests.push_back(
 		    std::string(req->method.base, req->method.len) + " " +
 		    std::string(req->path.base, req->path.len) + " " +
 		    std::string(req->entity.base ? req->entity.base : "",
@@ -73,7 +73,7 @@
 	}
 
 	/* GET requests may run concurrently. */
-	static bool beside(void *, const h2o_req_t *req)
+	static bool may_run_concurrently(void *, const h2o_req_t *req)
 	{
 		return std::string(req->input.method.base,
 			   req->input.method.len) == "GET";
@@ -89,11 +89,11 @@
 		    body_max, on_request, this, &err);
 		if (srv == nullptr)
 			throw std::runtime_error(err->message);
-		hsrv_allow_concurrent(srv, beside);
+		hsrv_allow_concurrent(srv, may_run_concurrently);
 	}
 
 	/* Runs the loop until a condition holds, for about `ms` at most. */
-	bool until(const std::function<bool()> &done, int ms = 3000)
+	bool run_until(const std::function<bool()> &done, int ms = 3000)
 	{
 		for (int i = 0; i < ms && !done(); i++) {
 			uv_run(&loop, UV_RUN_NOWAIT);
@@ -102,16 +102,16 @@
 		return done();
 	}
 
-	void turn(int ms = 30)
+	void run_for(int ms = 30)
 	{
-		until([] { return false; }, ms);
+		run_until([] { return false; }, ms);
 	}
 
-	void answer(size_t i, const std::string &body, bool keep = true)
+	void respond(size_t i, const std::string &body, bool keep_alive = true)
 	{
 		ASSERT_LT(i, reqs.size());
 		ASSERT_NE(nullptr, reqs[i]);
-		if (!keep)
+		if (!keep_alive)
 			reqs[i]->http1_is_persistent = 0;
 		hsrv_send_response(reqs[i], 200, "text/plain",
 		    str_n(body.data(), body.size()));
@@ -120,8 +120,8 @@
 
 struct Caller {
 	int fd;
-	std::string got;
-	bool ended = false;
+	std::string received;
+	bool closed = false;
 
 	explicit Caller(const Server &s, int receive = 0)
 	{
@@ -144,20 +144,20 @@
 			close(fd);
 	}
 
-	void say(const std::string &text)
+	void send_text(const std::string &text)
 	{
 		EXPECT_EQ(static_cast<ssize_t>(text.size()),
 		    write(fd, text.data(), text.size()));
 	}
 
-	bool read_on()
+	bool read_available()
 	{
 		char buf[65536];
 		ssize_t n;
 
 		while ((n = read(fd, buf, sizeof(buf))) > 0)
-			got.append(buf, static_cast<size_t>(n));
-		ended = ended || n == 0;
+			received.append(buf, static_cast<size_t>(n));
+		closed = closed || n == 0;
 		return true;
 	}
 
@@ -165,29 +165,30 @@
 	{
 		int n = 0;
 
-		for (size_t at = got.find(what); at != std::string::npos;
-		     at = got.find(what, at + 1))
+		for (size_t at = received.find(what); at != std::string::npos;
+		     at = received.find(what, at + 1))
 			n++;
 		return n;
 	}
 
 	/* Returns whether the server sends a text exactly once, in time. */
-	bool gets(Server &s, const std::string &text)
+	bool receives_once(Server &s, const std::string &text)
 	{
-		return s.until([&] { return read_on() && count(text) == 1; });
+		return s.run_until(
+		    [&] { return read_available() && count(text) == 1; });
 	}
 
 	/* Returns whether the server ends the connection in time. */
-	bool ends(Server &s)
+	bool is_closed(Server &s)
 	{
-		return s.until([&] { return read_on() && ended; });
+		return s.run_until([&] { return read_available() && closed; });
 	}
 };
 
 std::string
-get(const std::string &path, const std::string &more = "")
+get(const std::string &path, const std::string &extra = "")
 {
-	return "GET " + path + " HTTP/1.1\r\nHost: a\r\n" + more + "\r\n";
+	return "GET " + path + " HTTP/1.1\r\nHost: a\r\n" + extra + "\r\n";
 }
 
 std::string
@@ -199,54 +200,54 @@
 
 } // namespace
 
-TEST(Beside, RequestsRunConcurrentlyAndResponsesKeepTheirOrder)
+TEST(Pipeline, RequestsRunConcurrentlyAndResponsesKeepTheirOrder)
 {
 	Server s;
 	Caller c(s);
 
-	c.say(get("/1") + get("/2") + get("/3"));
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 3; }));
-	s.answer(2, "third.");
-	s.answer(1, "second.");
-	s.turn();
-	c.read_on();
-	EXPECT_EQ("", c.got);
-	s.answer(0, "first.");
-	ASSERT_TRUE(c.gets(s, "third."));
-	EXPECT_LT(c.got.find("first."), c.got.find("second."));
-	EXPECT_LT(c.got.find("second."), c.got.find("third."));
+	c.send_text(get("/1") + get("/2") + get("/3"));
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 3; }));
+	s.respond(2, "third.");
+	s.respond(1, "second.");
+	s.run_for();
+	c.read_available();
+	EXPECT_EQ("", c.received);
+	s.respond(0, "first.");
+	ASSERT_TRUE(c.receives_once(s, "third."));
+	EXPECT_LT(c.received.find("first."), c.received.find("second."));
+	EXPECT_LT(c.received.find("second."), c.received.find("third."));
 	EXPECT_EQ(3, c.count("connection: keep-alive"));
-	EXPECT_EQ(3, s.gone);
-	EXPECT_FALSE(c.ended);
+	EXPECT_EQ(3, s.freed);
+	EXPECT_FALSE(c.closed);
 }
 
-TEST(Beside, ARequestThatIsNotRepeatableRunsAloneAndInOrder)
+TEST(Pipeline, ARequestThatIsNotRepeatableRunsAloneAndInOrder)
 {
 	Server s;
 	Caller c(s);
 
-	c.say(get("/1") + post("/2", "pay") + get("/3"));
-	s.turn();
+	c.send_text(get("/1") + post("/2", "pay") + get("/3"));
+	s.run_for();
 	ASSERT_EQ(1u, s.reqs.size());
-	s.answer(0, "first.");
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() >= 2; }));
-	EXPECT_EQ("POST /2 pay", s.seen[1]);
+	s.respond(0, "first.");
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() >= 2; }));
+	EXPECT_EQ("POST /2 pay", s.requests[1]);
 	/* The GET behind it may start: it can safely be sent again. */
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 3; }));
-	s.answer(2, "third.");
-	s.answer(1, "second.");
-	EXPECT_TRUE(c.gets(s, "third."));
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 3; }));
+	s.respond(2, "third.");
+	s.respond(1, "second.");
+	EXPECT_TRUE(c.receives_once(s, "third."));
 }
 
-TEST(Beside, NothingStartsBehindAResponseThatEndsTheConnection)
+TEST(Pipeline, NothingStartsBehindAResponseThatEndsTheConnection)
 {
 	Server s;
 	Caller c(s);
 
-	c.say(get("/1") + post("/2", "pay"));
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 1; }));
-	s.answer(0, "first.", false);
-	ASSERT_TRUE(c.ends(s));
+	c.send_text(get("/1") + post("/2", "pay"));
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 1; }));
+	s.respond(0, "first.", false);
+	ASSERT_TRUE(c.is_closed(s));
 	EXPECT_EQ(1u, s.reqs.size());
 	EXPECT_EQ(1, c.count("connection: close"));
 }
@@ -255,56 +256,56 @@
  * A request that runs already when an earlier response announces the end of the
  * connection is answered too; later ones are not started.
  */
-TEST(Beside, RunningRequestsBehindAClosingResponseAreAnsweredToo)
+TEST(Pipeline, RunningRequestsBehindAClosingResponseAreAnsweredToo)
 {
 	Server s;
 	Caller c(s);
 
-	c.say(get("/1") + get("/2"));
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 2; }));
-	s.answer(0, "first.", false);
-	s.turn();
-	c.say(get("/3"));
-	s.turn();
+	c.send_text(get("/1") + get("/2"));
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 2; }));
+	s.respond(0, "first.", false);
+	s.run_for();
+	c.send_text(get("/3"));
+	s.run_for();
 	EXPECT_EQ(2u, s.reqs.size());
-	s.answer(1, "second.");
-	ASSERT_TRUE(c.ends(s));
+	s.respond(1, "second.");
+	ASSERT_TRUE(c.is_closed(s));
 	EXPECT_EQ(1, c.count("connection: keep-alive"));
 	EXPECT_EQ(1, c.count("connection: close"));
 	EXPECT_EQ(1, c.count("second."));
 }
 
-TEST(Beside, ADisconnectEndsAllRequestsOfTheCallerAtOnce)
+TEST(Pipeline, ADisconnectEndsAllRequestsOfTheCallerAtOnce)
 {
 	Server s;
 	Caller c(s);
 
-	c.say(get("/1") + get("/2") + post("/3", "x"));
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 2; }));
-	s.answer(1, "second.");
+	c.send_text(get("/1") + get("/2") + post("/3", "x"));
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 2; }));
+	s.respond(1, "second.");
 	close(c.fd);
 	c.fd = -1;
-	EXPECT_TRUE(s.until([&] { return s.gone == 2; }, 200));
-	s.turn();
+	EXPECT_TRUE(s.run_until([&] { return s.freed == 2; }, 200));
+	s.run_for();
 	EXPECT_EQ(2u, s.reqs.size());
 }
 
-TEST(Beside, AMalformedHeadIsRefusedAfterEarlierResponses)
+TEST(Pipeline, AMalformedHeadIsRefusedAfterEarlierResponses)
 {
 	Server s;
 	Caller c(s);
 
-	c.say(get("/1") + "GET nothing of HTTP\r\n\r\n" + get("/3"));
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 1; }));
-	s.turn();
-	s.answer(0, "first.");
-	ASSERT_TRUE(c.ends(s));
+	c.send_text(get("/1") + "GET nothing of HTTP\r\n\r\n" + get("/3"));
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 1; }));
+	s.run_for();
+	s.respond(0, "first.");
+	ASSERT_TRUE(c.is_closed(s));
 	EXPECT_EQ(1u, s.reqs.size());
-	EXPECT_LT(c.got.find("first."), c.got.find("HTTP/1.1 400"));
+	EXPECT_LT(c.received.find("first."), c.received.find("HTTP/1.1 400"));
 	EXPECT_EQ(1, c.count("fern-ran: no"));
 }
 
-TEST(Beside, ConcurrentRequestsAreLimited)
+TEST(Pipeline, ConcurrentRequestsAreLimited)
 {
 	Server s;
 	Caller c(s);
@@ -312,34 +313,34 @@
 
 	for (int i = 0; i < 30; i++)
 		all += get("/" + std::to_string(i));
-	c.say(all);
-	s.turn();
+	c.send_text(all);
+	s.run_for();
 	EXPECT_GE(s.reqs.size(), 4u);
 	EXPECT_LE(s.reqs.size(), 8u);
 	for (size_t i = 0; i < 30; i++) {
-		ASSERT_TRUE(s.until([&] { return s.reqs.size() > i; }));
-		s.answer(i, "answer " + std::to_string(i) + ".");
-		s.turn(2);
+		ASSERT_TRUE(s.run_until([&] { return s.reqs.size() > i; }));
+		s.respond(i, "answer " + std::to_string(i) + ".");
+		s.run_for(2);
 		EXPECT_LE(s.reqs.size(), i + 9);
 	}
-	EXPECT_TRUE(c.gets(s, "answer 29."));
+	EXPECT_TRUE(c.receives_once(s, "answer 29."));
 }
 
 /*
  * The server bounds the bytes that it reads ahead while a request runs; the
  * rest stays in the network.
  */
-TEST(Beside, ReadingAheadIsBounded)
+TEST(Pipeline, ReadingAheadIsBounded)
 {
 	Server s(100 << 20);
 	Caller c(s);
 	std::string some(65536, 'x');
 	ssize_t n, sent = 0;
 
-	c.say(get("/1") +
+	c.send_text(get("/1") +
 	    "POST /2 HTTP/1.1\r\nHost: a\r\n"
 	    "Content-Length: 10\r\n\r\n0123456789");
-	s.turn();
+	s.run_for();
 	for (int i = 0; i < 2000; i++) {
 		n = write(c.fd, some.data(), some.size());
 		sent += std::max(n, static_cast<ssize_t>(0));
@@ -359,16 +360,16 @@
 	    post("/2", "body");
 
 	for (char byte : text) {
-		c.say(std::string(1, byte));
+		c.send_text(std::string(1, byte));
 		uv_run(&s.loop, UV_RUN_NOWAIT);
 	}
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 1; }));
-	EXPECT_EQ("POST /a?b=c abcdefg", s.seen[0]);
-	s.answer(0, "first.");
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 2; }));
-	EXPECT_EQ("POST /2 body", s.seen[1]);
-	s.answer(1, "second.");
-	EXPECT_TRUE(c.gets(s, "second."));
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 1; }));
+	EXPECT_EQ("POST /a?b=c abcdefg", s.requests[0]);
+	s.respond(0, "first.");
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 2; }));
+	EXPECT_EQ("POST /2 body", s.requests[1]);
+	s.respond(1, "second.");
+	EXPECT_TRUE(c.receives_once(s, "second."));
 }
 
 TEST(Conn, ContinueIsSentInOrderForExpect100)
@@ -376,19 +377,19 @@
 	Server s;
 	Caller c(s);
 
-	c.say(get("/1") +
+	c.send_text(get("/1") +
 	    "POST /2 HTTP/1.1\r\nHost: a\r\n"
 	    "Expect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 1; }));
-	s.turn();
-	c.read_on();
-	EXPECT_EQ("", c.got);
-	s.answer(0, "first.");
-	ASSERT_TRUE(c.gets(s, "100 Continue"));
-	EXPECT_LT(c.got.find("first."), c.got.find("100 Continue"));
-	c.say("ok");
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 2; }));
-	EXPECT_EQ("POST /2 ok", s.seen[1]);
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 1; }));
+	s.run_for();
+	c.read_available();
+	EXPECT_EQ("", c.received);
+	s.respond(0, "first.");
+	ASSERT_TRUE(c.receives_once(s, "100 Continue"));
+	EXPECT_LT(c.received.find("first."), c.received.find("100 Continue"));
+	c.send_text("ok");
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 2; }));
+	EXPECT_EQ("POST /2 ok", s.requests[1]);
 }
 
 TEST(Conn, TooLargeBodiesAreRefused)
@@ -398,11 +399,11 @@
 		Caller c(s);
 		std::string body(2000, 'x');
 
-		c.say(chunked ? "POST / HTTP/1.1\r\nHost: a\r\nTransfer-"
-				"Encoding: chunked\r\n\r\n7d0\r\n" +
+		c.send_text(chunked ? "POST / HTTP/1.1\r\nHost: a\r\nTransfer-"
+				      "Encoding: chunked\r\n\r\n7d0\r\n" +
 			    body
-			      : post("/", body));
-		ASSERT_TRUE(c.ends(s));
+				    : post("/", body));
+		ASSERT_TRUE(c.is_closed(s));
 		EXPECT_EQ(1, c.count("HTTP/1.1 413")) << chunked;
 		EXPECT_EQ(1, c.count("fern-ran: no"));
 		EXPECT_EQ(0u, s.reqs.size());
@@ -414,12 +415,12 @@
 	Server s;
 	Caller c(s);
 
-	c.say("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 1; }));
+	c.send_text("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 1; }));
 	s.reqs[0]->res.status = 200;
 	s.reqs[0]->res.reason = "OK";
 	h2o_send_inline(s.reqs[0], H2O_STRLIT("all of it"));
-	ASSERT_TRUE(c.ends(s));
+	ASSERT_TRUE(c.is_closed(s));
 	EXPECT_EQ(1, c.count("connection: close"));
 	EXPECT_EQ(1, c.count("\r\n\r\nall of it"));
 }
@@ -429,13 +430,13 @@
 	Server s;
 	Caller c(s);
 
-	c.say("GET http://b.example/x/y HTTP/1.1\r\nHost: a\r\n\r\n");
-	ASSERT_TRUE(s.until([&] { return s.reqs.size() == 1; }));
-	EXPECT_EQ("GET /x/y ", s.seen[0]);
+	c.send_text("GET http://b.example/x/y HTTP/1.1\r\nHost: a\r\n\r\n");
+	ASSERT_TRUE(s.run_until([&] { return s.reqs.size() == 1; }));
+	EXPECT_EQ("GET /x/y ", s.requests[0]);
 	EXPECT_EQ("b.example",
 	    std::string(s.reqs[0]->authority.base, s.reqs[0]->authority.len));
-	s.answer(0, "first.");
-	s.turn();
+	s.respond(0, "first.");
+	s.run_for();
 }
 
 TEST(Conn, ASlowHeadTimesOutThoughBytesKeepArriving)
@@ -445,12 +446,12 @@
 	std::string head = "GET / HTTP/1.1\r\nHost: a\r\nX-Slow: ";
 
 	hsrv_set_limits(s.srv, 1000, 150);
-	c.say(head);
-	EXPECT_TRUE(s.until(
+	c.send_text(head);
+	EXPECT_TRUE(s.run_until(
 	    [&] {
 		    send(c.fd, "x", 1, MSG_NOSIGNAL);
-		    c.read_on();
-		    return c.ended || send(c.fd, "x", 1, MSG_NOSIGNAL) < 0;
+		    c.read_available();
+		    return c.closed || send(c.fd, "x", 1, MSG_NOSIGNAL) < 0;
 	    },
 	    1500));
 	EXPECT_EQ(0u, s.reqs.size());
@@ -460,7 +461,7 @@
 {
 
 void
-go_on(h2o_generator_t *, h2o_req_t *)
+proceed(h2o_generator_t *, h2o_req_t *)
 {
 }
 
@@ -474,16 +475,16 @@
 {
 	/* Cut with the first bytes, after them, or after they were sent. */
 	for (int when : {0, 1, 2})
-		for (size_t more : {0, 1}) {
+		for (size_t extra : {0, 1}) {
 			Server s;
 			Caller c(s);
-			h2o_generator_t gen = {go_on, nullptr};
+			h2o_generator_t gen = {proceed, nullptr};
 			h2o_iovec_t first = h2o_iovec_init(H2O_STRLIT("first"));
 			h2o_iovec_t last = h2o_iovec_init(H2O_STRLIT("last"));
 
-			c.say(get("/a"));
+			c.send_text(get("/a"));
 			ASSERT_TRUE(
-			    s.until([&] { return s.reqs.size() == 1; }));
+			    s.run_until([&] { return s.reqs.size() == 1; }));
 			h2o_req_t *req = s.reqs[0];
 			req->res.status = 200;
 			req->res.reason = "OK";
@@ -493,18 +494,20 @@
 				h2o_send(
 				    req, &first, 1, H2O_SEND_STATE_IN_PROGRESS);
 			if (when > 1) {
-				ASSERT_TRUE(c.gets(s, "first\r\n"));
-				s.turn();
+				ASSERT_TRUE(c.receives_once(s, "first\r\n"));
+				s.run_for();
 			}
-			h2o_send(req, &last, more, H2O_SEND_STATE_ERROR);
-			ASSERT_TRUE(c.ends(s));
-			size_t at = c.got.find("\r\n\r\n");
-			std::string body =
-			    at == std::string::npos ? "" : c.got.substr(at + 4);
-			std::string good = "5\r\nfirst\r\n4\r\nlast\r\n";
+			h2o_send(req, &last, extra, H2O_SEND_STATE_ERROR);
+			ASSERT_TRUE(c.is_closed(s));
+			size_t at = c.received.find("\r\n\r\n");
+			std::string body = at == std::string::npos
+			    ? ""
+			    : c.received.substr(at + 4);
+			std::string whole = "5\r\nfirst\r\n4\r\nlast\r\n";
 			if (when == 0)
-				good = "4\r\nlast\r\n";
+				whole = "4\r\nlast\r\n";
 			/* A prefix of the body, and nothing else. */
-			EXPECT_EQ(0u, good.find(body)) << when << more << body;
+			EXPECT_EQ(0u, whole.find(body))
+			    << when << extra << body;
 		}
 }
--- a/regress/test_load.cpp
+++ b/regress/test_load.cpp
@@ -22,7 +22,7 @@
 namespace
 {
 
-struct Sum {
+struct Totals {
 	std::map<std::string, load::Count> kinds;
 	load::Count all;
 	int sent_evacuated = 0, worst_cold = 0, fell_over = 0;
@@ -41,11 +41,11 @@
 	}
 };
 
-Sum
+Totals
 replay(load::Setting (*setting)(uint64_t), const std::string &name)
 {
 	constexpr int SEEDS = 4;
-	Sum sum;
+	Totals sum;
 
 	for (auto &p : load::patterns()) {
 		if (p.name != name)
@@ -74,7 +74,7 @@
 /* Urgent requests are not refused in favour of less urgent ones. */
 TEST(Load, InASurgeTheUrgentAreServedFirst)
 {
-	Sum s = replay(load::three_kinds, "surge 3");
+	Totals s = replay(load::three_kinds, "surge 3");
 
 	EXPECT_LT(0.985, s.share("write", &load::Count::in_time));
 	EXPECT_GT(0.002, s.share("write", &load::Count::unserved));
@@ -86,17 +86,17 @@
 
 TEST(Load, InASurgeTheUrgentAreServedWithoutLoadReportsToo)
 {
-	Sum s = replay(load::three_kinds, "mute, surge 1.7");
+	Totals s = replay(load::three_kinds, "mute, surge 1.7");
 
 	EXPECT_LT(0.70, s.share("write", &load::Count::in_time));
 	EXPECT_GT(0.02, s.share("write", &load::Count::unserved));
 }
 
-/* Refused requests are told to retry at a time with free capacity. */
+/* Requests refused in a surge are retried and served once capacity is free. */
 TEST(Load, RequestsRefusedInASurgeAreServedLater)
 {
-	Sum three = replay(load::three_kinds, "surge 3");
-	Sum one = replay(load::one_kind, "surge 3");
+	Totals three = replay(load::three_kinds, "surge 3");
+	Totals one = replay(load::one_kind, "surge 3");
 
 	EXPECT_GT(0.02, three.unserved());
 	EXPECT_GT(0.125, one.unserved());
@@ -105,8 +105,8 @@
 
 TEST(Load, AfterALossOfAllBoxesCallersAreServedThoughLate)
 {
-	Sum three = replay(load::three_kinds, "dark");
-	Sum one = replay(load::one_kind, "dark");
+	Totals three = replay(load::three_kinds, "dark");
+	Totals one = replay(load::one_kind, "dark");
 
 	EXPECT_GT(0.01, three.unserved());
 	EXPECT_GT(0.04, one.unserved());
@@ -132,7 +132,7 @@
 
 	for (auto &c : cases)
 		for (auto setting : {load::one_kind, load::three_kinds}) {
-			Sum s = replay(setting, c.name);
+			Totals s = replay(setting, c.name);
 
 			EXPECT_EQ(0, s.sent_evacuated) << c.name;
 			EXPECT_GT(c.unserved, s.unserved()) << c.name;
@@ -145,7 +145,7 @@
  */
 TEST(Load, RequestsRefusedAtRandomAreRetriedInTime)
 {
-	Sum s = replay(load::two_slots, "half turned away at random");
+	Totals s = replay(load::two_slots, "half turned away at random");
 
 	EXPECT_LT(0.955, s.worth);
 	EXPECT_GT(0.022, static_cast<double>(s.all.late) / s.all.asked);
@@ -161,7 +161,7 @@
 	const char *name = "most turned away at random, with room";
 
 	for (auto setting : {load::three_kinds, load::one_kind}) {
-		Sum s = replay(setting, name);
+		Totals s = replay(setting, name);
 
 		EXPECT_GT(std::pow(0.55, 4) * 8500 / 14000, s.unserved());
 	}
@@ -174,14 +174,15 @@
  */
 TEST(Load, RequestsOfASilentHallAreServedElsewhere)
 {
-	Sum three =
+	Totals three =
 	    replay(load::three_kinds, "a hall's servers silent under load");
-	Sum one = replay(load::one_kind, "a hall's servers silent under load");
+	Totals one =
+	    replay(load::one_kind, "a hall's servers silent under load");
 
 	EXPECT_LT(0.965, three.worth);
 	EXPECT_LT(0.935, one.worth);
 	EXPECT_GT(0.01, three.unserved());
-	for (Sum *s : {&three, &one})
+	for (Totals *s : {&three, &one})
 		EXPECT_GT(400, s->all.refused_ms / std::max(s->all.refused, 1));
 }
 
@@ -197,7 +198,7 @@
 		 "replaced by cold ones that break off, bounded",
 		 "all dark, servers too, back cold, bounded"})
 		for (auto setting : {load::one_kind, load::three_kinds}) {
-			Sum s = replay(setting, name);
+			Totals s = replay(setting, name);
 
 			EXPECT_GE(11, s.worst_cold) << name;
 			EXPECT_LT(0, s.worst_cold) << name;
@@ -215,7 +216,7 @@
 		if (!p.tells)
 			continue;
 		for (auto setting : {load::one_kind, load::three_kinds}) {
-			Sum s = replay(setting, p.name);
+			Totals s = replay(setting, p.name);
 
 			EXPECT_LT(s.reference - p.far, s.worth) << p.name;
 		}
--- a/regress/test_paced.cpp
+++ b/regress/test_paced.cpp
@@ -34,18 +34,18 @@
 		for (int i = 0; i < 12 * n; i++) {
 			Req r;
 
-			answer(100);
-			aim(&r);
-			answer(100);
+			answer_load_queries(100);
+			submit(&r);
+			answer_load_queries(100);
 			now += 20 * NS_MS;
 			if (r.d.backend != nullptr)
-				done(&r, DISP_OK);
+				end_attempt(&r, DISP_OK);
 			now += NS_S;
 		}
-		asked.clear();
+		load_queries.clear();
 	}
 
-	Req *aim(Req *r, bool repeatable = true, int attempts = 2,
+	Req *submit(Req *r, bool repeatable = true, int attempts = 2,
 	    int64_t target_ms = 100)
 	{
 		r->d.target = now + target_ms * NS_MS;
@@ -55,14 +55,14 @@
 	}
 
 	/* Answers all open load queries with the given latency factor. */
-	void answer(int pace)
+	void answer_load_queries(int latency_percent)
 	{
 		std::vector<std::string> names;
 
-		names.swap(asked);
+		names.swap(load_queries);
 		for (auto &b : names)
-			disp_load_query_done(
-			    disp, str_n(b.data(), b.size()), true, 0, 0, pace);
+			disp_load_query_done(disp, str_n(b.data(), b.size()),
+			    true, 0, 0, latency_percent);
 	}
 };
 
@@ -73,18 +73,18 @@
 	Paced w(3);
 	Req r;
 
-	w.aim(&r);
+	w.submit(&r);
 	EXPECT_EQ(nullptr, r.d.backend);
-	EXPECT_EQ(3u, w.asked.size());
-	w.answer(500);
+	EXPECT_EQ(3u, w.load_queries.size());
+	w.answer_load_queries(500);
 	EXPECT_EQ(nullptr, r.d.backend);
 	w.now += 15 * NS_MS;
 	disp_tick(w.disp);
-	EXPECT_FALSE(w.asked.empty()); /* new load queries */
-	w.answer(100);
+	EXPECT_FALSE(w.load_queries.empty()); /* new load queries */
+	w.answer_load_queries(100);
 	ASSERT_NE(nullptr, r.d.backend);
 	w.now += 20 * NS_MS;
-	w.done(&r, DISP_OK);
+	w.end_attempt(&r, DISP_OK);
 
 	/*
 	 * If all servers stay slow, it starts while it can still meet its
@@ -92,22 +92,22 @@
 	 */
 	Req late;
 	int64_t began = w.now += NS_S;
-	w.aim(&late);
+	w.submit(&late);
 	while (late.d.backend == nullptr && w.now < began + NS_S) {
-		w.answer(500);
+		w.answer_load_queries(500);
 		w.now += 5 * NS_MS;
 		disp_tick(w.disp);
 	}
 	ASSERT_NE(nullptr, late.d.backend);
 	EXPECT_GT(w.now - began, 40 * NS_MS);
 	EXPECT_LT(w.now - began, 100 * NS_MS);
-	w.done(&late, DISP_OK);
+	w.end_attempt(&late, DISP_OK);
 }
 
 TEST(Paced, ASlowAttemptIsMovedIfAllowedAndInTime)
 {
 	Paced w(3);
-	Req r, pay;
+	Req r, not_repeatable;
 	struct pick_backend *first;
 
 	/*
@@ -117,30 +117,30 @@
 	for (int i = 0; i < 500; i++)
 		disp_load_query_done(w.disp, STR_LIT("b0"), true, 0, 0, 500);
 	w.now += NS_S;
-	w.aim(&r, true, 2, 80);
-	w.answer(100);
-	w.aim(&pay, false, 2, 80);
-	w.answer(100);
+	w.submit(&r, true, 2, 80);
+	w.answer_load_queries(100);
+	w.submit(&not_repeatable, false, 2, 80);
+	w.answer_load_queries(100);
 	ASSERT_NE(nullptr, r.d.backend);
-	ASSERT_NE(nullptr, pay.d.backend);
+	ASSERT_NE(nullptr, not_repeatable.d.backend);
 	first = r.d.backend;
 	w.now += 25 * NS_MS;
 	disp_tick(w.disp);
-	w.answer(100);
+	w.answer_load_queries(100);
 	EXPECT_EQ(first, r.d.backend); /* not overdue yet */
 	w.now += 16 * NS_MS;
 	disp_tick(w.disp);
-	w.answer(100);
+	w.answer_load_queries(100);
 	EXPECT_NE(first, r.d.backend);
 	EXPECT_EQ(2, r.sends);
-	EXPECT_EQ(1, pay.sends);
+	EXPECT_EQ(1, not_repeatable.sends);
 	/* Its rule allows two attempts. */
 	w.now += 50 * NS_MS;
 	disp_tick(w.disp);
-	w.answer(100);
+	w.answer_load_queries(100);
 	EXPECT_EQ(2, r.sends);
-	w.done(&r, DISP_OK);
-	w.done(&pay, DISP_OK);
+	w.end_attempt(&r, DISP_OK);
+	w.end_attempt(&not_repeatable, DISP_OK);
 }
 
 TEST(Paced, NoMoreAttemptsThanItsRuleAllows)
@@ -148,12 +148,12 @@
 	Paced w(4);
 	Req r;
 
-	w.aim(&r, true, 2);
-	w.answer(100);
-	EXPECT_TRUE(w.done(&r, DISP_REFUSED));
-	w.answer(100);
+	w.submit(&r, true, 2);
+	w.answer_load_queries(100);
+	EXPECT_TRUE(w.end_attempt(&r, DISP_REFUSED));
+	w.answer_load_queries(100);
 	ASSERT_NE(nullptr, r.d.backend);
-	EXPECT_FALSE(w.done(&r, DISP_REFUSED));
+	EXPECT_FALSE(w.end_attempt(&r, DISP_REFUSED));
 	EXPECT_EQ(2, r.sends);
 }
 
@@ -164,8 +164,8 @@
 	int refused = 0;
 
 	for (auto &q : r) {
-		w.aim(&q);
-		w.answer(100);
+		w.submit(&q);
+		w.answer_load_queries(100);
 		refused += q.kind == ERR_BUSY;
 	}
 	/* Three slots serve about 15 requests of 20 ms within 100 ms. */
@@ -176,7 +176,7 @@
 			disp_cancel(w.disp, &q.d);
 	for (auto &q : r)
 		if (q.d.backend != nullptr)
-			w.done(&q, DISP_CANCELED);
+			w.end_attempt(&q, DISP_CANCELED);
 }
 
 /*
@@ -186,34 +186,35 @@
 TEST(Paced, TheMoreUrgentRequestStartsFirst)
 {
 	Paced w(1);
-	std::vector<Req> full(3);
-	Req common, urgent;
+	std::vector<Req> running(3);
+	Req less_urgent, urgent;
 
-	for (auto &q : full) {
-		w.aim(&q);
-		w.answer(100);
+	for (auto &q : running) {
+		w.submit(&q);
+		w.answer_load_queries(100);
 	}
-	common.d.rank = 2;
+	less_urgent.d.rank = 2;
 	urgent.d.rank = 1;
-	w.aim(&common, true, 2, 90);
+	w.submit(&less_urgent, true, 2, 90);
 	urgent.d.target = w.now + 100 * NS_MS;
 	urgent.d.kind = 1;
 	w.arrive(&urgent, 2000);
-	w.answer(100);
-	ASSERT_TRUE(common.d.queued);
+	w.answer_load_queries(100);
+	ASSERT_TRUE(less_urgent.d.queued);
 	ASSERT_TRUE(urgent.d.queued);
 	w.now += 20 * NS_MS;
-	for (auto &q : full)
-		if (q.d.backend != nullptr && common.d.queued &&
+	for (auto &q : running)
+		if (q.d.backend != nullptr && less_urgent.d.queued &&
 		    urgent.d.queued) {
-			w.done(&q, DISP_OK);
-			w.answer(100);
+			w.end_attempt(&q, DISP_OK);
+			w.answer_load_queries(100);
 		}
 	EXPECT_NE(nullptr, urgent.d.backend);
-	EXPECT_EQ(nullptr, common.d.backend);
-	for (auto &q : {&full[0], &full[1], &full[2], &common, &urgent})
+	EXPECT_EQ(nullptr, less_urgent.d.backend);
+	for (auto &q :
+	    {&running[0], &running[1], &running[2], &less_urgent, &urgent})
 		if (q->d.backend != nullptr)
-			w.done(q, DISP_CANCELED);
+			w.end_attempt(q, DISP_CANCELED);
 		else if (q->d.queued)
 			disp_cancel(w.disp, &q->d);
 }
@@ -225,29 +226,29 @@
 TEST(Paced, ARequestThatExpiresBehindMoreUrgentOnesEndsInTime)
 {
 	Paced w(1);
-	std::vector<Req> full(3), urgent(2);
-	Req common;
+	std::vector<Req> running(3), urgent(2);
+	Req less_urgent;
 
-	for (auto &q : full) {
-		w.aim(&q);
-		w.answer(100);
+	for (auto &q : running) {
+		w.submit(&q);
+		w.answer_load_queries(100);
 	}
 	for (auto &q : urgent) {
 		q.d.rank = 1;
 		w.arrive(&q, 9000);
 	}
-	common.d.rank = 2;
-	w.arrive(&common, 400);
-	ASSERT_TRUE(common.d.queued);
+	less_urgent.d.rank = 2;
+	w.arrive(&less_urgent, 400);
+	ASSERT_TRUE(less_urgent.d.queued);
 	w.now += 400 * NS_MS;
 	disp_tick(w.disp);
-	EXPECT_EQ(ERR_DEADLINE, common.kind);
+	EXPECT_EQ(ERR_DEADLINE, less_urgent.kind);
 	EXPECT_TRUE(urgent[0].d.queued && urgent[1].d.queued);
 	for (auto &q : urgent)
 		disp_cancel(w.disp, &q.d);
-	for (auto &q : full)
+	for (auto &q : running)
 		if (q.d.backend != nullptr)
-			w.done(&q, DISP_CANCELED);
+			w.end_attempt(&q, DISP_CANCELED);
 }
 
 TEST(Paced, NoSlotIsLeftIdleWhileALateRequestWaits)
@@ -260,7 +261,7 @@
 	w.now += 95 * NS_MS; /* it can no longer meet its target */
 	w.arrive(&r, 300);
 	EXPECT_NE(nullptr, r.d.backend);
-	w.done(&r, DISP_OK);
+	w.end_attempt(&r, DISP_OK);
 }
 
 TEST(Paced, RequestsOfALostOwnerAreChargedOnce)
@@ -273,22 +274,22 @@
 		Req r;
 
 		r.d.attempt_count = 1;
-		w.aim(&r, true, 3);
-		w.answer(100);
+		w.submit(&r, true, 3);
+		w.answer_load_queries(100);
 		sent += r.d.backend != nullptr;
 		if (r.d.backend != nullptr)
-			w.done(&r, DISP_CANCELED);
+			w.end_attempt(&r, DISP_CANCELED);
 	}
 	EXPECT_GT(sent, 0);
 	EXPECT_LT(sent, 30);
 	/* A request that another owner moved here was charged there. */
-	Req paid;
-	paid.d.attempt_count = 1;
-	paid.d.budget_charged = true;
-	w.aim(&paid, true, 3);
-	w.answer(100);
-	EXPECT_NE(nullptr, paid.d.backend);
-	w.done(&paid, DISP_CANCELED);
+	Req charged;
+	charged.d.attempt_count = 1;
+	charged.d.budget_charged = true;
+	w.submit(&charged, true, 3);
+	w.answer_load_queries(100);
+	EXPECT_NE(nullptr, charged.d.backend);
+	w.end_attempt(&charged, DISP_CANCELED);
 }
 
 TEST(Paced, AServerThatReportsNoLoadIsQueriedOnce)
@@ -299,48 +300,48 @@
 	w.backends(2, 3);
 	r.d.target = w.now + 100 * NS_MS;
 	w.arrive(&r, 400);
-	EXPECT_EQ(2u, w.asked.size());
-	for (auto &b : std::vector<std::string>(w.asked))
+	EXPECT_EQ(2u, w.load_queries.size());
+	for (auto &b : std::vector<std::string>(w.load_queries))
 		disp_load_query_done(
 		    w.disp, str_n(b.data(), b.size()), true, 0, 0, 0);
 	EXPECT_NE(nullptr, r.d.backend);
-	w.asked.clear();
+	w.load_queries.clear();
 	w.now += NS_S;
 	next.d.target = w.now + 100 * NS_MS;
 	w.arrive(&next, 400);
-	EXPECT_TRUE(w.asked.empty());
+	EXPECT_TRUE(w.load_queries.empty());
 	EXPECT_NE(nullptr, next.d.backend);
-	w.done(&r, DISP_OK);
-	w.done(&next, DISP_OK);
+	w.end_attempt(&r, DISP_OK);
+	w.end_attempt(&next, DISP_OK);
 }
 
 TEST(Paced, AServerThatReportsNoLoadIsRatedByItsServiceTimes)
 {
 	World w("pace");
-	int there = 0;
+	int sent_to_slow = 0;
 
 	w.backends(2, 3);
 	for (int i = 0; i < 60; i++) {
 		Req r;
 
-		for (auto &b : std::vector<std::string>(w.asked))
+		for (auto &b : std::vector<std::string>(w.load_queries))
 			disp_load_query_done(
 			    w.disp, str_n(b.data(), b.size()), true, 0, 0, 0);
-		w.asked.clear();
+		w.load_queries.clear();
 		r.d.target = w.now + 300 * NS_MS;
 		r.d.kind = 1;
 		w.arrive(&r, 1000);
-		for (auto &b : std::vector<std::string>(w.asked))
+		for (auto &b : std::vector<std::string>(w.load_queries))
 			disp_load_query_done(
 			    w.disp, str_n(b.data(), b.size()), true, 0, 0, 0);
 		ASSERT_NE(nullptr, r.d.backend);
 		bool slow = str_eq(r.d.backend->name, STR_LIT("b0"));
 
-		there += slow && i >= 20;
+		sent_to_slow += slow && i >= 20;
 		w.now += (slow ? 80 : 20) * NS_MS;
-		w.done(&r, DISP_OK);
+		w.end_attempt(&r, DISP_OK);
 	}
-	EXPECT_LT(there, 8);
+	EXPECT_LT(sent_to_slow, 8);
 }
 
 /*
@@ -361,7 +362,7 @@
 	p.cold = {3.75, 4, 3 * NS_S};
 	disp_configure(w.disp, &p);
 	w.backends(2, 3);
-	EXPECT_EQ(2u, w.asked.size());
+	EXPECT_EQ(2u, w.load_queries.size());
 	for (auto &q : r) {
 		q.d.target = w.now - NS_MS;
 		q.d.kind = 1;
@@ -381,21 +382,21 @@
 	}
 	EXPECT_LT(0u, sent);
 	/* An unreachable server may have restarted cold: it is queried. */
-	w.asked.clear();
+	w.load_queries.clear();
 	w.now += 60 * NS_MS;
 	for (auto &q : r)
 		if (q.d.backend != nullptr) {
-			w.done(&q, DISP_CONNECT_FAILED);
+			w.end_attempt(&q, DISP_CONNECT_FAILED);
 			break;
 		}
 	disp_tick(w.disp);
-	EXPECT_EQ(std::vector<std::string>{"b0"}, w.asked);
+	EXPECT_EQ(std::vector<std::string>{"b0"}, w.load_queries);
 	for (auto &q : r)
 		if (q.d.queued)
 			disp_cancel(w.disp, &q.d);
 	for (auto &q : r)
 		if (q.d.backend != nullptr)
-			w.done(&q, DISP_CANCELED);
+			w.end_attempt(&q, DISP_CANCELED);
 }
 
 /*
@@ -407,8 +408,8 @@
 	const int n = 200;
 	World w("pace");
 	struct disp_params p = {};
-	std::set<std::string> all;
-	size_t most = 0, asked = 0;
+	std::set<std::string> queried;
+	size_t most_open = 0, queries_total = 0;
 
 	p.policy = pick_by_name(STR_LIT("pace"));
 	p.chart = w.chart;
@@ -416,43 +417,43 @@
 	disp_configure(w.disp, &p);
 	w.backends(n, 2);
 	/* At the start each reply allows the next query, without a tick. */
-	while (!w.asked.empty() && all.size() < n) {
-		most = std::max(most, w.asked.size());
-		std::string b = w.asked.front();
-		w.asked.erase(w.asked.begin());
-		all.insert(b);
+	while (!w.load_queries.empty() && queried.size() < n) {
+		most_open = std::max(most_open, w.load_queries.size());
+		std::string b = w.load_queries.front();
+		w.load_queries.erase(w.load_queries.begin());
+		queried.insert(b);
 		disp_cold_reported(w.disp, str_c(b.c_str()), 0);
 		disp_load_query_done(w.disp, str_c(b.c_str()), true, 0, 0, 100);
 	}
-	EXPECT_EQ(static_cast<size_t>(n), all.size());
-	EXPECT_GE(32u, most);
+	EXPECT_EQ(static_cast<size_t>(n), queried.size());
+	EXPECT_GE(32u, most_open);
 	/* For ten seconds no server answers. */
-	all.clear();
-	w.asked.clear();
+	queried.clear();
+	w.load_queries.clear();
 	for (int i = 0; i < n; i++)
 		for (int k = 0; k < 2; k++)
 			disp_load_query_done(w.disp,
 			    str_c(("b" + std::to_string(i)).c_str()), false, 0,
 			    0, 0);
-	most = w.asked.size();
+	most_open = w.load_queries.size();
 	for (int t = 0; t < 1000; t++) {
 		w.now += 10 * NS_MS;
 		disp_tick(w.disp);
-		most = std::max(most, w.asked.size());
+		most_open = std::max(most_open, w.load_queries.size());
 		if (t % 6 != 5)
 			continue;
-		std::vector<std::string> out;
-		out.swap(w.asked);
-		asked += out.size();
-		for (auto &b : out) {
-			all.insert(b);
+		std::vector<std::string> open;
+		open.swap(w.load_queries);
+		queries_total += open.size();
+		for (auto &b : open) {
+			queried.insert(b);
 			disp_load_query_done(
 			    w.disp, str_c(b.c_str()), false, 0, 0, 0);
 		}
 	}
-	EXPECT_EQ(static_cast<size_t>(n), all.size());
-	EXPECT_GE(32u, most);
-	EXPECT_GE(600u, asked / 10); /* a second */
+	EXPECT_EQ(static_cast<size_t>(n), queried.size());
+	EXPECT_GE(32u, most_open);
+	EXPECT_GE(600u, queries_total / 10); /* a second */
 }
 
 TEST(Paced, AServerThatDoesNotAnswerIsChosenLast)
@@ -460,16 +461,16 @@
 	Paced w(2);
 	Req r;
 
-	w.aim(&r);
-	ASSERT_EQ(2u, w.asked.size());
-	std::string silent = w.asked[0], good = w.asked[1];
+	w.submit(&r);
+	ASSERT_EQ(2u, w.load_queries.size());
+	std::string silent = w.load_queries[0], good = w.load_queries[1];
 	disp_load_query_done(
 	    w.disp, str_n(silent.data(), silent.size()), false, 0, 0, 0);
 	disp_load_query_done(
 	    w.disp, str_n(good.data(), good.size()), true, 0, 0, 100);
 	ASSERT_NE(nullptr, r.d.backend);
 	EXPECT_EQ(good, std::string(r.d.backend->name.p, r.d.backend->name.n));
-	w.done(&r, DISP_OK);
+	w.end_attempt(&r, DISP_OK);
 }
 
 /*
@@ -481,16 +482,16 @@
 	Paced w(1);
 	Req r[4];
 
-	w.aim(&r[0]);
-	w.answer(100);
+	w.submit(&r[0]);
+	w.answer_load_queries(100);
 	ASSERT_NE(nullptr, r[0].d.backend);
 	/* At 20 a second the next may start in 50 ms, another in 100. */
 	EXPECT_TRUE(
 	    disp_quota_reported(w.disp, r[0].d.backend, 20, r[0].d.sent_at));
 	w.now += 20 * NS_MS;
-	w.done(&r[0], DISP_OK);
-	w.aim(&r[1]);
-	w.aim(&r[2]);
+	w.end_attempt(&r[0], DISP_OK);
+	w.submit(&r[1]);
+	w.submit(&r[2]);
 	EXPECT_TRUE(r[1].d.queued);
 	EXPECT_TRUE(r[2].ended);
 	EXPECT_EQ(ERR_BUSY, r[2].kind);
@@ -499,13 +500,13 @@
 	EXPECT_TRUE(r[1].d.queued);
 	w.now += 10 * NS_MS;
 	disp_tick(w.disp);
-	w.answer(100);
+	w.answer_load_queries(100);
 	ASSERT_NE(nullptr, r[1].d.backend);
 	EXPECT_EQ(VIOLATION_NONE, r[1].d.violation);
 	w.now += 20 * NS_MS;
-	w.done(&r[1], DISP_OK);
+	w.end_attempt(&r[1], DISP_OK);
 	/* A lower limit makes a queued request late: it is refused. */
-	w.aim(&r[3], true, 2, 60);
+	w.submit(&r[3], true, 2, 60);
 	EXPECT_TRUE(r[3].d.queued);
 	EXPECT_TRUE(disp_quota_reported(
 	    w.disp, disp_find_backend(w.disp, STR_LIT("b0")), 2, 0));
@@ -527,17 +528,17 @@
 	for (const char *b : {"b0", "b1"})
 		EXPECT_TRUE(disp_pause_reported(
 		    w.disp, disp_find_backend(w.disp, str_c(b)), 50 * NS_MS));
-	w.aim(&r[0]);
+	w.submit(&r[0]);
 	EXPECT_TRUE(r[0].d.queued);
 	w.now += 45 * NS_MS;
 	disp_tick(w.disp);
 	EXPECT_TRUE(r[0].d.queued);
 	w.now += 10 * NS_MS;
 	disp_tick(w.disp);
-	w.answer(100);
+	w.answer_load_queries(100);
 	ASSERT_NE(nullptr, r[0].d.backend);
 	w.now += 20 * NS_MS;
-	w.done(&r[0], DISP_OK);
+	w.end_attempt(&r[0], DISP_OK);
 	/* A shorter pause does not cut a longer one that was reported. */
 	for (const char *b : {"b0", "b1"}) {
 		EXPECT_TRUE(disp_pause_reported(
@@ -546,18 +547,18 @@
 		    w.disp, disp_find_backend(w.disp, str_c(b)), 10 * NS_MS));
 	}
 	w.now += 20 * NS_MS;
-	w.aim(&r[1]);
+	w.submit(&r[1]);
 	EXPECT_TRUE(r[1].ended);
 	EXPECT_EQ(ERR_BUSY, r[1].kind);
 	/* No load queries in a pause; one server is enough to end it. */
-	EXPECT_TRUE(w.asked.empty());
+	EXPECT_TRUE(w.load_queries.empty());
 	w.now += 3 * NS_S;
 	EXPECT_TRUE(disp_pause_reported(
 	    w.disp, disp_find_backend(w.disp, STR_LIT("b0")), 3 * NS_S));
-	w.aim(&r[2]);
-	w.answer(100);
+	w.submit(&r[2]);
+	w.answer_load_queries(100);
 	ASSERT_NE(nullptr, r[2].d.backend);
 	EXPECT_TRUE(str_eq(r[2].d.backend->name, STR_LIT("b1")));
 	w.now += 20 * NS_MS;
-	w.done(&r[2], DISP_OK);
+	w.end_attempt(&r[2], DISP_OK);
 }
--- a/regress/test_platform.cpp
+++ b/regress/test_platform.cpp
@@ -131,8 +131,8 @@
 }
 
 std::string
-line(enum plat_op op, const char *kind, const char *name, uint64_t version,
-    const char *after = nullptr)
+request_line(enum plat_op op, const char *kind, const char *name,
+    uint64_t version, const char *after = nullptr)
 {
 	struct plat_exchange ex =
 	    encode(op, kind, name, version, nullptr, after);
@@ -308,12 +308,12 @@
 
 TEST(Platform, CallsOfTheStore)
 {
-	EXPECT_EQ(
-	    "GET /api/objects/servers", line(PLAT_LIST, "backend", nullptr, 0));
+	EXPECT_EQ("GET /api/objects/servers",
+	    request_line(PLAT_LIST, "backend", nullptr, 0));
 	EXPECT_EQ("GET /api/objects/servers?after=i-9",
-	    line(PLAT_LIST, "backend", nullptr, 0, "i-9"));
+	    request_line(PLAT_LIST, "backend", nullptr, 0, "i-9"));
 	EXPECT_EQ("GET /api/objects/config?watch=12&waitMs=20000",
-	    line(PLAT_WATCH, "bundle", nullptr, 12));
+	    request_line(PLAT_WATCH, "bundle", nullptr, 12));
 	struct plat_request stale = {};
 	struct plat_exchange first = {};
 	stale.op = PLAT_LIST;
@@ -323,13 +323,13 @@
 	EXPECT_STREQ("/api/objects/servers?allowStale=1&after=i-9", first.path);
 	g_free(first.path);
 	EXPECT_EQ("GET /api/objects/boxes?allowStale=1",
-	    line(PLAT_LIST_BOXES, nullptr, nullptr, 0));
-	EXPECT_EQ(
-	    "POST /api/objects/boxes", line(PLAT_CREATE, "status", "b1", 0));
-	EXPECT_EQ(
-	    "PUT /api/objects/boxes/b1", line(PLAT_UPDATE, "status", "b1", 3));
+	    request_line(PLAT_LIST_BOXES, nullptr, nullptr, 0));
+	EXPECT_EQ("POST /api/objects/boxes",
+	    request_line(PLAT_CREATE, "status", "b1", 0));
+	EXPECT_EQ("PUT /api/objects/boxes/b1",
+	    request_line(PLAT_UPDATE, "status", "b1", 3));
 	EXPECT_EQ("DELETE /api/objects/claims/k?rev=3",
-	    line(PLAT_DELETE, "claim", "k", 3));
+	    request_line(PLAT_DELETE, "claim", "k", 3));
 	Json value{std::string(R"({"spec":{"a":1},"change":"c"})")};
 	struct plat_exchange ex = encode(PLAT_UPDATE, "claim", "k", 3, value.v);
 	EXPECT_STREQ(R"({"metadata":{"name":"k","rev":3},)"
@@ -408,8 +408,8 @@
 	h2o_iovec_t load = {
 	    const_cast<char *>("fernjunction-backend-load"), 25};
 	h2o_header_t h = {};
-	struct dial_report w = {};
-	const struct dial_load &l = w.load;
+	struct dial_report report = {};
+	const struct dial_load &l = report.load;
 
 	h.name = &name;
 	h.value = h2o_iovec_init("1", 1);
@@ -420,20 +420,20 @@
 	EXPECT_FALSE(d->address_reassigned(503, &h, 1));
 	h.name = &load;
 	h.value = h2o_iovec_init("3,1,8,250", 9);
-	d->parse_report(200, &h, 1, &w);
-	ASSERT_TRUE(w.has_load);
+	d->parse_report(200, &h, 1, &report);
+	ASSERT_TRUE(report.has_load);
 	EXPECT_EQ(3, l.running);
 	EXPECT_EQ(1, l.waiting);
 	EXPECT_EQ(8, l.slots);
 	EXPECT_EQ(250, l.latency_percent);
 	h.value = h2o_iovec_init("3,0,8", 5);
-	d->parse_report(200, &h, 1, &w);
-	ASSERT_TRUE(w.has_load);
+	d->parse_report(200, &h, 1, &report);
+	ASSERT_TRUE(report.has_load);
 	EXPECT_EQ(100, l.latency_percent);
 	for (const char *bad : {"", "3,0", "3,0,0", "a,b,c", "3,0,8,0"}) {
 		h.value = h2o_iovec_init(bad, strlen(bad));
-		d->parse_report(200, &h, 1, &w);
-		EXPECT_FALSE(w.has_load) << bad;
+		d->parse_report(200, &h, 1, &report);
+		EXPECT_FALSE(report.has_load) << bad;
 	}
 }
 
@@ -443,7 +443,7 @@
 	const struct dialect *d = platform_form.dialect;
 	h2o_iovec_t name = {const_cast<char *>("server-limit"), 12};
 	h2o_header_t h = {};
-	struct dial_report w = {};
+	struct dial_report report = {};
 
 	h.name = &name;
 	struct {
@@ -453,22 +453,22 @@
 	    {"7.", 7}, {"0", DIAL_RATE_MIN}, {"0.0001", DIAL_RATE_MIN}};
 	for (auto &g : good) {
 		h.value = h2o_iovec_init(g.text, strlen(g.text));
-		d->parse_report(200, &h, 1, &w);
-		EXPECT_FALSE(w.malformed) << g.text;
-		EXPECT_DOUBLE_EQ(g.rate, w.rate_limit) << g.text;
+		d->parse_report(200, &h, 1, &report);
+		EXPECT_FALSE(report.malformed) << g.text;
+		EXPECT_DOUBLE_EQ(g.rate, report.rate_limit) << g.text;
 	}
 	const std::string digits(100, '9');
 	for (const char *bad :
 	    {"", " ", "-1", "+1", "nan", "inf", "1e308", "0x10", "1,5", "1.2.3",
 		".", "5/s", "Thu, 01 Jan 2026", digits.c_str()}) {
 		h.value = h2o_iovec_init(bad, strlen(bad));
-		d->parse_report(200, &h, 1, &w);
-		EXPECT_TRUE(w.malformed) << bad;
-		EXPECT_EQ(0, w.rate_limit) << bad;
+		d->parse_report(200, &h, 1, &report);
+		EXPECT_TRUE(report.malformed) << bad;
+		EXPECT_EQ(0, report.rate_limit) << bad;
 	}
-	d->parse_report(200, &h, 0, &w);
-	EXPECT_FALSE(w.malformed);
-	EXPECT_EQ(0, w.rate_limit);
+	d->parse_report(200, &h, 0, &report);
+	EXPECT_FALSE(report.malformed);
+	EXPECT_EQ(0, report.rate_limit);
 }
 
 /* The pause (Retry-After) that a backend server reports with a refusal. */
@@ -477,7 +477,7 @@
 	const struct dialect *d = platform_form.dialect;
 	h2o_iovec_t name = {const_cast<char *>("retry-after"), 11};
 	h2o_header_t h = {};
-	struct dial_report w = {};
+	struct dial_report report = {};
 
 	h.name = &name;
 	struct {
@@ -487,20 +487,20 @@
 	    {"31536000", DIAL_MS_MAX}, {"9999999999999999", DIAL_MS_MAX}};
 	for (auto &g : good) {
 		h.value = h2o_iovec_init(g.text, strlen(g.text));
-		d->parse_report(503, &h, 1, &w);
-		EXPECT_FALSE(w.malformed) << g.text;
-		EXPECT_EQ(g.ms, w.retry_after_ms) << g.text;
+		d->parse_report(503, &h, 1, &report);
+		EXPECT_FALSE(report.malformed) << g.text;
+		EXPECT_EQ(g.ms, report.retry_after_ms) << g.text;
 	}
 	const std::string digits(100, '9');
 	for (const char *bad : {"", "-1", "nan", "inf", "1e308", "3s", "3,5",
 		 digits.c_str(), "Thu, 01 Jan 2026 00:00:00 GMT"}) {
 		h.value = h2o_iovec_init(bad, strlen(bad));
-		d->parse_report(503, &h, 1, &w);
-		EXPECT_TRUE(w.malformed) << bad;
-		EXPECT_EQ(0, w.retry_after_ms) << bad;
+		d->parse_report(503, &h, 1, &report);
+		EXPECT_TRUE(report.malformed) << bad;
+		EXPECT_EQ(0, report.retry_after_ms) << bad;
 		/* With other statuses the header is ignored. */
-		d->parse_report(200, &h, 1, &w);
-		EXPECT_FALSE(w.malformed) << bad;
+		d->parse_report(200, &h, 1, &report);
+		EXPECT_FALSE(report.malformed) << bad;
 	}
 }
 
@@ -509,15 +509,15 @@
 	const struct dialect *d = platform_form.dialect;
 	h2o_iovec_t name = {const_cast<char *>("server-leaving"), 14};
 	h2o_header_t h = {};
-	struct dial_report w = {};
+	struct dial_report report = {};
 
 	h.name = &name;
 	h.value = h2o_iovec_init("1", 1);
 	for (int status : {200, 421, 500, 503}) {
-		d->parse_report(status, &h, 1, &w);
-		EXPECT_TRUE(w.leaving) << status;
-		d->parse_report(status, &h, 0, &w);
-		EXPECT_FALSE(w.leaving) << status;
+		d->parse_report(status, &h, 1, &report);
+		EXPECT_TRUE(report.leaving) << status;
+		d->parse_report(status, &h, 0, &report);
+		EXPECT_FALSE(report.leaving) << status;
 	}
 }
 
@@ -557,9 +557,9 @@
 	    R"({"duration_ms":12000,"state":"rolled-back","version":"v2"})",
 	    b.text());
 	EXPECT_EQ(a.text(), c.text());
-	Json ours(R"({"state":"completed","version":"v2"})");
+	Json written(R"({"state":"completed","version":"v2"})");
 	struct plat_exchange ex =
-	    encode(PLAT_UPDATE_STATUS, "rollout", "till", 7, ours.v);
+	    encode(PLAT_UPDATE_STATUS, "rollout", "till", 7, written.v);
 	EXPECT_STREQ("PUT", ex.method);
 	EXPECT_STREQ("/api/objects/rollouts/till/status", ex.path);
 	Json body(ex.body);
@@ -583,7 +583,7 @@
 	EXPECT_TRUE(f->has_feed(str_c(nullptr), "rollout"));
 }
 
-TEST(Pass, ForwardHeaderRoundTrip)
+TEST(Forward, ForwardHeaderRoundTrip)
 {
 	struct gate_forward in = {}, out = {};
 	char text[320];
@@ -648,13 +648,13 @@
 {
 	for (int k = ERR_NO_BACKEND; k <= ERR_ANSWER_LAST; k++) {
 		enum err_kind kind = static_cast<enum err_kind>(k);
-		int unsure = err_promise_status(kind, RAN_UNKNOWN);
+		int unknown_status = err_promise_status(kind, RAN_UNKNOWN);
 
 		/* These promise that a request has not run. */
-		EXPECT_NE(503, unsure) << k;
-		EXPECT_NE(429, unsure) << k;
-		EXPECT_NE(408, unsure) << k;
-		EXPECT_NE(421, unsure) << k;
+		EXPECT_NE(503, unknown_status) << k;
+		EXPECT_NE(429, unknown_status) << k;
+		EXPECT_NE(408, unknown_status) << k;
+		EXPECT_NE(421, unknown_status) << k;
 	}
 	EXPECT_EQ(503, err_promise_status(ERR_DEADLINE, RAN_NO));
 	EXPECT_EQ(504, err_promise_status(ERR_DEADLINE, RAN_UNKNOWN));
--- a/regress/test_poison.cpp
+++ b/regress/test_poison.cpp
@@ -26,7 +26,7 @@
 {
 
 /* One box's records of suspects; boxes may share a clock. */
-struct Memory {
+struct Records {
 	int64_t *now;
 	uint64_t seed;
 	struct clk clk;
@@ -35,61 +35,65 @@
 
 	static struct timespec mono(void *ctx)
 	{
-		int64_t t = *static_cast<Memory *>(ctx)->now;
+		int64_t t = *static_cast<Records *>(ctx)->now;
 
 		return {t / NS_S, t % NS_S};
 	}
 
 	static uint64_t next(void *ctx)
 	{
-		return rnd_split(&static_cast<Memory *>(ctx)->seed);
+		return rnd_split(&static_cast<Records *>(ctx)->seed);
 	}
 
-	Memory(int64_t *at, uint64_t with)
-	    : now(at), seed(with), clk{mono, mono, this}, rnd{next, this},
+	Records(int64_t *at, uint64_t seed_value)
+	    : now(at), seed(seed_value), clk{mono, mono, this}, rnd{next, this},
 	      p(poison_new(&clk, &rnd))
 	{
 	}
 
-	~Memory()
+	~Records()
 	{
 		poison_free(p);
 	}
 
 	/* Sends all records to another box; `delay` is added to their times. */
-	void tell(Memory *other, int64_t delay = 0)
+	void send_records(Records *other, int64_t delay = 0)
 	{
-		struct poison_record words[POISON_MSG_RECORDS_MAX];
-		unsigned n = poison_records(p, words);
+		struct poison_record list[POISON_MSG_RECORDS_MAX];
+		unsigned n = poison_records(p, list);
 
 		for (unsigned i = 0; i < n; i++) {
-			words[i].crashed_at += delay;
-			if (words[i].cleared_at != 0)
-				words[i].cleared_at += delay;
-			poison_merge(other->p, &words[i]);
+			list[i].crashed_at += delay;
+			if (list[i].cleared_at != 0)
+				list[i].cleared_at += delay;
+			poison_merge(other->p, &list[i]);
 		}
 	}
 };
 
-constexpr struct fprint BAD = {1, 2, 5}, OTHER = {3, 4, 5};
+constexpr struct fprint CRASHING = {1, 2, 5}, OTHER = {3, 4, 5};
 
 /*
  * A dispatcher with backend servers that crash under some requests, in virtual
  * time.  Servers that run answer load queries after a millisecond.
  */
 struct Servers : World {
-	Memory memory{&now, 7};
+	Records records{&now, 7};
 	std::multimap<int64_t, std::function<void()>> events;
-	std::map<std::string, int64_t> dead_until, full_until;
-	std::map<std::string, std::set<Req *>> there;
-	std::set<uint64_t> poison; /* `lo` of the fingerprints */
-	std::map<uint64_t, int> ends; /* crashes by fingerprint */
+	std::map<std::string, int64_t> down_until, full_until;
+	std::map<std::string, std::set<Req *>> running;
+	std::set<uint64_t> crashing; /* `lo` of the fingerprints */
+	std::map<uint64_t, int> crashes; /* crashes by fingerprint */
 	std::vector<std::unique_ptr<Req>> reqs;
-	int64_t work = 40 * NS_MS, back = 3 * NS_S;
-	size_t trials_beside = 0; /* requests that ran beside a trial */
-	/* Connections break but servers run on; they answer load queries. */
-	bool cuts_only = false, answers = true;
-	bool dark = false; /* a crash breaks no connection: requests time out */
+	int64_t work = 40 * NS_MS, restart_ns = 3 * NS_S;
+	size_t requests_beside_trials = 0;
+	/*
+	 * Instead of a crash only the request's connection breaks; whether the
+	 * servers answer load queries then.
+	 */
+	bool only_connections_break = false, answers_queries = true;
+	/* A crash breaks no connection: the requests time out. */
+	bool silent_crashes = false;
 
 	explicit Servers(int n) : World("pace")
 	{
@@ -101,12 +105,12 @@
 		prm.bulk_percent = 40;
 		prm.retry_percent = 20;
 		prm.retry_budget_max = 60;
-		prm.poison = memory.p;
+		prm.poison = records.p;
 		prm.hall = STR_LIT("north");
 		disp_configure(disp, &prm);
 		backends(n, 3);
 		on_send = [this](Req *r, struct pick_backend *b) {
-			sent(r, std::string(b->name.p, b->name.n));
+			start_attempt(r, std::string(b->name.p, b->name.n));
 		};
 	}
 
@@ -115,83 +119,86 @@
 		on_send = nullptr;
 	}
 
-	void in(int64_t ns, std::function<void()> fn)
+	void schedule(int64_t ns, std::function<void()> fn)
 	{
 		events.emplace(now + ns, std::move(fn));
 	}
 
-	void sent(Req *r, const std::string &b)
+	void start_attempt(Req *r, const std::string &b)
 	{
 		int sends = r->sends;
 
-		if (dead_until[b] > now) {
-			in(0,
-			    [=] { finish(r, sends, b, DISP_CONNECT_FAILED); });
+		if (down_until[b] > now) {
+			schedule(0, [=] {
+				finish_attempt(
+				    r, sends, b, DISP_CONNECT_FAILED);
+			});
 			return;
 		}
-		there[b].insert(r);
-		for (Req *other : there[b])
-			trials_beside +=
-			    other->d.in_trial && there[b].size() > 1;
-		in(work, [=] {
-			if (there[b].count(r) == 0 || r->sends != sends)
+		running[b].insert(r);
+		for (Req *other : running[b])
+			requests_beside_trials +=
+			    other->d.in_trial && running[b].size() > 1;
+		schedule(work, [=] {
+			if (running[b].count(r) == 0 || r->sends != sends)
 				return;
-			if (poison.count(r->d.fingerprint.lo) != 0)
-				end(r, b);
+			if (crashing.count(r->d.fingerprint.lo) != 0)
+				crash(r, b);
 			else
-				finish(r, sends, b, DISP_OK);
+				finish_attempt(r, sends, b, DISP_OK);
 		});
 	}
 
-	void finish(
+	void finish_attempt(
 	    Req *r, int sends, const std::string &b, enum disp_outcome outcome)
 	{
-		there[b].erase(r);
+		running[b].erase(r);
 		if (r->d.backend != nullptr && r->sends == sends)
-			done(r, outcome);
+			end_attempt(r, outcome);
 	}
 
 	/* The backend server crashes; all of its requests break off. */
-	void end(Req *r, const std::string &b)
+	void crash(Req *r, const std::string &b)
 	{
-		std::set<Req *> cut;
+		std::set<Req *> broken;
 
-		ends[r->d.fingerprint.lo]++;
+		crashes[r->d.fingerprint.lo]++;
 		full_until[b] = now + 3 * NS_MS;
-		if (cuts_only)
-			cut.insert(r);
+		if (only_connections_break)
+			broken.insert(r);
 		else
-			cut.swap(there[b]);
-		if (!cuts_only)
-			dead_until[b] = now + back;
-		for (Req *one : cut)
-			if (!dark)
-				finish(one, one->sends, b, DISP_CONN_BROKEN);
+			broken.swap(running[b]);
+		if (!only_connections_break)
+			down_until[b] = now + restart_ns;
+		for (Req *one : broken)
+			if (!silent_crashes)
+				finish_attempt(
+				    one, one->sends, b, DISP_CONN_BROKEN);
 			else
-				in(one->d.deadline - now,
+				schedule(one->d.deadline - now,
 				    [=, sends = one->sends] {
-					    finish(
+					    finish_attempt(
 						one, sends, b, DISP_TIMED_OUT);
 				    });
 	}
 
-	void answer_questions()
+	void answer_load_queries()
 	{
 		std::vector<std::string> names;
 
-		names.swap(asked);
+		names.swap(load_queries);
 		for (auto &b : names)
-			in(NS_MS, [this, b] {
-				bool lives = dead_until[b] <= now;
+			schedule(NS_MS, [this, b] {
+				bool is_running = down_until[b] <= now;
 
-				if (lives)
+				if (is_running)
 					disp_load_query_connected(
 					    disp, str_n(b.data(), b.size()));
-				lives =
-				    lives && (answers || full_until[b] <= now);
+				is_running = is_running &&
+				    (answers_queries || full_until[b] <= now);
 				disp_load_query_done(disp,
-				    str_n(b.data(), b.size()), lives, 0, 0,
-				    lives ? 100 : 0);
+				    str_n(b.data(), b.size()), is_running, 0, 0,
+				    is_running ? 100 : 0);
 			});
 	}
 
@@ -200,27 +207,27 @@
 		int64_t to = now + ns;
 
 		while (now < to) {
-			answer_questions();
+			answer_load_queries();
 			while (
 			    !events.empty() && events.begin()->first <= now) {
 				auto fn = std::move(events.begin()->second);
 
 				events.erase(events.begin());
 				fn();
-				answer_questions();
+				answer_load_queries();
 			}
 			disp_tick(disp);
 			now += NS_MS;
 		}
 	}
 
-	Req *send(struct fprint print, int attempts = 2)
+	Req *send(struct fprint fingerprint, int attempts = 2)
 	{
 		reqs.push_back(std::make_unique<Req>());
 		Req *r = reqs.back().get();
 
 		r->id = static_cast<int>(reqs.size());
-		r->d.fingerprint = print;
+		r->d.fingerprint = fingerprint;
 		r->d.kind = 1;
 		r->d.max_attempts = attempts;
 		r->d.target = now + 300 * NS_MS;
@@ -229,24 +236,25 @@
 	}
 
 	/* Counts the requests with a fingerprint that ended with `kind`. */
-	size_t ended_as(struct fprint print, enum err_kind kind)
+	size_t ended_as(struct fprint fingerprint, enum err_kind kind)
 	{
 		size_t n = 0;
 
 		for (auto &r : reqs)
-			n += fprint_eq(r->d.fingerprint, print) && r->ended &&
-			    r->kind == kind;
+			n += fprint_eq(r->d.fingerprint, fingerprint) &&
+			    r->ended && r->kind == kind;
 		return n;
 	}
 
 	/* Counts the requests with a fingerprint that got no response. */
-	size_t unserved(struct fprint print)
+	size_t unserved(struct fprint fingerprint)
 	{
 		size_t n = 0;
 
 		for (auto &r : reqs)
-			n += fprint_eq(r->d.fingerprint, print) &&
-			    (r->kind != ERR_NONE || r->maybe_runs == r->sends);
+			n += fprint_eq(r->d.fingerprint, fingerprint) &&
+			    (r->kind != ERR_NONE ||
+				r->possible_runs == r->sends);
 		return n;
 	}
 };
@@ -256,21 +264,21 @@
  * on is not suspected.  A full server may break off the load query as well.
  */
 void
-expect_no_blame(bool answers)
+expect_no_suspect(bool answers_queries)
 {
 	Servers w(5);
 
-	w.poison = {BAD.lo};
-	w.cuts_only = true;
-	w.answers = answers;
+	w.crashing = {CRASHING.lo};
+	w.only_connections_break = true;
+	w.answers_queries = answers_queries;
 	w.run(NS_S);
 	for (int i = 0; i < 15; i++) {
-		w.send(BAD);
+		w.send(CRASHING);
 		w.run(200 * NS_MS);
 	}
-	EXPECT_EQ(30, w.ends[BAD.lo]);
-	EXPECT_EQ(POISON_NONE, poison_status_of(w.memory.p, BAD));
-	EXPECT_EQ(0u, w.ended_as(BAD, ERR_POISON));
+	EXPECT_EQ(30, w.crashes[CRASHING.lo]);
+	EXPECT_EQ(POISON_NONE, poison_status_of(w.records.p, CRASHING));
+	EXPECT_EQ(0u, w.ended_as(CRASHING, ERR_POISON));
 }
 
 } // namespace
@@ -278,20 +286,20 @@
 TEST(Poison, ACrashMakesASuspectAndTwoTrialsProveIt)
 {
 	int64_t now = NS_S;
-	Memory m(&now, 1);
+	Records m(&now, 1);
 
-	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, CRASHING));
 	for (int i = 0; i < 5; i++)
-		poison_record_crash(m.p, BAD, false);
-	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
+		poison_record_crash(m.p, CRASHING, false);
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, CRASHING));
 	EXPECT_FALSE(poison_has_unsent_trial(m.p));
-	poison_record_crash(m.p, BAD, true);
-	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
+	poison_record_crash(m.p, CRASHING, true);
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, CRASHING));
 	EXPECT_TRUE(poison_has_unsent_trial(m.p));
-	poison_record_crash(m.p, BAD, true);
-	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
+	poison_record_crash(m.p, CRASHING, true);
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, CRASHING));
 	EXPECT_EQ(1u, poison_count_proved(m.p));
-	EXPECT_EQ(now + POISON_HOLD_NS, poison_retry_at(m.p, BAD));
+	EXPECT_EQ(now + POISON_HOLD_NS, poison_retry_at(m.p, CRASHING));
 	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, OTHER));
 	/* A request without a fingerprint is never a suspect. */
 	poison_record_crash(m.p, {}, true);
@@ -301,40 +309,40 @@
 TEST(Poison, AResponseClearsASuspect)
 {
 	int64_t now = NS_S;
-	Memory m(&now, 1);
+	Records m(&now, 1);
 
-	poison_record_crash(m.p, BAD, true);
+	poison_record_crash(m.p, CRASHING, true);
 	now += NS_S;
-	poison_record_success(m.p, BAD);
-	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, BAD));
+	poison_record_success(m.p, CRASHING);
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, CRASHING));
 	/* The crash before the response does not count any more. */
 	now += NS_S;
-	poison_record_crash(m.p, BAD, true);
-	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
+	poison_record_crash(m.p, CRASHING, true);
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, CRASHING));
 }
 
 TEST(Poison, AProvedOneExpiresAndOneMoreTrialDecides)
 {
 	int64_t now = NS_S;
-	Memory m(&now, 1);
+	Records m(&now, 1);
 
 	poison_record_crash(m.p, OTHER, false);
-	poison_record_crash(m.p, BAD, true);
-	poison_record_crash(m.p, BAD, true);
+	poison_record_crash(m.p, CRASHING, true);
+	poison_record_crash(m.p, CRASHING, true);
 	now += POISON_HOLD_NS - 1;
 	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, OTHER));
-	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, CRASHING));
 	now++;
 	poison_expire(m.p);
 	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, OTHER));
-	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
-	poison_record_crash(m.p, BAD, true);
-	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, CRASHING));
+	poison_record_crash(m.p, CRASHING, true);
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, CRASHING));
 	now += 2 * POISON_HOLD_NS;
-	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, CRASHING));
 	poison_expire(m.p);
-	struct poison_record words[POISON_MSG_RECORDS_MAX];
-	EXPECT_EQ(0u, poison_records(m.p, words));
+	struct poison_record list[POISON_MSG_RECORDS_MAX];
+	EXPECT_EQ(0u, poison_records(m.p, list));
 }
 
 /*
@@ -344,14 +352,14 @@
 TEST(Poison, TrialsOfTwoCallersProveItForAllCallers)
 {
 	int64_t now = NS_S;
-	Memory m(&now, 1);
+	Records m(&now, 1);
 	const struct fprint second = {1, 2, 6}, third = {1, 2, 7};
 
-	poison_record_crash(m.p, BAD, false);
+	poison_record_crash(m.p, CRASHING, false);
 	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, second));
-	poison_record_crash(m.p, BAD, true);
-	poison_record_crash(m.p, BAD, true);
-	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
+	poison_record_crash(m.p, CRASHING, true);
+	poison_record_crash(m.p, CRASHING, true);
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, CRASHING));
 	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, second));
 	poison_record_crash(m.p, second, true);
 	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, second));
@@ -366,53 +374,53 @@
 TEST(Poison, ACallerThatWasServedIsNotRefusedForOthers)
 {
 	int64_t now = NS_S;
-	Memory m(&now, 1), other(&now, 2);
+	Records m(&now, 1), other(&now, 2);
 	const struct fprint served = {1, 2, 6};
 
-	poison_record_crash(m.p, BAD, true);
+	poison_record_crash(m.p, CRASHING, true);
 	now += NS_S;
 	poison_record_success(m.p, served);
 	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, served));
-	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, BAD));
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, CRASHING));
 	now += NS_S;
-	poison_record_crash(m.p, BAD, true);
-	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
+	poison_record_crash(m.p, CRASHING, true);
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, CRASHING));
 	/* After that crash it needs a trial again, but is not refused. */
 	now += NS_S;
 	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, served));
 	poison_record_success(m.p, served);
 	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, served));
 	/* Another box receives both records. */
-	m.tell(&other);
+	m.send_records(&other);
 	EXPECT_EQ(POISON_NONE, poison_status_of(other.p, served));
-	EXPECT_EQ(POISON_PROVED, poison_status_of(other.p, BAD));
+	EXPECT_EQ(POISON_PROVED, poison_status_of(other.p, CRASHING));
 }
 
 /* Records merged in any order, each of them twice, give the same status. */
 TEST(Poison, RecordsMayBeMergedInAnyOrder)
 {
 	int64_t now = NS_S;
-	std::vector<struct poison_record> words;
+	std::vector<struct poison_record> list;
 	struct poison_record all[POISON_MSG_RECORDS_MAX];
 
 	for (uint64_t box = 1; box <= 3; box++) {
-		Memory m(&now, box);
+		Records m(&now, box);
 
 		now += NS_S;
-		poison_record_crash(m.p, BAD, box > 1);
+		poison_record_crash(m.p, CRASHING, box > 1);
 		if (box == 1)
-			poison_record_success(m.p, BAD);
+			poison_record_success(m.p, CRASHING);
 		ASSERT_EQ(1u, poison_records(m.p, all));
-		words.push_back(all[0]);
-		words.push_back(all[0]);
+		list.push_back(all[0]);
+		list.push_back(all[0]);
 	}
 	std::vector<size_t> order = {0, 1, 2, 3, 4, 5};
 	do {
-		Memory m(&now, 9);
+		Records m(&now, 9);
 
 		for (size_t i : order)
-			poison_merge(m.p, &words[i]);
-		EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
+			poison_merge(m.p, &list[i]);
+		EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, CRASHING));
 	} while (std::next_permutation(order.begin(), order.end()));
 }
 
@@ -420,17 +428,17 @@
 TEST(Poison, AnOldRecordDoesNotUndoAResponse)
 {
 	int64_t now = NS_S;
-	Memory a(&now, 1), b(&now, 2);
+	Records a(&now, 1), b(&now, 2);
 
-	poison_record_crash(a.p, BAD, true);
-	a.tell(&b);
-	EXPECT_EQ(POISON_SUSPECT, poison_status_of(b.p, BAD));
+	poison_record_crash(a.p, CRASHING, true);
+	a.send_records(&b);
+	EXPECT_EQ(POISON_SUSPECT, poison_status_of(b.p, CRASHING));
 	now += NS_S;
-	poison_record_success(b.p, BAD);
-	a.tell(&b);
-	EXPECT_EQ(POISON_NONE, poison_status_of(b.p, BAD));
-	b.tell(&a);
-	EXPECT_EQ(POISON_NONE, poison_status_of(a.p, BAD));
+	poison_record_success(b.p, CRASHING);
+	a.send_records(&b);
+	EXPECT_EQ(POISON_NONE, poison_status_of(b.p, CRASHING));
+	b.send_records(&a);
+	EXPECT_EQ(POISON_NONE, poison_status_of(a.p, CRASHING));
 }
 
 /*
@@ -440,16 +448,16 @@
 TEST(Poison, RecordsSentToAndFroExpire)
 {
 	int64_t now = NS_S;
-	Memory a(&now, 1), b(&now, 2);
+	Records a(&now, 1), b(&now, 2);
 
-	poison_record_crash(a.p, BAD, false);
+	poison_record_crash(a.p, CRASHING, false);
 	for (int i = 0; i < 1210; i++) {
-		a.tell(&b, 5 * NS_MS);
-		b.tell(&a, 5 * NS_MS);
+		a.send_records(&b, 5 * NS_MS);
+		b.send_records(&a, 5 * NS_MS);
 		now += 500 * NS_MS;
 	}
-	EXPECT_EQ(POISON_NONE, poison_status_of(a.p, BAD));
-	EXPECT_EQ(POISON_NONE, poison_status_of(b.p, BAD));
+	EXPECT_EQ(POISON_NONE, poison_status_of(a.p, CRASHING));
+	EXPECT_EQ(POISON_NONE, poison_status_of(b.p, CRASHING));
 }
 
 /*
@@ -459,34 +467,34 @@
 TEST(Poison, RecordsKeptAndSentAreBounded)
 {
 	int64_t now = NS_S;
-	Memory m(&now, 1);
-	struct poison_record words[POISON_MSG_RECORDS_MAX];
+	Records m(&now, 1);
+	struct poison_record list[POISON_MSG_RECORDS_MAX];
 
-	poison_record_crash(m.p, BAD, true);
-	poison_record_crash(m.p, BAD, true);
+	poison_record_crash(m.p, CRASHING, true);
+	poison_record_crash(m.p, CRASHING, true);
 	for (uint64_t i = 10; i < 10000; i++) {
 		now += NS_MS;
 		poison_record_crash(m.p, {i, i, 0}, false);
 	}
-	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, BAD));
+	EXPECT_EQ(POISON_PROVED, poison_status_of(m.p, CRASHING));
 	EXPECT_EQ(POISON_SUSPECT, poison_status_of(m.p, {9999, 9999, 0}));
 	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, {10, 10, 0}));
 	EXPECT_EQ(static_cast<unsigned>(POISON_MSG_RECORDS_MAX),
-	    poison_records(m.p, words));
-	EXPECT_TRUE(fprint_eq(BAD, words[0].fingerprint));
+	    poison_records(m.p, list));
+	EXPECT_TRUE(fprint_eq(CRASHING, list[0].fingerprint));
 }
 
 /* Records with a time in the future or no fingerprint are ignored. */
 TEST(Poison, InvalidRecordsAreIgnored)
 {
 	int64_t now = NS_S;
-	Memory m(&now, 1);
-	struct poison_record word = {BAD, {5, 6}, now + NS_S, 0};
+	Records m(&now, 1);
+	struct poison_record record = {CRASHING, {5, 6}, now + NS_S, 0};
 
-	poison_merge(m.p, &word);
-	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, BAD));
-	word = {{}, {5, 6}, now, 0};
-	poison_merge(m.p, &word);
+	poison_merge(m.p, &record);
+	EXPECT_EQ(POISON_NONE, poison_status_of(m.p, CRASHING));
+	record = {{}, {5, 6}, now, 0};
+	poison_merge(m.p, &record);
 	EXPECT_EQ(0u, poison_count_proved(m.p));
 }
 
@@ -494,15 +502,15 @@
 {
 	Servers w(7);
 
-	w.poison = {BAD.lo};
+	w.crashing = {CRASHING.lo};
 	w.run(NS_S);
 	for (int i = 0; i < 10; i++) {
-		w.send(BAD);
+		w.send(CRASHING);
 		w.run(300 * NS_MS);
 	}
-	EXPECT_EQ(3, w.ends[BAD.lo]);
-	EXPECT_EQ(9u, w.ended_as(BAD, ERR_POISON));
-	Req *r = w.send(BAD);
+	EXPECT_EQ(3, w.crashes[CRASHING.lo]);
+	EXPECT_EQ(9u, w.ended_as(CRASHING, ERR_POISON));
+	Req *r = w.send(CRASHING);
 	EXPECT_TRUE(r->ended);
 	EXPECT_EQ(ERR_POISON, r->kind);
 	EXPECT_EQ(0, r->sends);
@@ -513,18 +521,18 @@
 {
 	Servers w(7);
 
-	w.poison = {BAD.lo};
+	w.crashing = {CRASHING.lo};
 	for (int i = 0; i < 6; i++) {
 		w.reqs.push_back(std::make_unique<Req>());
 		Req *r = w.reqs.back().get();
 
-		r->d.fingerprint = BAD;
+		r->d.fingerprint = CRASHING;
 		r->d.target = w.now + 300 * NS_MS;
 		w.arrive(r, 800, CLASS_INTERACTIVE, false);
 		w.run(300 * NS_MS);
 		EXPECT_GE(1, r->sends);
 	}
-	EXPECT_EQ(3, w.ends[BAD.lo]);
+	EXPECT_EQ(3, w.crashes[CRASHING.lo]);
 }
 
 /* The bound of three crashes holds if each copy has another caller. */
@@ -532,13 +540,13 @@
 {
 	Servers w(7);
 
-	w.poison = {BAD.lo};
+	w.crashing = {CRASHING.lo};
 	w.run(NS_S);
 	for (uint64_t caller = 1; caller <= 10; caller++) {
-		w.send({BAD.hi, BAD.lo, caller});
+		w.send({CRASHING.hi, CRASHING.lo, caller});
 		w.run(300 * NS_MS);
 	}
-	EXPECT_EQ(3, w.ends[BAD.lo]);
+	EXPECT_EQ(3, w.crashes[CRASHING.lo]);
 }
 
 /*
@@ -549,15 +557,15 @@
 {
 	Servers w(7);
 
-	w.poison = {BAD.lo};
-	w.dark = true;
+	w.crashing = {CRASHING.lo};
+	w.silent_crashes = true;
 	w.run(NS_S);
 	for (int i = 0; i < 12; i++) {
-		w.send(BAD);
+		w.send(CRASHING);
 		w.run(NS_S);
 	}
-	EXPECT_GE(3, w.ends[BAD.lo]);
-	EXPECT_LE(8u, w.ended_as(BAD, ERR_POISON));
+	EXPECT_GE(3, w.crashes[CRASHING.lo]);
+	EXPECT_LE(8u, w.ended_as(CRASHING, ERR_POISON));
 }
 
 /* Copies that arrive at once must not each crash a backend server. */
@@ -565,18 +573,18 @@
 {
 	Servers w(12);
 
-	w.poison = {BAD.lo};
+	w.crashing = {CRASHING.lo};
 	w.run(NS_S);
-	w.send(BAD);
+	w.send(CRASHING);
 	w.run(10 * NS_MS);
 	for (int i = 0; i < 40; i++) {
-		w.send(BAD);
+		w.send(CRASHING);
 		w.run(10 * NS_MS);
 	}
 	w.run(NS_S);
 	/* Five were in flight before the first crash was seen; two trials. */
-	EXPECT_EQ(7, w.ends[BAD.lo]);
-	EXPECT_EQ(0u, w.trials_beside);
+	EXPECT_EQ(7, w.crashes[CRASHING.lo]);
+	EXPECT_EQ(0u, w.requests_beside_trials);
 }
 
 /*
@@ -592,7 +600,7 @@
 	w.run(NS_S);
 	for (int i = 0; i < 400; i++) {
 		if (i % 20 == 0) {
-			w.poison.insert(++next);
+			w.crashing.insert(++next);
 			w.send({next, next, 0});
 		}
 		w.send(OTHER);
@@ -603,18 +611,18 @@
 	EXPECT_EQ(0u, w.ended_as(OTHER, ERR_POISON));
 	for (auto &r : w.reqs)
 		EXPECT_TRUE(r->kind != ERR_POISON ||
-		    w.poison.count(r->d.fingerprint.lo) != 0);
-	EXPECT_EQ(0u, w.trials_beside);
+		    w.crashing.count(r->d.fingerprint.lo) != 0);
+	EXPECT_EQ(0u, w.requests_beside_trials);
 	/* Each crashed at most two servers, as its rule allows two attempts. */
-	for (uint64_t bad : w.poison)
-		EXPECT_GE(2, w.ends[bad]);
+	for (uint64_t bad : w.crashing)
+		EXPECT_GE(2, w.crashes[bad]);
 }
 
 /* A broken connection to a backend server that runs makes no suspect. */
 TEST(Trial, ABrokenConnectionMakesNoSuspect)
 {
-	for (bool answers : {true, false})
-		expect_no_blame(answers);
+	for (bool answers_queries : {true, false})
+		expect_no_suspect(answers_queries);
 }
 
 /*
@@ -632,12 +640,13 @@
 	w.run(20 * NS_MS);
 	for (int b = 0; b < 6; b++) {
 		std::string name = "b" + std::to_string(b);
-		std::set<Req *> cut;
+		std::set<Req *> broken;
 
-		cut.swap(w.there[name]);
-		w.dead_until[name] = w.now + 3 * NS_S;
-		for (Req *one : cut)
-			w.finish(one, one->sends, name, DISP_CONN_BROKEN);
+		broken.swap(w.running[name]);
+		w.down_until[name] = w.now + 3 * NS_S;
+		for (Req *one : broken)
+			w.finish_attempt(
+			    one, one->sends, name, DISP_CONN_BROKEN);
 	}
 	for (int i = 0; i < 40; i++) {
 		w.send({2, static_cast<uint64_t>(2000 + i), 0});
@@ -647,46 +656,46 @@
 	for (auto &r : w.reqs)
 		late += r->kind != ERR_NONE;
 	EXPECT_EQ(0u, late);
-	EXPECT_EQ(0u, w.trials_beside);
+	EXPECT_EQ(0u, w.requests_beside_trials);
 }
 
 /* All halls forward a suspect to the same hall for its trial. */
 TEST(Trial, OneHallTriesASuspect)
 {
-	int passed = 0, tried = 0;
+	int forwarded = 0, trials = 0;
 
 	for (uint64_t i = 1; i <= 40; i++) {
-		struct fprint print = {i, i * 977, 0};
+		struct fprint fingerprint = {i, i * 977, 0};
 		std::string to[2];
 		const char *halls[] = {"north", "south"};
 
 		for (int at = 0; at < 2; at++) {
 			Servers w(3);
 			struct disp_params prm = {};
-			struct disp_capacity room = {9, 9, 0};
+			struct disp_capacity capacity = {9, 9, 0};
 			std::string other = halls[1 - at];
 
 			prm.policy = pick_by_name(STR_LIT("pace"));
 			prm.chart = w.chart;
-			prm.poison = w.memory.p;
+			prm.poison = w.records.p;
 			prm.hall = str_c(halls[at]);
 			disp_configure(w.disp, &prm);
 			disp_set_hall_slots(w.disp, str_c(other.c_str()), 9);
 			disp_set_hall_capacity(
-			    w.disp, str_c(other.c_str()), &room);
-			poison_record_crash(w.memory.p, print, false);
+			    w.disp, str_c(other.c_str()), &capacity);
+			poison_record_crash(w.records.p, fingerprint, false);
 			w.reqs.push_back(std::make_unique<Req>());
 			Req *r = w.reqs.back().get();
 
-			r->d.fingerprint = print;
+			r->d.fingerprint = fingerprint;
 			r->d.can_forward = true;
 			w.arrive(r, 800);
-			to[at] = r->passed ? other : halls[at];
-			passed += r->passed;
-			tried += r->sends;
+			to[at] = r->forwarded ? other : halls[at];
+			forwarded += r->forwarded;
+			trials += r->sends;
 		}
 		EXPECT_EQ(to[0], to[1]);
 	}
-	EXPECT_EQ(40, passed);
-	EXPECT_EQ(40, tried);
+	EXPECT_EQ(40, forwarded);
+	EXPECT_EQ(40, trials);
 }
--- a/regress/test_policy.cpp
+++ b/regress/test_policy.cpp
@@ -38,29 +38,30 @@
 	struct disp_req d = {};
 	Sim *sim = nullptr;
 	int64_t first = 0, deadline = 0; /* over all attempts of the caller */
-	int64_t work = 0;
-	int left = 0; /* retries that the caller has left */
-	uint64_t run = 0; /* the attempt whose end counts; 0: none */
-	int64_t came = 0, began = 0;
+	int64_t work_ns = 0;
+	int retries_left = 0; /* of the caller */
+	uint64_t run_id = 0; /* the attempt whose end counts; 0: none */
+	int64_t arrived_at = 0, started_at = 0;
 };
 
 struct Server {
 	std::string name;
-	int running = 0, pace = 100;
-	std::vector<int> beside; /* requests running when each one began */
+	int running = 0, latency_percent = 100;
+	/* For each request here: how many ran when it started. */
+	std::vector<int> running_at_start;
 };
 
 struct Fleet {
 	int servers = 4, slots = 6;
-	bool tells = true;
+	bool reports_load = true;
 	double mean_ms = 200;
 	int64_t target_ms = 600, deadline_ms = 4000;
 	uint64_t seed = 7;
-	double spells =
-	    0; /* share of time in which a server is 5 times slower */
+	/* The share of time in which a server is 5 times slower. */
+	double slow_share = 0;
 };
 
-struct Count {
+struct Counts {
 	int arrived = 0, in_time = 0, late = 0, refused = 0;
 };
 
@@ -68,17 +69,16 @@
 struct Sim {
 	Fleet fleet;
 	int64_t now = NS_S;
-	uint64_t seed, runs = 0;
-	bool spelling = true; /* slow periods come and go at random */
+	uint64_t seed, last_run_id = 0;
+	bool slow_periods = true; /* slow periods come and go at random */
 	struct clk clk;
 	struct rnd rnd;
 	struct disp *disp;
 	std::multimap<int64_t, std::function<void()>> events;
 	std::map<std::string, Server> servers;
 	std::vector<std::unique_ptr<Attempt>> attempts;
-	std::map<int64_t, Count> seconds; /* by the second of first attempts */
-	std::function<double(double)>
-	    slowdown; /* by the share of slots in use */
+	std::map<int64_t, Counts> seconds; /* by the second of first attempts */
+	std::function<double(double)> slowdown; /* by share used */
 
 	static struct timespec mono(void *ctx)
 	{
@@ -97,12 +97,12 @@
 		return static_cast<double>(rnd_split(&seed) >> 11) * 0x1p-53;
 	}
 
-	void in(int64_t ns, std::function<void()> fn)
+	void schedule(int64_t ns, std::function<void()> fn)
 	{
 		events.emplace(now + ns, std::move(fn));
 	}
 
-	static Attempt *of(struct disp_req *d)
+	static Attempt *attempt_of(struct disp_req *d)
 	{
 		return reinterpret_cast<Attempt *>(d);
 	}
@@ -115,31 +115,33 @@
 	static void send(void *ctx, struct disp_req *d, struct pick_backend *b)
 	{
 		Sim *s = static_cast<Sim *>(ctx);
-		Attempt *a = of(d);
+		Attempt *a = attempt_of(d);
 		Server &v = s->server(b);
-		double full;
-		uint64_t run = ++s->runs;
-
-		v.beside.push_back(v.running);
-		full = static_cast<double>(++v.running) / s->fleet.slots;
-		a->run = run;
-		s->in(static_cast<int64_t>(static_cast<double>(a->work) *
-			  s->slowdown(full) * v.pace / 100),
-		    [s, a, run, &v] {
+		double share_used;
+		uint64_t run_id = ++s->last_run_id;
+
+		v.running_at_start.push_back(v.running);
+		share_used = static_cast<double>(++v.running) / s->fleet.slots;
+		a->run_id = run_id;
+		s->schedule(
+		    static_cast<int64_t>(static_cast<double>(a->work_ns) *
+			s->slowdown(share_used) * v.latency_percent / 100),
+		    [s, a, run_id, &v] {
 			    v.running--;
-			    if (a->run != run)
+			    if (a->run_id != run_id)
 				    return;
-			    a->run = 0;
-			    s->ended(a, v);
+			    a->run_id = 0;
+			    s->attempt_ended(a, v);
 		    });
 	}
 
-	void ended(Attempt *a, Server &v)
+	void attempt_ended(Attempt *a, Server &v)
 	{
 		struct pick_backend *b = a->d.backend;
 
-		if (fleet.tells)
-			disp_load_reported(disp, b, v.running, 0, v.pace);
+		if (fleet.reports_load)
+			disp_load_reported(
+			    disp, b, v.running, 0, v.latency_percent);
 		if (now - a->first <= fleet.target_ms * NS_MS)
 			seconds[a->first / NS_S].in_time++;
 		else if (now <= a->deadline)
@@ -147,39 +149,41 @@
 		disp_attempt_done(disp, &a->d, DISP_OK);
 	}
 
-	static void pass(void *, struct disp_req *, struct str)
+	static void forward(void *, struct disp_req *, struct str)
 	{
 	}
 
 	static void
-	give_up(void *ctx, struct disp_req *d, enum err_kind, int64_t after)
+	fail(void *ctx, struct disp_req *d, enum err_kind, int64_t retry_after)
 	{
 		Sim *s = static_cast<Sim *>(ctx);
-		Attempt *a = of(d);
+		Attempt *a = attempt_of(d);
 
 		s->seconds[a->first / NS_S].refused++;
-		after = std::max(after, 10 * NS_MS);
-		if (a->left == 0 || s->now + after >= a->deadline)
+		retry_after = std::max(retry_after, 10 * NS_MS);
+		if (a->retries_left == 0 || s->now + retry_after >= a->deadline)
 			return;
-		s->in(after, [s, a] { s->attempt(a, a->left - 1); });
+		s->schedule(retry_after,
+		    [s, a] { s->attempt(a, a->retries_left - 1); });
 	}
 
 	static void stop(void *ctx, struct disp_req *d)
 	{
 		Sim *s = static_cast<Sim *>(ctx);
 
-		of(d)->run = 0;
+		attempt_of(d)->run_id = 0;
 		EXPECT_TRUE(disp_attempt_done(s->disp, d, DISP_STOPPED_SLOW));
 	}
 
-	static void peek(void *ctx, struct pick_backend *b)
+	static void query_load(void *ctx, struct pick_backend *b)
 	{
 		Sim *s = static_cast<Sim *>(ctx);
 		Server &v = s->server(b);
 
-		s->in(400 * NS_US, [s, &v] {
+		s->schedule(400 * NS_US, [s, &v] {
 			disp_load_query_done(s->disp, str_c(v.name.c_str()),
-			    true, v.running, 0, s->fleet.tells ? v.pace : 0);
+			    true, v.running, 0,
+			    s->fleet.reports_load ? v.latency_percent : 0);
 		});
 	}
 
@@ -192,7 +196,7 @@
 	 * is.  The target counts from the first attempt: the gate computes the
 	 * time that has passed since (caller.h).
 	 */
-	void attempt(const Attempt *old, int left)
+	void attempt(const Attempt *old, int retries_left)
 	{
 		Attempt *a = new Attempt;
 
@@ -200,8 +204,8 @@
 		a->sim = this;
 		a->first = old->first;
 		a->deadline = old->deadline;
-		a->work = old->work;
-		a->left = left;
+		a->work_ns = old->work_ns;
+		a->retries_left = retries_left;
 		a->d.cls = CLASS_INTERACTIVE;
 		a->d.repeatable = true;
 		a->d.can_retry = true;
@@ -218,45 +222,45 @@
 
 		first.first = now;
 		first.deadline = now + fleet.deadline_ms * NS_MS;
-		first.work = static_cast<int64_t>(
+		first.work_ns = static_cast<int64_t>(
 		    fleet.mean_ms * (0.5 + uniform()) * NS_MS);
 		seconds[now / NS_S].arrived++;
 		attempt(&first, 2);
 	}
 
 	/* Schedules random arrivals at a mean rate until `end`. */
-	void load(double per_s, int64_t end)
+	void generate_load(double per_s, int64_t end)
 	{
 		if (now >= end)
 			return;
-		in(static_cast<int64_t>(-std::log(1 - uniform()) / per_s *
-		       static_cast<double>(NS_S)),
+		schedule(static_cast<int64_t>(-std::log(1 - uniform()) / per_s *
+			     static_cast<double>(NS_S)),
 		    [this, per_s, end] {
 			    if (now < end)
 				    arrive();
-			    load(per_s, end);
+			    generate_load(per_s, end);
 		    });
 	}
 
 	void tick()
 	{
 		disp_tick(disp);
-		in(10 * NS_MS, [this] { tick(); });
+		schedule(10 * NS_MS, [this] { tick(); });
 	}
 
 	void every(int64_t ns, std::function<void()> fn)
 	{
 		fn();
-		in(ns, [this, ns, fn] { every(ns, fn); });
+		schedule(ns, [this, ns, fn] { every(ns, fn); });
 	}
 
-	void spell()
+	void update_slow_periods()
 	{
 		for (auto &v : servers)
-			if (spelling)
-				v.second.pace =
-				    uniform() < fleet.spells ? 500 : 100;
-		in(150 * NS_MS, [this] { spell(); });
+			if (slow_periods)
+				v.second.latency_percent =
+				    uniform() < fleet.slow_share ? 500 : 100;
+		schedule(150 * NS_MS, [this] { update_slow_periods(); });
 	}
 
 	void run_to(int64_t end)
@@ -272,13 +276,13 @@
 		now = end;
 	}
 
-	explicit Sim(const Fleet &with)
-	    : fleet(with),
-	      seed(with.seed), clk{mono, mono, this}, rnd{next, this},
+	explicit Sim(const Fleet &settings)
+	    : fleet(settings),
+	      seed(settings.seed), clk{mono, mono, this}, rnd{next, this},
 	      slowdown([](double) { return 1; })
 	{
-		struct disp_ops ops = {
-		    send, pass, give_up, stop, peek, nullptr, release, this};
+		struct disp_ops ops = {send, forward, fail, stop, query_load,
+		    nullptr, release, this};
 		struct disp_params p = {};
 		GError *err = nullptr;
 		const char *root = getenv("FERN_ROOT");
@@ -299,7 +303,7 @@
 			name_server();
 		list_servers();
 		tick();
-		spell();
+		update_slow_periods();
 	}
 
 	void name_server()
@@ -339,21 +343,21 @@
 		disp_free(disp);
 	}
 
-	void forget_starts()
+	void reset_starts()
 	{
 		for (auto &v : servers)
-			v.second.beside.clear();
+			v.second.running_at_start.clear();
 	}
 
-	/* The share of requests that began beside `least` others or more. */
-	double began_beside(int least)
+	/* The share of requests that began beside at least `others_min`. */
+	double share_started_with(int others_min)
 	{
 		double n = 0, all = 0;
 
 		for (auto &v : servers)
-			for (int b : v.second.beside) {
+			for (int b : v.second.running_at_start) {
 				all++;
-				n += b >= least;
+				n += b >= others_min;
 			}
 		return all == 0 ? 0 : n / all;
 	}
@@ -374,9 +378,9 @@
 
 /* Slowdown: above 80 % of the slots work takes 1.7 times as long. */
 double
-knee(double full)
+slow_when_full(double share_used)
 {
-	return full > 0.8 ? 1.7 : 1;
+	return share_used > 0.8 ? 1.7 : 1;
 }
 
 } // namespace
@@ -385,13 +389,13 @@
 {
 	Sim sim((Fleet()));
 
-	sim.slowdown = knee;
-	sim.load(90, 12 * NS_S); /* 4 of 6 slots can serve 80 a second */
+	sim.slowdown = slow_when_full;
+	sim.generate_load(90, 12 * NS_S); /* capacity at 4 of 6: 80 */
 	sim.run_to(5 * NS_S);
-	sim.forget_starts();
+	sim.reset_starts();
 	sim.run_to(12 * NS_S);
-	EXPECT_LT(sim.began_beside(4), 0.15);
-	EXPECT_GT(sim.began_beside(3), 0.5);
+	EXPECT_LT(sim.share_started_with(4), 0.15);
+	EXPECT_GT(sim.share_started_with(3), 0.5);
 }
 
 TEST(Policy, ServersThatDoNotSlowAreFilled)
@@ -402,12 +406,12 @@
 		fleet.slots = slots;
 		Sim sim(fleet);
 
-		sim.load(
-		    22 * slots, 12 * NS_S); /* a slot can serve 20 a second */
+		sim.generate_load(22 * slots, 12 * NS_S); /* capacity: 20 */
 		sim.run_to(5 * NS_S);
-		sim.forget_starts();
+		sim.reset_starts();
 		sim.run_to(12 * NS_S);
-		EXPECT_GT(sim.began_beside(slots * 7 / 8 - 1), 0.6) << slots;
+		EXPECT_GT(sim.share_started_with(slots * 7 / 8 - 1), 0.6)
+		    << slots;
 	}
 }
 
@@ -415,20 +419,20 @@
 {
 	Sim sim((Fleet()));
 
-	sim.load(110, 30 * NS_S);
+	sim.generate_load(110, 30 * NS_S);
 	sim.run_to(8 * NS_S);
-	sim.slowdown = knee;
+	sim.slowdown = slow_when_full;
 	sim.run_to(14 * NS_S);
-	sim.forget_starts();
+	sim.reset_starts();
 	sim.run_to(18 * NS_S);
-	EXPECT_LT(sim.began_beside(4), 0.2);
+	EXPECT_LT(sim.share_started_with(4), 0.2);
 	sim.slowdown = [](double) {
 		return 1;
 	};
 	sim.run_to(26 * NS_S);
-	sim.forget_starts();
+	sim.reset_starts();
 	sim.run_to(30 * NS_S);
-	EXPECT_GT(sim.began_beside(5), 0.5);
+	EXPECT_GT(sim.share_started_with(5), 0.5);
 }
 
 /* Returns the mean share of requests that met their target, over 5 runs. */
@@ -443,7 +447,7 @@
 		Sim sim(fleet);
 
 		sim.slowdown = slowdown;
-		sim.load(per_s, 20 * NS_S);
+		sim.generate_load(per_s, 20 * NS_S);
 		sim.run_to(20 * NS_S);
 		sum += sim.share_in_time(4, 18);
 	}
@@ -452,8 +456,8 @@
 
 TEST(Policy, ALearnedLimitServesMoreInTime)
 {
-	EXPECT_GT(mean_in_time(Fleet(), 70, knee), 0.98);
-	EXPECT_GT(mean_in_time(Fleet(), 76, knee), 0.85);
+	EXPECT_GT(mean_in_time(Fleet(), 70, slow_when_full), 0.98);
+	EXPECT_GT(mean_in_time(Fleet(), 76, slow_when_full), 0.85);
 }
 
 /*
@@ -489,8 +493,8 @@
 	for (int i = 0; i < 12; i++)
 		sim.arrive();
 	sim.run_to(sim.now + 50 * NS_MS);
-	EXPECT_EQ(1u, sim.servers["b1"].beside.size());
-	EXPECT_EQ(1u, sim.servers["b2"].beside.size());
+	EXPECT_EQ(1u, sim.servers["b1"].running_at_start.size());
+	EXPECT_EQ(1u, sim.servers["b2"].running_at_start.size());
 }
 
 /*
@@ -502,7 +506,7 @@
 	Sim sim((Fleet()));
 	int64_t second;
 
-	sim.load(20, 3 * NS_S);
+	sim.generate_load(20, 3 * NS_S);
 	sim.run_to(4 * NS_S);
 	for (int i = 0; i < 300; i++)
 		disp_load_query_done(sim.disp, STR_LIT("b0"), true, 0, 0, 500);
@@ -526,17 +530,17 @@
 	fleet.target_ms = 300;
 	Sim sim(fleet);
 
-	sim.load(5, 3 * NS_S);
+	sim.generate_load(5, 3 * NS_S);
 	sim.run_to(4 * NS_S + 300 * NS_MS); /* the service time is known */
 	for (auto &v : sim.servers)
-		v.second.pace = 500;
-	sim.in(149 * NS_MS, [&] {
+		v.second.latency_percent = 500;
+	sim.schedule(149 * NS_MS, [&] {
 		for (auto &v : sim.servers)
-			v.second.pace = 100;
+			v.second.latency_percent = 100;
 	});
-	sim.spelling = false;
+	sim.slow_periods = false;
 	sim.arrive();
-	sim.forget_starts();
+	sim.reset_starts();
 	sim.run_to(sim.now + 700 * NS_MS);
 	EXPECT_EQ(1, sim.seconds[4].late + sim.seconds[4].in_time);
 }
@@ -587,19 +591,20 @@
  */
 TEST(Policy, ASurgeIsOverSoonAfterItsEnd)
 {
-	for (bool tells : {true, false}) {
+	for (bool reports_load : {true, false}) {
 		Fleet fleet;
 
-		fleet.tells = tells;
-		fleet.spells = 0.1;
+		fleet.reports_load = reports_load;
+		fleet.slow_share = 0.1;
 		Sim sim(fleet);
 
-		sim.slowdown = knee;
-		sim.load(40, 20 * NS_S);
-		sim.in(7 * NS_S, [&] { sim.load(240, 11 * NS_S); });
+		sim.slowdown = slow_when_full;
+		sim.generate_load(40, 20 * NS_S);
+		sim.schedule(
+		    7 * NS_S, [&] { sim.generate_load(240, 11 * NS_S); });
 		sim.run_to(21 * NS_S);
 		EXPECT_GT(
 		    sim.share_in_time(12, 19), 0.9 * sim.share_in_time(3, 8))
-		    << tells;
+		    << reports_load;
 	}
 }
--- a/regress/test_roll.cpp
+++ b/regress/test_roll.cpp
@@ -50,10 +50,10 @@
  * The shares of bad responses of each version, and how many responses of the
  * new version are counted at most.
  */
-struct Trial {
+struct Case {
 	enum verdict_answer bad;
 	double old_share, new_share;
-	int answers;
+	int responses;
 };
 
 /*
@@ -61,7 +61,7 @@
  * there are 20 of the old version, after 400 of that.
  */
 bool
-convicts(const Trial &t, uint64_t seed, int *after = nullptr)
+finds_bad(const Case &t, uint64_t seed, int *after = nullptr)
 {
 	struct verdict v;
 	bool found = false;
@@ -70,7 +70,7 @@
 	for (int i = 0; i < 400; i++)
 		verdict_add_old(
 		    &v, 1, uniform(&seed) < t.old_share ? t.bad : VERDICT_GOOD);
-	for (int i = 0; i < t.answers && !found; i++) {
+	for (int i = 0; i < t.responses && !found; i++) {
 		for (int j = 0; j < 20; j++)
 			verdict_add_old(&v, 1,
 			    uniform(&seed) < t.old_share ? t.bad
@@ -88,17 +88,17 @@
 
 /* Returns for how many seeds the new version is found bad. */
 int
-count(const Trial &t, int seeds)
+count(const Case &t, int seeds)
 {
 	int n = 0;
 
 	for (int i = 0; i < seeds; i++)
-		n += convicts(t, static_cast<uint64_t>(i) + 1);
+		n += finds_bad(t, static_cast<uint64_t>(i) + 1);
 	return n;
 }
 
 struct obj_rollout
-order(const char *version, int64_t ms)
+make_rollout(const char *version, int64_t ms)
 {
 	struct obj_rollout o = {};
 
@@ -117,7 +117,7 @@
 
 /* A roll-out after 40 good responses of the new version, at a time `at`. */
 Roll
-proved(int64_t at, const struct obj_rollout &o)
+proved_rollout(int64_t at, const struct obj_rollout &o)
 {
 	Roll r(roll_new(&o, roll_chart(), 0.05, 0));
 
@@ -130,7 +130,7 @@
 
 /* A shard with servers of the old and the new version in a roll-out. */
 struct Shard : disp_world::World {
-	struct obj_rollout o = order("v2", 10000);
+	struct obj_rollout o = make_rollout("v2", 10000);
 	Roll roll{roll_new(&o, roll_chart(), 0.05, now)};
 	struct disp_params p = {};
 	int sent_new = 0, sent = 0;
@@ -168,7 +168,7 @@
 		};
 	}
 
-	void ask(int n)
+	void send_requests(int n)
 	{
 		for (int i = 0; i < n; i++) {
 			disp_world::Req r;
@@ -176,7 +176,8 @@
 			arrive(&r);
 			now += 2 * NS_MS;
 			while (r.d.backend != nullptr)
-				done(&r, outcome(r.d.backend->is_new_version));
+				end_attempt(
+				    &r, outcome(r.d.backend->is_new_version));
 			disp_tick(disp);
 		}
 	}
@@ -203,7 +204,7 @@
 TEST(Verdict, AWorseVersionIsFoundWithinFewResponses)
 {
 	const struct {
-		Trial t;
+		Case t;
 		int found; /* minimum, of 1000 seeds */
 	} table[] = {
 	    {{VERDICT_FAILED, 0.005, 0.5, 40}, 990},
@@ -227,30 +228,30 @@
 {
 	struct verdict v;
 	const char *why = nullptr;
-	int answers = 0;
+	int responses = 0;
 
 	verdict_open(&v);
 	for (int i = 0; i < 300; i++) {
 		verdict_add_old(&v, 1, VERDICT_GOOD);
 		verdict_add_old(&v, 2, VERDICT_GOOD);
 	}
-	for (; why == nullptr && answers < 200; answers++) {
+	for (; why == nullptr && responses < 200; responses++) {
 		for (int j = 0; j < 9 && why == nullptr; j++)
 			why = verdict_add_new(&v, 1, VERDICT_GOOD);
 		if (why == nullptr)
 			why = verdict_add_new(&v, 2, VERDICT_FAILED);
 	}
 	EXPECT_NE(nullptr, why);
-	EXPECT_LE(answers, 12);
+	EXPECT_LE(responses, 12);
 	verdict_close(&v);
 }
 
 TEST(Roll, StepsAreTakenInTheirTime)
 {
-	struct obj_rollout o = order("v2", 10000);
+	struct obj_rollout o = make_rollout("v2", 10000);
 
-	EXPECT_EQ(ROLL_SMALL, roll_state(proved(4 * NS_S, o).get()));
-	Roll r = proved(5 * NS_S, o);
+	EXPECT_EQ(ROLL_SMALL, roll_state(proved_rollout(4 * NS_S, o).get()));
+	Roll r = proved_rollout(5 * NS_S, o);
 	EXPECT_EQ(ROLL_WIDER, roll_state(r.get()));
 	roll_tick(r.get(), true, 5 * NS_S + 500 * NS_MS);
 	EXPECT_EQ(ROLL_WIDER, roll_state(r.get()));
@@ -261,7 +262,7 @@
 /* Without responses the old version stays, as that is known to work. */
 TEST(Roll, WithoutResponsesItIsRolledBackInTime)
 {
-	struct obj_rollout o = order("v2", 10000);
+	struct obj_rollout o = make_rollout("v2", 10000);
 	Roll r(roll_new(&o, roll_chart(), 0.05, 0));
 
 	roll_tick(r.get(), false, 8 * NS_S);
@@ -275,18 +276,18 @@
 /* An owner that starts continues at the step of the other owners. */
 TEST(Roll, AgeAndABadVerdictAreTakenFromOtherOwners)
 {
-	struct obj_rollout o = order("v2", 10000);
-	struct roll_report w = {4 * NS_S, ROLL_SMALL, 100, 0, 3};
+	struct obj_rollout o = make_rollout("v2", 10000);
+	struct roll_report report = {4 * NS_S, ROLL_SMALL, 100, 0, 3};
 	Roll r(roll_new(&o, roll_chart(), 0.05, 10 * NS_S));
 
 	roll_merge_report(
-	    r.get(), STR_LIT("b2"), STR_LIT("south"), &w, 10 * NS_S);
+	    r.get(), STR_LIT("b2"), STR_LIT("south"), &report, 10 * NS_S);
 	roll_tick(r.get(), true, 10 * NS_S);
 	roll_tick(r.get(), true, 11 * NS_S);
 	EXPECT_EQ(ROLL_WIDER, roll_state(r.get()));
-	w.state = ROLL_ROLLED_BACK;
+	report.state = ROLL_ROLLED_BACK;
 	roll_merge_report(
-	    r.get(), STR_LIT("b2"), STR_LIT("south"), &w, 11 * NS_S);
+	    r.get(), STR_LIT("b2"), STR_LIT("south"), &report, 11 * NS_S);
 	EXPECT_EQ(ROLL_ROLLED_BACK, roll_state(r.get()));
 	EXPECT_FALSE(roll_allows(r.get(), true));
 	EXPECT_TRUE(roll_allows(r.get(), false));
@@ -298,11 +299,11 @@
  */
 TEST(Roll, CompletedIsWrittenOnceNoOwnerUsesTheOldVersion)
 {
-	struct obj_rollout o = order("v2", 10000);
+	struct obj_rollout o = make_rollout("v2", 10000);
 	struct str halls[] = {STR_LIT("south")};
-	struct roll_report left = {6 * NS_S, ROLL_ALL, 9, 0, 0};
-	struct roll_report busy = left, before = left;
-	Roll r = proved(5 * NS_S, o);
+	struct roll_report finished = {6 * NS_S, ROLL_ALL, 9, 0, 0};
+	struct roll_report busy = finished, before = finished;
+	Roll r = proved_rollout(5 * NS_S, o);
 	int64_t t = 6 * NS_S;
 
 	busy.old_in_flight = 1;
@@ -318,7 +319,7 @@
 	roll_merge_report(r.get(), STR_LIT("b2"), halls[0], &before, t);
 	EXPECT_EQ(
 	    ROLLOUT_RUNNING, roll_state_to_write(r.get(), halls, 1, 0, t));
-	roll_merge_report(r.get(), STR_LIT("b2"), halls[0], &left, t);
+	roll_merge_report(r.get(), STR_LIT("b2"), halls[0], &finished, t);
 	EXPECT_EQ(
 	    ROLLOUT_RUNNING, roll_state_to_write(r.get(), halls, 1, 2, t));
 	EXPECT_EQ(
@@ -330,7 +331,7 @@
 
 TEST(Roll, ARolloutIsNewIfThePlatformHadEndedTheOther)
 {
-	struct obj_rollout o = order("v2", 10000), again = o;
+	struct obj_rollout o = make_rollout("v2", 10000), again = o;
 	Roll r(roll_new(&o, roll_chart(), 0.05, 0));
 
 	o.state = ROLLOUT_ROLLED_BACK;
@@ -348,7 +349,7 @@
 {
 	Shard s;
 
-	s.ask(2000);
+	s.send_requests(2000);
 	EXPECT_GE(s.sent_new, 60);
 	EXPECT_LE(s.sent_new, 2000 * 0.05 + 3);
 }
@@ -358,15 +359,15 @@
 	Shard s;
 	int before;
 
-	s.ask(200);
+	s.send_requests(200);
 	s.outcome = [](bool is_new) {
 		return is_new ? DISP_SERVER_ERROR : DISP_OK;
 	};
-	s.ask(400);
+	s.send_requests(400);
 	EXPECT_EQ(ROLL_ROLLED_BACK, roll_state(s.roll.get()));
 	before = s.sent_new;
 	EXPECT_LE(before, 200 * 0.05 + 3 + 10);
-	s.ask(400);
+	s.send_requests(400);
 	EXPECT_EQ(before, s.sent_new);
 }
 
@@ -382,7 +383,7 @@
 		s.outcome = [](bool is_new) {
 			return is_new ? DISP_SERVER_ERROR : DISP_OK;
 		};
-		s.ask(3000);
+		s.send_requests(3000);
 		EXPECT_EQ(ROLL_ROLLED_BACK, roll_state(s.roll.get()))
 		    << servers;
 		EXPECT_LE(s.sent_new, 15) << servers;
@@ -393,7 +394,7 @@
 {
 	Shard s;
 
-	s.ask(2000);
+	s.send_requests(2000);
 	s.now = NS_S + 5 * NS_S;
 	roll_tick(s.roll.get(), true, s.now);
 	s.now += NS_S;
@@ -401,7 +402,7 @@
 	ASSERT_EQ(ROLL_ALL, roll_state(s.roll.get()));
 	disp_tick(s.disp);
 	s.sent = s.sent_new = 0;
-	s.ask(100);
+	s.send_requests(100);
 	EXPECT_EQ(100, s.sent);
 	EXPECT_EQ(100, s.sent_new);
 	EXPECT_EQ(0u, disp_old_version_inflight(s.disp));
--- a/regress/test_suspend.cpp
+++ b/regress/test_suspend.cpp
@@ -64,23 +64,23 @@
 namespace
 {
 
-struct Alarm {
+struct TestTimer {
 	struct tmr *t;
 	struct tmr_item item = {};
 	int64_t fired = 0;
 };
 
 void
-ring(void *ctx)
+fire(void *ctx)
 {
-	static_cast<Alarm *>(ctx)->fired = clk_ns(clk_system());
+	static_cast<TestTimer *>(ctx)->fired = clk_ns(clk_system());
 }
 
 /* A periodic timer, as both daemons have one. */
 void
 tick(void *ctx)
 {
-	Alarm *a = static_cast<Alarm *>(ctx);
+	TestTimer *a = static_cast<TestTimer *>(ctx);
 
 	tmr_set(a->t, &a->item, clk_ns(clk_system()) + 25 * NS_MS, tick, a);
 }
@@ -95,12 +95,12 @@
 {
 	uv_loop_t loop;
 	struct tmr t;
-	Alarm deadline{&t}, ticks{&t};
+	TestTimer deadline{&t}, ticks{&t};
 
 	uv_loop_init(&loop);
 	tmr_open(&t, &loop, clk_system());
 	tick(&ticks);
-	tmr_set(&t, &deadline.item, clk_ns(clk_system()) + 3 * NS_S, ring,
+	tmr_set(&t, &deadline.item, clk_ns(clk_system()) + 3 * NS_S, fire,
 	    &deadline);
 	suspend(5 * NS_S);
 	int64_t resumed = clk_ns(clk_system());
--- a/regress/test_units.cpp
+++ b/regress/test_units.cpp
@@ -66,7 +66,7 @@
 
 /* Returns the error message for a selector that is not valid. */
 std::string
-refusal(const std::string &selector)
+error_of(const std::string &selector)
 {
 	GError *err = nullptr;
 	struct sel *s = sel_parse(view(selector), &err);
@@ -79,7 +79,7 @@
 }
 
 uint64_t
-step_random(void *ctx)
+next_random(void *ctx)
 {
 	return rnd_split(static_cast<uint64_t *>(ctx));
 }
@@ -140,13 +140,13 @@
 
 TEST(Sel, ErrorsNameTheColumn)
 {
-	EXPECT_NE(std::string::npos, refusal("app=").find("column 5"));
-	EXPECT_NE(std::string::npos, refusal("app in north").find("'('"));
-	EXPECT_NE(std::string::npos, refusal("app in (a").find("',' or ')'"));
-	EXPECT_NE(std::string::npos, refusal("a,,b").find("column 3"));
-	EXPECT_NE(std::string::npos, refusal("a b").find("column 3"));
-	EXPECT_NE(std::string::npos, refusal("a=b,").find("a label's name"));
-	EXPECT_NE(std::string::npos, refusal("(").find("column 1"));
+	EXPECT_NE(std::string::npos, error_of("app=").find("column 5"));
+	EXPECT_NE(std::string::npos, error_of("app in north").find("'('"));
+	EXPECT_NE(std::string::npos, error_of("app in (a").find("',' or ')'"));
+	EXPECT_NE(std::string::npos, error_of("a,,b").find("column 3"));
+	EXPECT_NE(std::string::npos, error_of("a b").find("column 3"));
+	EXPECT_NE(std::string::npos, error_of("a=b,").find("a label's name"));
+	EXPECT_NE(std::string::npos, error_of("(").find("column 1"));
 }
 
 TEST(Field, AddressesAndNames)
@@ -173,7 +173,7 @@
 {
 	struct {
 		enum obj_kind kind;
-		const char *spec, *why; /* NULL: valid */
+		const char *spec, *expected_error; /* NULL: valid */
 	} cases[] = {
 	    {OBJ_SERVICE, R"({"select":"app=a"})", nullptr},
 	    {OBJ_SERVICE, R"({})", "select: is missing"},
@@ -228,9 +228,10 @@
 		struct obj *o =
 		    obj_read(c.kind, STR_LIT("x"), spec, nullptr, &err);
 
-		EXPECT_EQ(c.why == nullptr, o != nullptr) << c.spec;
-		if (c.why != nullptr && err != nullptr) {
-			EXPECT_NE(nullptr, strstr(err->message, c.why))
+		EXPECT_EQ(c.expected_error == nullptr, o != nullptr) << c.spec;
+		if (c.expected_error != nullptr && err != nullptr) {
+			EXPECT_NE(
+			    nullptr, strstr(err->message, c.expected_error))
 			    << err->message;
 		}
 		obj_free(o);
@@ -255,7 +256,7 @@
 {
 	struct {
 		const char *text;
-		bool right;
+		bool valid;
 	} cases[] = {
 	    {"# \xc3\xa5\xc3\xa4\na = \"\xc3\xb6\" # \xc3\xa9\n", true},
 	    {"\xc3\xa9 = 1\n", false},
@@ -267,7 +268,7 @@
 	for (auto &c : cases) {
 		struct doc *d = doc_parse(c.text, strlen(c.text), "f", nullptr);
 
-		EXPECT_EQ(c.right, d != nullptr) << c.text;
+		EXPECT_EQ(c.valid, d != nullptr) << c.text;
 		doc_free(d);
 	}
 }
@@ -278,7 +279,7 @@
 	static const char *const events[] = {"x"};
 	struct chart_names names = {"t", states, 2, events, 1};
 	struct {
-		const char *text, *why;
+		const char *text, *expected_error;
 	} cases[] = {
 	    {"start = \"a\"\n[state.a]\nx = \"b\"\n[state.b]\nx = \"a\"\n",
 		nullptr},
@@ -299,10 +300,11 @@
 		struct chart *ch =
 		    chart_parse(c.text, strlen(c.text), "f", &names, &err);
 
-		EXPECT_EQ(c.why == nullptr, ch != nullptr);
-		if (c.why != nullptr) {
+		EXPECT_EQ(c.expected_error == nullptr, ch != nullptr);
+		if (c.expected_error != nullptr) {
 			ASSERT_NE(nullptr, err);
-			EXPECT_NE(nullptr, strstr(err->message, c.why))
+			EXPECT_NE(
+			    nullptr, strstr(err->message, c.expected_error))
 			    << err->message;
 		} else {
 			EXPECT_EQ(1, chart_step(ch, 0, 0));
@@ -316,32 +318,33 @@
 {
 	std::mt19937 rng(3);
 	std::vector<struct queue_item> items(200);
-	std::vector<struct queue_item *> in;
+	std::vector<struct queue_item *> queued;
 	struct queue q;
 
 	queue_init(&q);
 	for (int step = 0; step < 20000; step++) {
-		if (in.size() < items.size() && rng() % 2 == 0) {
+		if (queued.size() < items.size() && rng() % 2 == 0) {
 			for (auto &i : items) {
 				if (i.data != nullptr)
 					continue;
 				i.deadline = static_cast<int64_t>(rng() % 50);
 				i.data = &i;
 				queue_push(&q, &i);
-				in.push_back(&i);
+				queued.push_back(&i);
 				break;
 			}
-		} else if (!in.empty()) {
-			size_t at = rng() % in.size();
+		} else if (!queued.empty()) {
+			size_t at = rng() % queued.size();
 			struct queue_item *i =
-			    rng() % 2 == 0 ? in[at] : queue_first(&q);
+			    rng() % 2 == 0 ? queued[at] : queue_first(&q);
 
 			queue_remove(&q, i);
 			i->data = nullptr;
-			in.erase(std::find(in.begin(), in.end(), i));
+			queued.erase(
+			    std::find(queued.begin(), queued.end(), i));
 		}
-		ASSERT_EQ(in.size(), q.n);
-		for (auto *i : in)
+		ASSERT_EQ(queued.size(), q.n);
+		for (auto *i : queued)
 			ASSERT_LE(queue_first(&q)->deadline, i->deadline);
 	}
 	queue_clear(&q);
@@ -351,12 +354,12 @@
 {
 	struct limit l = {0, 0};
 	int64_t now = NS_S;
-	int taken = 0;
+	int allowed = 0;
 
 	for (int ms = 0; ms < 10000; ms++, now += NS_MS)
-		taken += limit_allow(&l, 50, now);
-	EXPECT_GE(taken, 500);
-	EXPECT_LE(taken, 511);
+		allowed += limit_allow(&l, 50, now);
+	EXPECT_GE(allowed, 500);
+	EXPECT_LE(allowed, 511);
 	EXPECT_TRUE(limit_allow(&l, 0, now));
 }
 
@@ -393,7 +396,7 @@
 TEST(Limit, ABudgetSpentToZeroIsNotRefilled)
 {
 	struct retry_budget b = {};
-	int taken = 0;
+	int allowed = 0;
 
 	/* Starts with a quarter of 20; there are no deposits. */
 	for (int i = 0; i < 100; i++) {
@@ -401,9 +404,9 @@
 		if (!retry_budget_available(&b))
 			continue;
 		retry_budget_withdraw(&b);
-		taken++;
+		allowed++;
 	}
-	EXPECT_EQ(5, taken);
+	EXPECT_EQ(5, allowed);
 }
 
 TEST(Limit, TheSumOfHallBudgetsStaysWithinTheFleetsBudget)
@@ -435,38 +438,38 @@
 {
 
 /* A box's membership table: its own entry and those it received. */
-struct View {
+struct Membership {
 	std::vector<std::string> names;
 	std::vector<struct memb_info> infos;
 	struct memb *mb;
 
-	/* `each` boxes of equal power in each hall; the first is the own. */
-	View(const std::vector<std::string> &halls, int each,
+	/* Boxes of equal power in each hall; the first is the own box. */
+	Membership(const std::vector<std::string> &halls, int per_hall,
 	    uint64_t power = 100)
 	{
 		for (size_t h = 0; h < halls.size(); h++)
-			for (int i = 0; i < each; i++)
+			for (int i = 0; i < per_hall; i++)
 				names.push_back(halls[h] + std::to_string(i));
 		for (size_t i = 0; i < names.size(); i++) {
 			struct memb_info m = {};
 
 			m.box = view(names[i]);
-			m.hall = view(halls[i / static_cast<size_t>(each)]);
+			m.hall = view(halls[i / static_cast<size_t>(per_hall)]);
 			m.started_ms = m.incarnation = 1;
 			m.power = power;
 			infos.push_back(m);
 		}
 		mb = memb_new(&infos[0]);
-		hear();
+		receive_announcements();
 	}
 
-	~View()
+	~Membership()
 	{
 		memb_free(mb);
 	}
 
 	/* Receives a new announcement of each box but the own. */
-	void hear()
+	void receive_announcements()
 	{
 		for (size_t i = 1; i < infos.size(); i++) {
 			infos[i].incarnation++;
@@ -490,7 +493,7 @@
 TEST(Memb, FewBoxesWatchAndOneOfEachHallFirst)
 {
 	static const std::vector<std::string> halls = {"a", "b", "c", "d"};
-	View v(halls, 20);
+	Membership v(halls, 20);
 	std::set<std::string> seen;
 
 	for (auto *m : v.watchers(4))
@@ -505,34 +508,34 @@
 TEST(Memb, MoreBoxesWatchIfThePlatformAnswersTooFew)
 {
 	static const std::vector<std::string> halls = {"a", "b"};
-	View v(halls, 10);
-	int seeing = 0;
+	Membership v(halls, 10);
+	int with_platform = 0;
 
 	for (auto *m : v.watchers(3))
 		m->platform_unreachable = m != &v.infos[0];
 	memb_self(v.mb)->platform_unreachable =
 	    memb_is_watcher(v.mb, v.infos[0].box, 3);
-	v.hear();
+	v.receive_announcements();
 	for (auto *m : v.watchers(3))
-		seeing += !m->platform_unreachable && m != &v.infos[0];
+		with_platform += !m->platform_unreachable && m != &v.infos[0];
 	EXPECT_EQ(3u + MEMB_WATCHERS_WITH_PLATFORM_MIN, v.watchers(3).size());
-	EXPECT_EQ(MEMB_WATCHERS_WITH_PLATFORM_MIN, seeing);
+	EXPECT_EQ(MEMB_WATCHERS_WITH_PLATFORM_MIN, with_platform);
 	/* If no box reaches the platform, the first three go on trying. */
 	for (auto &m : v.infos)
 		m.platform_unreachable = true;
 	memb_self(v.mb)->platform_unreachable = true;
-	v.hear();
+	v.receive_announcements();
 	EXPECT_EQ(3u, v.watchers(3).size());
 }
 
 TEST(Memb, StrongBoxesAreHubsAndWatch)
 {
 	static const std::vector<std::string> halls = {"north"};
-	View v(halls, 12);
+	Membership v(halls, 12);
 
 	v.infos[4].power = 500;
 	v.infos[7].power = 300;
-	v.hear();
+	v.receive_announcements();
 	for (size_t i = 0; i < v.infos.size(); i++) {
 		bool strong = v.infos[i].power > 100;
 
@@ -546,14 +549,14 @@
 	 * serve all requests of a hall, and other halls can.
 	 */
 	v.infos[4].dead = v.infos[7].dead = true;
-	v.hear();
+	v.receive_announcements();
 	EXPECT_EQ(0u, memb_count_hubs(v.mb));
 }
 
 TEST(Memb, EqualBoxesReplaceDeadHubs)
 {
 	static const std::vector<std::string> halls = {"north"};
-	View v(halls, 20);
+	Membership v(halls, 20);
 	unsigned changed = 0;
 
 	for (size_t i = 1; i < v.infos.size(); i++)
@@ -561,7 +564,7 @@
 			v.infos[i].dead = true;
 			changed++;
 		}
-	v.hear();
+	v.receive_announcements();
 	EXPECT_EQ(3u, changed);
 	EXPECT_EQ(static_cast<size_t>(MEMB_HUBS_MAX), memb_count_hubs(v.mb));
 	for (auto &m : v.infos)
@@ -571,39 +574,39 @@
 TEST(Memb, OnlyHubsOfItsHallMustKnowALeaf)
 {
 	static const std::vector<std::string> halls = {"a", "b"};
-	View v(halls, 10);
+	Membership v(halls, 10);
 	const struct memb_member *hub = nullptr, *leaf = nullptr,
-				 *far = nullptr;
+				 *other_hub = nullptr;
 
 	for (size_t i = 1; i < v.infos.size(); i++) {
 		const struct memb_member *m = memb_find(v.mb, v.infos[i].box);
-		bool near = str_eq(m->info.hall, STR_LIT("a"));
+		bool same_hall = str_eq(m->info.hall, STR_LIT("a"));
 
 		if (memb_is_hub(v.mb, m->info.box))
-			(near ? hub : far) = m;
-		else if (near)
+			(same_hall ? hub : other_hub) = m;
+		else if (same_hall)
 			leaf = m;
 	}
 	EXPECT_TRUE(memb_must_know(v.mb, hub, leaf));
-	EXPECT_FALSE(memb_must_know(v.mb, far, leaf));
+	EXPECT_FALSE(memb_must_know(v.mb, other_hub, leaf));
 	EXPECT_FALSE(memb_must_know(v.mb, leaf, leaf));
-	EXPECT_TRUE(memb_must_know(v.mb, leaf, far));
-	EXPECT_TRUE(memb_must_know(v.mb, far, hub));
+	EXPECT_TRUE(memb_must_know(v.mb, leaf, other_hub));
+	EXPECT_TRUE(memb_must_know(v.mb, other_hub, hub));
 }
 
 TEST(Memb, TheFleetIsCountedFromAnnouncementsOfHubs)
 {
 	static const std::vector<std::string> halls = {"a", "b"};
-	View v(halls, 3);
+	Membership v(halls, 3);
 
 	for (auto &m : v.infos)
 		m.ready = true;
 	memb_self(v.mb)->ready = true;
-	v.hear();
+	v.receive_announcements();
 	EXPECT_EQ(6u, memb_count_fleet_serving(v.mb));
 	/* A hub of the other hall announces more than the own box knows. */
 	v.infos[4].serving_gates = 40;
-	v.hear();
+	v.receive_announcements();
 	EXPECT_EQ(43u, memb_count_fleet_serving(v.mb));
 }
 
@@ -642,7 +645,7 @@
 
 TEST(Memb, ABoxThatDoesNotAnswerIsDeadUntilItRefutes)
 {
-	struct memb_info self = {}, b = {}, told = {};
+	struct memb_info self = {}, b = {}, suspected = {};
 	struct memb *m;
 	int64_t now = NS_S;
 
@@ -670,25 +673,25 @@
 	EXPECT_TRUE(memb_update(m, &b, now));
 	EXPECT_EQ(2u, memb_count_alive(m));
 	/* The own box is reported dead and refutes that. */
-	told.box = self.box;
-	told.started_ms = 3;
-	told.incarnation = 7;
-	told.dead = true;
-	EXPECT_TRUE(memb_update(m, &told, now));
+	suspected.box = self.box;
+	suspected.started_ms = 3;
+	suspected.incarnation = 7;
+	suspected.dead = true;
+	EXPECT_TRUE(memb_update(m, &suspected, now));
 	EXPECT_EQ(8u, memb_self(m)->incarnation);
-	EXPECT_FALSE(memb_update(m, &told, now));
+	EXPECT_FALSE(memb_update(m, &suspected, now));
 	memb_free(m);
 }
 
 TEST(Memb, UpdatesAreSentALimitedNumberOfTimes)
 {
 	uint64_t seed = 5;
-	struct rnd rnd = {step_random, &seed};
+	struct rnd rnd = {next_random, &seed};
 	const struct memb_member *out[6];
 	struct memb_info self = {}, b = {};
 	std::vector<std::string> names;
 	struct memb *m;
-	size_t told = 0, rest;
+	size_t sent = 0, last;
 
 	self.box = STR_LIT("a");
 	m = memb_new(&self);
@@ -700,11 +703,11 @@
 		memb_update(m, &b, NS_S);
 	}
 	for (int i = 0; i < 2000; i++)
-		told += memb_collect_updates(m, &rnd, str_c(NULL), out, 6);
+		sent += memb_collect_updates(m, &rnd, str_c(NULL), out, 6);
 	/* 100 updates, each sent about ten times, then one a message. */
-	EXPECT_LT(told, 100u * 20 + 2000);
-	rest = memb_collect_updates(m, &rnd, str_c(NULL), out, 6);
-	EXPECT_LE(rest, 1u);
+	EXPECT_LT(sent, 100u * 20 + 2000);
+	last = memb_collect_updates(m, &rnd, str_c(NULL), out, 6);
+	EXPECT_LE(last, 1u);
 	memb_free(m);
 }
 
@@ -766,7 +769,7 @@
 TEST(Probe, StaysInItsBudgetAndReportsChanges)
 {
 	uint64_t seed = 9;
-	struct rnd rnd = {step_random, &seed};
+	struct rnd rnd = {next_random, &seed};
 	Probing p;
 	struct probe_ops ops = {Probing::on_probe, Probing::on_change, &p};
 	int64_t now = NS_S;
@@ -819,7 +822,7 @@
 }
 
 std::string
-sample_hello()
+sample_announcement()
 {
 	struct memb_info other = {};
 	struct msg m = {};
@@ -839,7 +842,7 @@
 
 TEST(Msg, RoundTrip)
 {
-	std::string bytes = sample_hello();
+	std::string bytes = sample_announcement();
 	struct msg m;
 
 	ASSERT_TRUE(msg_decode(bytes.data(), bytes.size(), &m, nullptr));
@@ -886,7 +889,7 @@
 TEST(Fuzz, MessagesSelectorsDocumentsAndObjects)
 {
 	std::mt19937 rng(4);
-	std::string announcement = sample_hello();
+	std::string announcement = sample_announcement();
 	const std::string sel = "app=directory,hall in (north,south),!cold";
 	const std::string toml =
 	    "[[rule]]\nname = \"x\"\npath = \"/\"\nrate = 3\n";
@@ -894,7 +897,7 @@
 	    R"({"address":"127.0.0.1:1","hall":"n","labels":{"a":"b"}})";
 
 	for (int i = 0; i < 20000; i++) {
-		auto spoil = [&](std::string s) {
+		auto corrupt = [&](std::string s) {
 			size_t n = 1 + rng() % 4;
 
 			for (size_t k = 0; k < n && !s.empty(); k++) {
@@ -907,16 +910,16 @@
 			}
 			return s;
 		};
-		std::string b = spoil(announcement);
+		std::string b = corrupt(announcement);
 		struct msg m;
 
 		if (msg_decode(b.data(), b.size(), &m, nullptr))
 			msg_release(&m);
-		b = spoil(sel);
+		b = corrupt(sel);
 		sel_free(sel_parse(view(b), nullptr));
-		b = spoil(toml);
+		b = corrupt(toml);
 		doc_free(doc_parse(b.data(), b.size(), "f", nullptr));
-		b = spoil(json);
+		b = corrupt(json);
 		json_t *spec = json_loadb(b.data(), b.size(), 0, nullptr);
 		if (spec != nullptr)
 			obj_free(obj_read(
--- a/regress/test_up.cpp
+++ b/regress/test_up.cpp
@@ -36,7 +36,7 @@
 class Peer
 {
       public:
-	using Serve = std::function<void(int fd, int turn)>;
+	using Serve = std::function<void(int fd, int connection_number)>;
 
 	explicit Peer(Serve fn) : serve(fn)
 	{
@@ -97,7 +97,7 @@
 }
 
 void
-say(int fd, const std::string &text)
+send_text(int fd, const std::string &text)
 {
 	EXPECT_EQ(static_cast<ssize_t>(text.size()),
 	    write(fd, text.data(), text.size()));
@@ -115,7 +115,7 @@
 /* The response and the outcome of a call. */
 struct Call {
 	int status = 0;
-	std::string body, end;
+	std::string body, outcome;
 	bool sent = false;
 
 	static void connected(void *ctx, struct up_call *)
@@ -127,7 +127,7 @@
 	{
 		static_cast<Call *>(ctx)->status = status;
 	}
-	static void take(Call *c, struct up_call *call)
+	static void append_body(Call *c, struct up_call *call)
 	{
 		h2o_buffer_t **b = up_body(call);
 
@@ -136,16 +136,16 @@
 	}
 	static void on_body(void *ctx, struct up_call *call)
 	{
-		take(static_cast<Call *>(ctx), call);
+		append_body(static_cast<Call *>(ctx), call);
 	}
 	static void on_end(void *ctx, struct up_call *call)
 	{
-		take(static_cast<Call *>(ctx), call);
-		static_cast<Call *>(ctx)->end = "whole";
+		append_body(static_cast<Call *>(ctx), call);
+		static_cast<Call *>(ctx)->outcome = "whole";
 	}
 	static void fail(void *ctx, struct up_call *, enum err_kind kind)
 	{
-		static_cast<Call *>(ctx)->end = err_answer(kind)->name;
+		static_cast<Call *>(ctx)->outcome = err_answer(kind)->name;
 	}
 };
 
@@ -176,8 +176,8 @@
 	 * Calls a peer and waits for the end.  With a pause the response and
 	 * the close have arrived before the loop reads the socket.
 	 */
-	Call
-	get(const std::string &address, bool fresh = false, int pause_ms = 0)
+	Call get(const std::string &address, bool new_connection = false,
+	    int pause_ms = 0)
 	{
 		struct up_request rq = {};
 		int64_t until = clk_ns(clk_system()) + 5 * NS_S;
@@ -187,17 +187,17 @@
 		rq.host = rq.address;
 		rq.method = STR_LIT("GET");
 		rq.path = STR_LIT("/");
-		rq.new_connection = fresh;
+		rq.new_connection = new_connection;
 		up_start(up, &rq, &ops, &c);
 		while (pause_ms > 0 && !c.sent)
 			uv_run(&loop, UV_RUN_ONCE);
 		usleep(static_cast<unsigned>(pause_ms) * 1000);
-		while (c.end.empty() && clk_ns(clk_system()) < until)
+		while (c.outcome.empty() && clk_ns(clk_system()) < until)
 			uv_run(&loop, UV_RUN_ONCE);
 		return c;
 	}
 
-	void idle(int ms)
+	void run_for(int ms)
 	{
 		int64_t until = clk_ns(clk_system()) + ms * NS_MS;
 
@@ -208,7 +208,8 @@
 	}
 };
 
-const char *const ok = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const char *const OK_RESPONSE =
+    "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 } // namespace
 
@@ -216,13 +217,13 @@
 {
 	Peer peer([](int fd, int) {
 		read_head(fd);
-		say(fd,
+		send_text(fd,
 		    "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nsome bytes");
 	});
 	Client client;
 	Call c = client.get(peer.address);
 
-	EXPECT_EQ("whole", c.end);
+	EXPECT_EQ("whole", c.outcome);
 	EXPECT_EQ("some bytes", c.body);
 }
 
@@ -235,14 +236,15 @@
 	for (int pause_ms : {0, 20}) {
 		Peer peer([](int fd, int) {
 			read_head(fd);
-			say(fd,
+			send_text(fd,
 			    "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n"
 			    "some bytes");
 			reset_on_close(fd);
 		});
 		Client client;
 
-		EXPECT_EQ("cut", client.get(peer.address, false, pause_ms).end)
+		EXPECT_EQ(
+		    "cut", client.get(peer.address, false, pause_ms).outcome)
 		    << pause_ms;
 	}
 }
@@ -258,19 +260,21 @@
 		Peer peer([text](int fd, int) {
 			read_head(fd);
 			if (*text != '\0')
-				say(fd, text);
+				send_text(fd, text);
 		});
 		Client client;
 
-		EXPECT_EQ("cut", client.get(peer.address).end) << text;
+		EXPECT_EQ("cut", client.get(peer.address).outcome) << text;
 	}
 }
 
 TEST(Up, BytesBehindAResponseBelongToNoRequest)
 {
-	Peer peer([](int fd, int turn) {
+	Peer peer([](int fd, int connection_number) {
 		read_head(fd);
-		say(fd, std::string(ok) + (turn == 1 ? ok : ""));
+		send_text(fd,
+		    std::string(OK_RESPONSE) +
+			(connection_number == 1 ? OK_RESPONSE : ""));
 		read_head(fd);
 	});
 	Client client;
@@ -282,19 +286,19 @@
 
 TEST(Up, AnUnsolicitedResponseEndsAnIdleConnection)
 {
-	Peer peer([](int fd, int turn) {
+	Peer peer([](int fd, int connection_number) {
 		read_head(fd);
-		say(fd, ok);
-		if (turn == 1) {
+		send_text(fd, OK_RESPONSE);
+		if (connection_number == 1) {
 			usleep(20000);
-			say(fd, ok);
+			send_text(fd, OK_RESPONSE);
 		}
 		read_head(fd);
 	});
 	Client client;
 
 	EXPECT_EQ("ok", client.get(peer.address).body);
-	client.idle(60);
+	client.run_for(60);
 	EXPECT_EQ("ok", client.get(peer.address).body);
 	EXPECT_EQ(2, peer.connections);
 }
@@ -303,7 +307,7 @@
 {
 	Peer peer([](int fd, int) {
 		while (read_head(fd))
-			say(fd,
+			send_text(fd,
 			    "HTTP/1.1 200 OK\r\nkeep-alive: timeout=1\r\n"
 			    "content-length: 0\r\n\r\n");
 	});
@@ -312,26 +316,26 @@
 	client.get(peer.address);
 	client.get(peer.address);
 	EXPECT_EQ(1, peer.connections);
-	client.idle(900); /* used for four fifths of its second */
+	client.run_for(900); /* used for four fifths of its second */
 	client.get(peer.address);
 	EXPECT_EQ(2, peer.connections);
 }
 
 TEST(Up, ANewConnectionIsUsedIfRequested)
 {
-	Peer peer([](int fd, int turn) {
+	Peer peer([](int fd, int connection_number) {
 		/* The first connection ends after one response. */
 		while (read_head(fd)) {
-			say(fd, ok);
-			if (turn == 1)
+			send_text(fd, OK_RESPONSE);
+			if (connection_number == 1)
 				break;
 		}
-		usleep(turn == 1 ? 50000 : 0);
+		usleep(connection_number == 1 ? 50000 : 0);
 	});
 	Client client;
 
-	EXPECT_EQ("whole", client.get(peer.address).end);
-	EXPECT_EQ("whole", client.get(peer.address, true).end);
+	EXPECT_EQ("whole", client.get(peer.address).outcome);
+	EXPECT_EQ("whole", client.get(peer.address, true).outcome);
 	EXPECT_EQ(2, peer.connections);
 }
 
@@ -339,7 +343,8 @@
 {
 	Peer peer([](int fd, int) {
 		read_head(fd);
-		say(fd, std::string("HTTP/1.1 100 Continue\r\n\r\n") + ok);
+		send_text(fd,
+		    std::string("HTTP/1.1 100 Continue\r\n\r\n") + OK_RESPONSE);
 		read_head(fd);
 	});
 	Client client;
@@ -360,7 +365,7 @@
 	Client client;
 	Call c = client.get(address);
 
-	EXPECT_EQ("connect", c.end);
+	EXPECT_EQ("connect", c.outcome);
 	EXPECT_FALSE(c.sent);
 }
 
@@ -425,13 +430,13 @@
 {
 
 /* A server that answers at once, but keeps a request for /wait. */
-struct Door {
-	h2o_req_t *kept = nullptr;
+struct Handler {
+	h2o_req_t *held_request = nullptr;
 
 	static void on_request(void *ctx, h2o_req_t *req)
 	{
 		if (str_eq(hsrv_path(req), STR_LIT("/wait")))
-			static_cast<Door *>(ctx)->kept = req;
+			static_cast<Handler *>(ctx)->held_request = req;
 		else
 			hsrv_send_response(
 			    req, 200, "text/plain", STR_LIT("yes"));
@@ -439,11 +444,12 @@
 };
 
 /* A thread that sends a request and reads until the connection ends. */
-struct Visit {
+struct RequestThread {
 	std::atomic<bool> answered{false}, closed{false};
 	std::thread thread;
 
-	Visit(const std::string &ip, uint16_t port, const std::string &path)
+	RequestThread(
+	    const std::string &ip, uint16_t port, const std::string &path)
 	    : thread([this, ip, port, path] { run(ip, port, path); })
 	{
 	}
@@ -458,7 +464,7 @@
 		inet_pton(AF_INET, ip.c_str(), &sa.sin_addr);
 		sa.sin_port = htons(port);
 		EXPECT_EQ(0, connect(fd, (struct sockaddr *)&sa, sizeof(sa)));
-		say(fd, "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
+		send_text(fd, "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
 		answered = read_head(fd);
 		while (read(fd, &byte, 1) == 1)
 			;
@@ -476,32 +482,34 @@
 	std::string address = ip + ":" + std::to_string(port);
 	uv_loop_t *loop = uv_default_loop();
 	GError *err = nullptr;
-	Door door;
+	Handler handler;
 	struct hsrv *s = hsrv_open(loop, str_n(address.data(), address.size()),
-	    1024, Door::on_request, &door, &err);
+	    1024, Handler::on_request, &handler, &err);
 
 	ASSERT_NE(nullptr, s) << err->message;
-	Visit idle(ip, port, "/"), busy(ip, port, "/wait");
-	auto turn = [&](int ms, const std::function<bool()> &done) {
+	RequestThread idle(ip, port, "/"), busy(ip, port, "/wait");
+	auto run_until = [&](int ms, const std::function<bool()> &done) {
 		for (int i = 0; i < ms && !done(); i++) {
 			uv_run(loop, UV_RUN_NOWAIT);
 			usleep(1000);
 		}
 		return done();
 	};
-	EXPECT_TRUE(
-	    turn(3000, [&] { return idle.answered && door.kept != nullptr; }));
-	turn(150, [] { return false; });
+	EXPECT_TRUE(run_until(3000,
+	    [&] { return idle.answered && handler.held_request != nullptr; }));
+	run_until(150, [] { return false; });
 	EXPECT_FALSE(idle.closed);
 	hsrv_close_idle(s, 100);
-	EXPECT_TRUE(turn(3000, [&] { return idle.closed.load(); }));
+	EXPECT_TRUE(run_until(3000, [&] { return idle.closed.load(); }));
 	EXPECT_FALSE(busy.closed);
-	ASSERT_NE(nullptr, door.kept);
-	door.kept->http1_is_persistent = 0;
-	hsrv_send_response(door.kept, 200, "text/plain", STR_LIT("yes"));
-	EXPECT_TRUE(turn(3000, [&] { return busy.answered && busy.closed; }));
+	ASSERT_NE(nullptr, handler.held_request);
+	handler.held_request->http1_is_persistent = 0;
+	hsrv_send_response(
+	    handler.held_request, 200, "text/plain", STR_LIT("yes"));
+	EXPECT_TRUE(
+	    run_until(3000, [&] { return busy.answered && busy.closed; }));
 	hsrv_stop_accepting(s);
-	turn(10, [] { return false; });
+	run_until(10, [] { return false; });
 	idle.thread.join();
 	busy.thread.join();
 }
--- a/regress/test_wire.cpp
+++ b/regress/test_wire.cpp
@@ -34,14 +34,14 @@
 
 struct Inbox {
 	struct wire *wire;
-	int taken = 0;
+	int received = 0;
 	std::vector<std::string> boxes; /* in received lists of members */
 
-	static void take(void *ctx, const struct msg *m)
+	static void on_message(void *ctx, const struct msg *m)
 	{
 		Inbox *in = static_cast<Inbox *>(ctx);
 
-		in->taken++;
+		in->received++;
 		if (m->kind != MSG_MEMBERS)
 			return;
 		auto *v = static_cast<const struct memb_info *>(
@@ -55,7 +55,8 @@
 		GError *err = nullptr;
 
 		wire = wire_open(uv_default_loop(),
-		    str_n(address.data(), address.size()), take, this, &err);
+		    str_n(address.data(), address.size()), on_message, this,
+		    &err);
 		if (wire == nullptr)
 			throw std::runtime_error(err->message);
 	}
@@ -68,7 +69,7 @@
 };
 
 bool
-until(const std::function<bool()> &done, int ms)
+run_until(const std::function<bool()> &done, int ms)
 {
 	uint64_t end = uv_hrtime() + static_cast<uint64_t>(ms) * 1000000;
 
@@ -104,11 +105,11 @@
  * A socket whose backlog is full: attempts to connect get no reply, as at a
  * machine without power.
  */
-struct Silent {
+struct FullBacklog {
 	int listener;
 	std::vector<int> fill;
 
-	explicit Silent(const struct sockaddr_in &sa)
+	explicit FullBacklog(const struct sockaddr_in &sa)
 	{
 		int on = 1;
 
@@ -127,7 +128,7 @@
 		}
 	}
 
-	~Silent()
+	~FullBacklog()
 	{
 		for (int fd : fill)
 			close(fd);
@@ -144,7 +145,7 @@
  */
 TEST(Wire, APeerThatWasSilentIsReachedSoonAfterItIsBack)
 {
-	std::string ip = net::own_ip(), at = address(ip);
+	std::string ip = net::own_ip(), peer = address(ip);
 	struct sockaddr_in sa = {};
 	struct msg m = {};
 	Inbox own(address(net::own_ip()));
@@ -154,14 +155,14 @@
 	sa.sin_port = htons(PORT);
 	m.kind = MSG_PING;
 	{
-		Silent silent(sa);
+		FullBacklog full_backlog(sa);
 
 		EXPECT_TRUE(
-		    wire_send(own.wire, str_n(at.data(), at.size()), &m));
-		until([] { return false; }, 2100);
+		    wire_send(own.wire, str_n(peer.data(), peer.size()), &m));
+		run_until([] { return false; }, 2100);
 	}
-	Inbox back(at);
-	EXPECT_TRUE(until([&] { return back.taken == 1; }, 750));
+	Inbox restarted(peer);
+	EXPECT_TRUE(run_until([&] { return restarted.received == 1; }, 750));
 }
 
 /*
@@ -170,7 +171,7 @@
  */
 TEST(Wire, ALargeMessageIsCompressedAndArrivesWhole)
 {
-	std::string ip = net::own_ip(), at = address(alias(ip));
+	std::string ip = net::own_ip(), peer = address(alias(ip));
 	std::vector<std::string> names;
 	std::vector<struct memb_info> infos;
 	/* The alias makes them leave the process, which own messages don't. */
@@ -193,8 +194,8 @@
 	m.kind = MSG_MEMBERS;
 	m.u.members.members = {infos.data(), infos.size()};
 	for (int i = 0; i < 3; i++)
-		EXPECT_TRUE(wire_send(a.wire, str_c(at.c_str()), &m));
-	ASSERT_TRUE(until([&] { return b.taken == 3; }, 2000));
+		EXPECT_TRUE(wire_send(a.wire, str_c(peer.c_str()), &m));
+	ASSERT_TRUE(run_until([&] { return b.received == 3; }, 2000));
 	EXPECT_EQ(3 * names.size(), b.boxes.size());
 	EXPECT_EQ(names[499], b.boxes.back());
 	EXPECT_GT(3 * plain / 5, wire_get_totals(b.wire)->bytes_in);
@@ -207,7 +208,7 @@
  */
 TEST(Wire, AMalformedCompressedMessageIsDropped)
 {
-	std::string ip = net::own_ip(), at = address(alias(ip));
+	std::string ip = net::own_ip(), peer = address(alias(ip));
 	/* The alias makes them leave the process, which own messages don't. */
 	Inbox a(address(net::own_ip())), b(address(ip));
 	struct msg ping = {}, inner = {}, m = {};
@@ -216,31 +217,32 @@
 	ping.kind = MSG_PING;
 	msgpack_sbuffer_init(&buf);
 	msg_encode(&ping, &buf);
-	struct str zipped = zip_deflate(str_n(buf.data, buf.size));
+	struct str compressed = zip_deflate(str_n(buf.data, buf.size));
 	inner.kind = MSG_DEFLATED;
-	inner.u.deflated = {buf.size, zipped};
+	inner.u.deflated = {buf.size, compressed};
 	msgpack_sbuffer_init(&nested);
 	msg_encode(&inner, &nested);
 	struct str twice = zip_deflate(str_n(nested.data, nested.size));
 	struct {
 		uint64_t size;
 		struct str data;
-	} bad[] = {{buf.size, STR_LIT("no such thing")}, {buf.size - 1, zipped},
-	    {buf.size + 1, zipped}, {UINT64_MAX, zipped}, {nested.size, twice}};
+	} bad[] = {{buf.size, STR_LIT("no such thing")},
+	    {buf.size - 1, compressed}, {buf.size + 1, compressed},
+	    {UINT64_MAX, compressed}, {nested.size, twice}};
 	for (auto &v : bad) {
 		m = {};
 		m.kind = MSG_DEFLATED;
 		m.u.deflated = {v.size, v.data};
-		EXPECT_TRUE(wire_send(a.wire, str_c(at.c_str()), &m));
+		EXPECT_TRUE(wire_send(a.wire, str_c(peer.c_str()), &m));
 	}
 	m = {};
 	m.kind = MSG_DEFLATED;
-	m.u.deflated = {buf.size, zipped};
-	EXPECT_TRUE(wire_send(a.wire, str_c(at.c_str()), &m));
-	ASSERT_TRUE(until([&] { return b.taken == 1; }, 2000));
+	m.u.deflated = {buf.size, compressed};
+	EXPECT_TRUE(wire_send(a.wire, str_c(peer.c_str()), &m));
+	ASSERT_TRUE(run_until([&] { return b.received == 1; }, 2000));
 	EXPECT_EQ(5u, wire_get_totals(b.wire)->malformed);
 	msgpack_sbuffer_destroy(&buf);
 	msgpack_sbuffer_destroy(&nested);
-	str_free(&zipped);
+	str_free(&compressed);
 	str_free(&twice);
 }
