--- a/regress/test_disp.cpp
+++ b/regress/test_disp.cpp
@@ -391,7 +391,7 @@
 	}
 	EXPECT_TRUE(r[2].d.queued);
 	w.backends(1, 2, -1, true);
-	EXPECT_TRUE(r[2].forwarded); /* capacity unknown */
+	EXPECT_TRUE(r[2].forwarded); /* at any capacity */
 	EXPECT_EQ(0, disp_capacity_of(w.disp).slots);
 	/* A retry is forwarded as well. */
 	r[0].d.can_forward = true;
--- a/regress/test_load.cpp
+++ b/regress/test_load.cpp
@@ -153,8 +153,9 @@
 
 /*
  * The retry budget allows less than one second attempt for each request.  If it
- * is spent on requests on their last call, a request stays unserved only after
- * four refusals in a row: three calls and one second attempt.
+ * is spent on requests whose callers have no retry left, a request stays
+ * unserved only after four refusals in a row: three calls and one second
+ * attempt.
  */
 TEST(Load, RetriedRequestsGoFirstIfTheBudgetIsShort)
 {
@@ -207,8 +208,8 @@
 }
 
 /*
- * The dispatcher comes close to a reference with perfect knowledge; each
- * pattern has its own bound.
+ * The dispatcher comes within a tenth of a reference with perfect knowledge, or
+ * within the bound of a pattern that has its own.
  */
 TEST(Load, NoPatternFallsFarBehindTheReference)
 {
--- a/regress/test_paced.cpp
+++ b/regress/test_paced.cpp
@@ -550,7 +550,7 @@
 	w.submit(&r[1]);
 	EXPECT_TRUE(r[1].ended);
 	EXPECT_EQ(ERR_BUSY, r[1].kind);
-	/* No load queries in a pause; one server is enough to end it. */
+	/* No load queries in a pause; one server without it is enough. */
 	EXPECT_TRUE(w.load_queries.empty());
 	w.now += 3 * NS_S;
 	EXPECT_TRUE(disp_pause_reported(
