--- a/regress/disp_world.h
+++ b/regress/disp_world.h
@@ -167,8 +167,12 @@
 		disp_free(disp);
 	}
 
+	/*
+	 * Configures n backend servers "b0", "b1", ...; the one with the
+	 * number `drained` (-1: none) drains.
+	 */
 	void
-	backends(int n, int slots, int drained = -1, bool evacuated = false)
+	set_backends(int n, int slots, int drained = -1, bool evacuated = false)
 	{
 		std::vector<struct disp_backend_conf> v;
 		static std::vector<std::string> names;
@@ -184,6 +188,7 @@
 		disp_set_backends(disp, v.data(), static_cast<unsigned>(n));
 	}
 
+	/* Submits a request to the dispatcher. */
 	Req *arrive(Req *r, int64_t deadline_ms = 1000,
 	    enum obj_class cls = CLASS_INTERACTIVE, bool repeatable = true)
 	{
@@ -197,6 +202,7 @@
 		return r;
 	}
 
+	/* Ends a request's attempt; returns true if it will be retried. */
 	bool end_attempt(Req *r, enum disp_outcome outcome)
 	{
 		if (outcome == DISP_CONN_BROKEN || outcome == DISP_SERVER_ERROR)
--- a/regress/test_disp.cpp
+++ b/regress/test_disp.cpp
@@ -50,7 +50,7 @@
 			w.now += 400 * NS_MS;
 			disp_tick(w.disp);
 		} else if (ev == DRAIN) {
-			w.backends(1, 1, 0);
+			w.set_backends(1, 1, 0);
 		} else if (ev % KINDS == ARRIVE) {
 			r->id = ev / KINDS;
 			w.arrive(r, 1000, CLASS_INTERACTIVE, r->id == 0);
@@ -88,7 +88,7 @@
 			World w;
 			std::vector<Req> reqs(2);
 
-			w.backends(1, 1);
+			w.set_backends(1, 1);
 			for (int ev : path)
 				apply(w, reqs, ev);
 			check(w, reqs);
@@ -134,7 +134,7 @@
 	World w;
 	std::vector<Req> r(5);
 
-	w.backends(1, 1);
+	w.set_backends(1, 1);
 	for (int i = 0; i < 5; i++)
 		r[static_cast<size_t>(i)].id = i;
 	w.arrive(&r[0]);
@@ -154,7 +154,7 @@
 	World w;
 	std::vector<Req> r(40);
 
-	w.backends(1, 1);
+	w.set_backends(1, 1);
 	w.warm_up(1); /* the service time is 5 ms */
 	for (auto &q : r)
 		w.arrive(&q, 100);
@@ -215,7 +215,7 @@
 		World w;
 		Req r;
 
-		w.backends(3, 3);
+		w.set_backends(3, 3);
 		w.arrive(&r, 1000, CLASS_INTERACTIVE, false);
 		EXPECT_FALSE(w.end_attempt(&r, o));
 		EXPECT_EQ(1, r.sends);
@@ -224,7 +224,7 @@
 		World w;
 		Req r;
 
-		w.backends(3, 3);
+		w.set_backends(3, 3);
 		w.arrive(&r, 1000, CLASS_INTERACTIVE, false);
 		EXPECT_TRUE(w.end_attempt(&r, o));
 		EXPECT_EQ(2, r.sends);
@@ -237,7 +237,7 @@
 	World w;
 	Req r;
 
-	w.backends(3, 3);
+	w.set_backends(3, 3);
 	r.d.is_retry = true;
 	w.arrive(&r);
 	EXPECT_TRUE(w.end_attempt(&r, DISP_REFUSED));
@@ -251,7 +251,7 @@
 	std::vector<Req> bulk(30), more(10);
 	int out = 0;
 
-	w.backends(4, 3);
+	w.set_backends(4, 3);
 	w.warm_up(4);
 	for (auto &r : bulk)
 		w.arrive(&r, 100000, CLASS_BULK);
@@ -283,7 +283,7 @@
 {
 	World w;
 
-	w.backends(6, 3);
+	w.set_backends(6, 3);
 	w.warm_up(6);
 	for (int i = 0; i < 200; i++) {
 		Req r;
@@ -314,7 +314,7 @@
 	World w;
 	std::vector<Req> r(6);
 
-	w.backends(1, 1);
+	w.set_backends(1, 1);
 	w.warm_up(1);
 	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
 	w.arrive(&r[0]);
@@ -345,7 +345,7 @@
 	std::vector<Req> r(5);
 	struct disp_capacity some = {6, 3, 0}, more = {6, 6, 0};
 
-	w.backends(1, 1);
+	w.set_backends(1, 1);
 	w.warm_up(1);
 	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
 	disp_set_hall_slots(w.disp, STR_LIT("overseas"), 6);
@@ -366,7 +366,7 @@
 	w.arrive(&r[3]);
 	EXPECT_TRUE(r[3].d.queued);
 	/* Evacuation of this hall does not lift the restriction. */
-	w.backends(1, 1, -1, true);
+	w.set_backends(1, 1, -1, true);
 	disp_tick(w.disp);
 	EXPECT_FALSE(r[3].forwarded);
 	EXPECT_EQ(ERR_NO_BACKEND, r[3].kind);
@@ -382,7 +382,7 @@
 	World w;
 	std::vector<Req> r(6);
 
-	w.backends(1, 2);
+	w.set_backends(1, 2);
 	w.warm_up(1);
 	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
 	for (size_t i = 0; i < 3; i++) {
@@ -390,7 +390,7 @@
 		w.arrive(&r[i]);
 	}
 	EXPECT_TRUE(r[2].d.queued);
-	w.backends(1, 2, -1, true);
+	w.set_backends(1, 2, -1, true);
 	EXPECT_TRUE(r[2].forwarded); /* at any capacity */
 	EXPECT_EQ(0, disp_capacity_of(w.disp).slots);
 	/* A retry is forwarded as well. */
@@ -404,7 +404,7 @@
 	w.end_attempt(&r[1], DISP_OK);
 	/* After the evacuation the server is cold: one request at a time. */
 	w.now += NS_S;
-	w.backends(1, 2);
+	w.set_backends(1, 2);
 	r[4].d.can_forward = r[5].d.can_forward = false;
 	w.arrive(&r[4]);
 	w.arrive(&r[5]);
@@ -424,7 +424,7 @@
 	std::vector<Req> r(12);
 	struct disp_capacity none = {0, 0, 0}, some = {6, 0, 0};
 
-	w.backends(1, 1);
+	w.set_backends(1, 1);
 	w.warm_up(1);
 	disp_set_hall_slots(w.disp, STR_LIT("south"), 6);
 	disp_set_hall_capacity(w.disp, STR_LIT("south"), &none);
@@ -487,7 +487,7 @@
 	std::vector<Server> servers(N);
 
 	w.seed = seed;
-	w.backends(N, SLOTS);
+	w.set_backends(N, SLOTS);
 	auto finish = [&](Req *r, enum disp_outcome o) {
 		if (w.end_attempt(r, o))
 			return;
@@ -590,7 +590,7 @@
 	World w;
 	Req r;
 
-	w.backends(1, 3);
+	w.set_backends(1, 3);
 	for (int i = 0; i < 20; i++) {
 		Req fast;
 
@@ -598,7 +598,7 @@
 		w.now += NS_MS;
 		w.end_attempt(&fast, DISP_OK);
 	}
-	w.backends(2, 3);
+	w.set_backends(2, 3);
 	w.arrive(&r);
 	EXPECT_TRUE(str_eq(r.d.backend->name, STR_LIT("b1")));
 	w.end_attempt(&r, DISP_OK);
@@ -610,7 +610,7 @@
 	Req old, fresh[2], next;
 	struct pick_backend *slow;
 
-	w.backends(2, 3);
+	w.set_backends(2, 3);
 	w.warm_up(2);
 	w.arrive(&old, 1000, CLASS_INTERACTIVE, false);
 	slow = old.d.backend;
@@ -632,7 +632,7 @@
 	Req r, not_repeatable;
 	struct pick_backend *first;
 
-	w.backends(2, 3);
+	w.set_backends(2, 3);
 	w.warm_up(2);
 	w.arrive(&not_repeatable, 1000, CLASS_INTERACTIVE, false);
 	w.arrive(&r);
--- a/regress/test_gossip.cpp
+++ b/regress/test_gossip.cpp
@@ -44,6 +44,7 @@
 
 struct Fleet;
 
+/* A box with its membership and gossip, and the cost that it had. */
 struct Box {
 	Fleet *fleet = nullptr;
 	std::string name, hall, inbox;
@@ -66,6 +67,7 @@
 	}
 };
 
+/* All boxes, the network and the platform, in virtual time. */
 struct Fleet {
 	int64_t now = 1000 * NS_S;
 	uint64_t seed;
@@ -317,7 +319,7 @@
 		});
 	}
 
-	/* Returns whether the box did not run at this time yet. */
+	/* Returns whether this is the box's first run at this time. */
 	std::map<Box *, int64_t> last_run;
 	bool is_first_run(Box &b)
 	{
@@ -698,7 +700,7 @@
 	EXPECT_EQ(0, wrong_hubs(*f));
 }
 
-/* A minute after that no more traffic than usual is left. */
+/* The hub dies without an announcement; after a minute traffic is as usual. */
 TEST(Gossip, AHubThatDiesIsKnownToBeDeadInItsHall)
 {
 	auto f = settled_fleet(473);
@@ -859,6 +861,7 @@
 namespace
 {
 
+/* Services and gates of a hall, for the tests of home_assign(). */
 struct Assignment {
 	std::vector<std::string> names, boxes;
 
--- a/regress/test_hsrv.cpp
+++ b/regress/test_hsrv.cpp
@@ -118,6 +118,7 @@
 	}
 };
 
+/* A connection to the server, and what it received from there. */
 struct Caller {
 	int fd;
 	std::string received;
--- a/regress/test_paced.cpp
+++ b/regress/test_paced.cpp
@@ -30,7 +30,7 @@
 struct Paced : World {
 	explicit Paced(int n) : World("pace")
 	{
-		backends(n, 3);
+		set_backends(n, 3);
 		for (int i = 0; i < 12 * n; i++) {
 			Req r;
 
@@ -297,7 +297,7 @@
 	World w("pace");
 	Req r, next;
 
-	w.backends(2, 3);
+	w.set_backends(2, 3);
 	r.d.target = w.now + 100 * NS_MS;
 	w.arrive(&r, 400);
 	EXPECT_EQ(2u, w.load_queries.size());
@@ -320,7 +320,7 @@
 	World w("pace");
 	int sent_to_slow = 0;
 
-	w.backends(2, 3);
+	w.set_backends(2, 3);
 	for (int i = 0; i < 60; i++) {
 		Req r;
 
@@ -361,7 +361,7 @@
 	p.bulk_percent = 40;
 	p.cold = {3.75, 4, 3 * NS_S};
 	disp_configure(w.disp, &p);
-	w.backends(2, 3);
+	w.set_backends(2, 3);
 	EXPECT_EQ(2u, w.load_queries.size());
 	for (auto &q : r) {
 		q.d.target = w.now - NS_MS;
@@ -415,7 +415,7 @@
 	p.chart = w.chart;
 	p.cold = {3.75, 4, 3 * NS_S};
 	disp_configure(w.disp, &p);
-	w.backends(n, 2);
+	w.set_backends(n, 2);
 	/* At the start each reply allows the next query, without a tick. */
 	while (!w.load_queries.empty() && queried.size() < n) {
 		most_open = std::max(most_open, w.load_queries.size());
--- a/regress/test_poison.cpp
+++ b/regress/test_poison.cpp
@@ -108,7 +108,7 @@
 		prm.poison = records.p;
 		prm.hall = STR_LIT("north");
 		disp_configure(disp, &prm);
-		backends(n, 3);
+		set_backends(n, 3);
 		on_send = [this](Req *r, struct pick_backend *b) {
 			start_attempt(r, std::string(b->name.p, b->name.n));
 		};
--- a/regress/test_up.cpp
+++ b/regress/test_up.cpp
@@ -152,6 +152,7 @@
 const struct up_ops ops = {
     Call::connected, Call::head, Call::on_body, Call::on_end, Call::fail};
 
+/* The HTTP client with a loop of its own. */
 struct Client {
 	uv_loop_t loop;
 	struct tmr tmr;
--- a/regress/test_wire.cpp
+++ b/regress/test_wire.cpp
@@ -32,6 +32,7 @@
 namespace
 {
 
+/* An open inbox that counts the messages that it receives. */
 struct Inbox {
 	struct wire *wire;
 	int received = 0;
