--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,8 @@
-# fernjunction: README.md names the two commands that matter.
+# Builds fernjunction; README.md has the usual commands.
 
 include config.mk
 
-# Where the sources are; objects go where make runs.
+# Directory of the sources; objects go to the current directory.
 SRC = .
 vpath %.c $(SRC)
 vpath %.cpp $(SRC)
@@ -72,15 +72,17 @@
 	$(SRC)/regress/setup
 	$(SRC)/configure
 
-# make check SANITIZE=1 builds all anew with the sanitizers, and back.
+# SANITIZE=1, as in "make check SANITIZE=1", builds with the sanitizers.  The
+# target flavour removes all objects when this changes.
 ifeq ($(SANITIZE),1)
 SAN = -fsanitize=address,undefined -fno-omit-frame-pointer
 CFLAGS += $(SAN)
 CXXFLAGS += $(SAN)
 LDLIBS += $(SAN)
-# A small quarantine, so that tests of memory see what is used; malloc may say
-# no, as it does without the sanitizer: a malformed message may claim an array
-# of any length, and msgpack asks for its memory at once.
+# A small quarantine, so that tests of memory use measure memory in use rather
+# than freed memory.  malloc may return NULL, as it does without the sanitizer:
+# a malformed message may declare an array of any length, and msgpack allocates
+# memory for all of it at once.
 export ASAN_OPTIONS = \
 	detect_leaks=0:quarantine_size_mb=4:allocator_may_return_null=1
 export UBSAN_OPTIONS = halt_on_error=1
@@ -91,7 +93,7 @@
 	    $(MAKE) clean-objects
 	@echo "san$(SANITIZE)" >.flavour
 
-# Built with all processors; CI runs on a machine of its own.
+# Uses all processors, as CI runs on a machine of its own.
 build-all: flavour
 	$(MAKE) -j $$(nproc) $(PROGS) $(STANDINS) $(TESTS) $(BENCHES)
 
--- a/agent_open.c
+++ b/agent_open.c
@@ -143,9 +143,9 @@
 	.min = 0,
 	.max = 86400000},
     {.name = "status_by",
-	.type = FIELD_WORD,
+	.type = FIELD_CHOICE,
 	.offset = F(status_by),
-	.words = words_status_by},
+	.choices = words_status_by},
     {.name = "contracts",
 	.type = FIELD_STR,
 	.offset = F(contracts),
@@ -238,12 +238,12 @@
 	a->wire = wire_open(
 	    a->loop, a->settings.inbox, agent_peer_on_message, a, err);
 	if (a->wire == NULL)
-		return err_at(err, "inbox");
+		return err_prefix_setting(err, "inbox");
 	if (a->settings.admin_listen.n > 0) {
 		a->admin = hsrv_open(a->loop, a->settings.admin_listen,
 		    ADMIN_BODY_MAX, agent_stat_page, a, err);
 		if (a->admin == NULL)
-			return err_at(err, "admin_listen");
+			return err_prefix_setting(err, "admin_listen");
 	}
 	agent_deletion_open(a);
 	agent_push_open(a);
--- a/chart.c
+++ b/chart.c
@@ -17,19 +17,21 @@
 struct chart {
 	const struct chart_names *names;
 	int start;
-	int *next; /* nstates rows of nevents */
+	int *next; /* the next state: nstates rows of nevents */
 };
 
-static int find(const char *const *, int, const char *);
+/* Returns the index of a name, -1 if there is none. */
+static int find_name(const char *const *, int, const char *);
 static bool read_states(struct chart *, const struct doc *, GError **);
 static bool
 read_state(struct chart *, int, const struct doc *, json_t *, GError **);
-static bool check_reach(const struct chart *, const char *, GError **);
+/* Checks that each state can be reached from the start state. */
+static bool check_reachable(const struct chart *, const char *, GError **);
 static struct chart *
 compile(struct doc *, const struct chart_names *, GError **);
 
 static int
-find(const char *const *names, int n, const char *name)
+find_name(const char *const *names, int n, const char *name)
 {
 	int i;
 
@@ -43,25 +45,26 @@
 read_state(struct chart *c, int state, const struct doc *doc, json_t *row,
     GError **err)
 {
-	const struct chart_names *nm = c->names;
+	const struct chart_names *names = c->names;
 	const char *key;
 	json_t *value;
-	int i, to;
+	int i, next_state;
 
 	json_object_foreach (row, key, value) {
-		if (find(nm->events, nm->nevents, key) < 0)
+		if (find_name(names->events, names->nevents, key) < 0)
 			return err_set(err, ERR_CHART,
 			    "%s:%d: %s: unknown event %s", doc->file,
-			    doc_line(doc, row, key), nm->states[state], key);
+			    doc_line(doc, row, key), names->states[state], key);
 	}
-	for (i = 0; i < nm->nevents; i++) {
-		value = json_object_get(row, nm->events[i]);
-		to = find(nm->states, nm->nstates, json_string_value(value));
-		if (to < 0)
+	for (i = 0; i < names->nevents; i++) {
+		value = json_object_get(row, names->events[i]);
+		next_state = find_name(
+		    names->states, names->nstates, json_string_value(value));
+		if (next_state < 0)
 			return err_set(err, ERR_CHART,
 			    "%s: state %s: event %s leads to no known state",
-			    doc->file, nm->states[state], nm->events[i]);
-		c->next[state * nm->nevents + i] = to;
+			    doc->file, names->states[state], names->events[i]);
+		c->next[state * names->nevents + i] = next_state;
 	}
 	return true;
 }
@@ -69,23 +72,23 @@
 static bool
 read_states(struct chart *c, const struct doc *doc, GError **err)
 {
-	const struct chart_names *nm = c->names;
+	const struct chart_names *names = c->names;
 	json_t *states = json_object_get(doc->root, "state"), *row;
 	const char *key;
 	int i;
 
 	json_object_foreach (states, key, row) {
-		if (find(nm->states, nm->nstates, key) < 0)
+		if (find_name(names->states, names->nstates, key) < 0)
 			return err_set(err, ERR_CHART,
 			    "%s:%d: unknown state %s", doc->file,
 			    doc_line(doc, states, key), key);
 	}
-	for (i = 0; i < nm->nstates; i++) {
-		row = json_object_get(states, nm->states[i]);
+	for (i = 0; i < names->nstates; i++) {
+		row = json_object_get(states, names->states[i]);
 		if (!json_is_object(row))
 			return err_set(err, ERR_CHART,
 			    "%s: state %s is missing", doc->file,
-			    nm->states[i]);
+			    names->states[i]);
 		if (!read_state(c, i, doc, row, err))
 			return false;
 	}
@@ -93,29 +96,29 @@
 }
 
 static bool
-check_reach(const struct chart *c, const char *file, GError **err)
+check_reachable(const struct chart *c, const char *file, GError **err)
 {
-	const struct chart_names *nm = c->names;
-	bool *seen = g_new0(bool, nm->nstates), grew = true, ok = true;
+	const struct chart_names *names = c->names;
+	bool *reached = g_new0(bool, names->nstates), changed = true, ok = true;
 	int i, j;
 
-	seen[c->start] = true;
-	while (grew) {
-		grew = false;
-		for (i = 0; i < nm->nstates; i++) {
-			for (j = 0; seen[i] && j < nm->nevents; j++) {
-				if (seen[chart_step(c, i, j)])
+	reached[c->start] = true;
+	while (changed) {
+		changed = false;
+		for (i = 0; i < names->nstates; i++) {
+			for (j = 0; reached[i] && j < names->nevents; j++) {
+				if (reached[chart_step(c, i, j)])
 					continue;
-				seen[chart_step(c, i, j)] = grew = true;
+				reached[chart_step(c, i, j)] = changed = true;
 			}
 		}
 	}
-	for (i = 0; ok && i < nm->nstates; i++)
-		if (!seen[i])
+	for (i = 0; ok && i < names->nstates; i++)
+		if (!reached[i])
 			ok = err_set(err, ERR_CHART,
 			    "%s: state %s cannot be reached", file,
-			    nm->states[i]);
-	g_free(seen);
+			    names->states[i]);
+	g_free(reached);
 	return ok;
 }
 
@@ -128,11 +131,11 @@
 	c->names = names;
 	c->next = g_new0(int, names->nstates * names->nevents);
 	start = json_string_value(json_object_get(doc->root, "start"));
-	c->start = find(names->states, names->nstates, start);
+	c->start = find_name(names->states, names->nstates, start);
 	if (c->start < 0)
 		err_set(err, ERR_CHART, "%s: start: names no known state",
 		    doc->file);
-	else if (read_states(c, doc, err) && check_reach(c, doc->file, err))
+	else if (read_states(c, doc, err) && check_reachable(c, doc->file, err))
 		return c;
 	chart_free(c);
 	return NULL;
--- a/clk.c
+++ b/clk.c
@@ -23,9 +23,10 @@
 static const struct rnd sys_rnd = {sys_random, &sys_seed};
 
 /*
- * The steady clock that goes on while the box is suspended: all that rests on
- * age ages by it, and the next tick finds a pause.  By CLOCK_MONOTONIC a
- * deadline of 3 s was not met 2 s after a suspension of 5 s.
+ * CLOCK_BOOTTIME goes on while the box is suspended, so that leases, deadlines
+ * and other ages include that time and the next timer tick detects the pause.
+ * With CLOCK_MONOTONIC a deadline of 3 s had still not passed 2 s after a
+ * suspension of 5 s.
  */
 static struct timespec
 sys_mono(void *ctx)
@@ -50,7 +51,7 @@
 static uint64_t
 sys_random(void *ctx)
 {
-	return rnd_split(ctx);
+	return rnd_splitmix64(ctx);
 }
 
 const struct clk *
@@ -64,7 +65,7 @@
 {
 	if (sys_seed == 0 &&
 	    getrandom(&sys_seed, sizeof(sys_seed), 0) != sizeof(sys_seed))
-		g_error("clk: no random seed from the system");
+		g_error("clk: cannot read a random seed from the system");
 	return &sys_rnd;
 }
 
@@ -93,13 +94,13 @@
 int64_t
 rnd_jitter(const struct rnd *rnd, int64_t ns)
 {
-	int64_t half = ns / 2;
+	int64_t range = ns / 2;
 
-	return ns - ns / 4 + (int64_t)rnd_below(rnd, (uint64_t)half + 1);
+	return ns - ns / 4 + (int64_t)rnd_below(rnd, (uint64_t)range + 1);
 }
 
 uint64_t
-rnd_split(uint64_t *state)
+rnd_splitmix64(uint64_t *state)
 {
 	uint64_t z = (*state += UINT64_C(0x9e3779b97f4a7c15));
 
--- a/clk.h
+++ b/clk.h
@@ -14,42 +14,51 @@
 #include <stdint.h>
 #include <time.h>
 
-/* Nanoseconds in the customary units; every interval is an int64_t of ns. */
+/* Nanoseconds in each unit; every interval is an int64_t in ns. */
 #define NS_US INT64_C(1000)
 #define NS_MS INT64_C(1000000)
 #define NS_S INT64_C(1000000000)
 
-/* A clock, passed in so that tests and harnesses drive time themselves. */
+/* A clock, passed in so that tests and harnesses can control the time. */
 struct clk {
-	/* Never steps back, and counts the time in which a box is suspended. */
+	/* Never goes back, and includes the time that a box is suspended. */
 	struct timespec (*mono)(void *);
 	struct timespec (*wall)(void *); /* time of day, UTC */
 	void *ctx;
 };
 
-/* A source of random numbers, passed in for the same reason. */
+/*
+ * A source of random 64-bit numbers, passed in so that tests can make it
+ * deterministic.
+ */
 struct rnd {
 	uint64_t (*next)(void *);
 	void *ctx;
 };
 
-/* The system's clocks and a random source seeded by the system. */
+/*
+ * The system's clocks, and a random source seeded by the system.  The process
+ * aborts if the system has no seed.
+ */
 const struct clk *clk_system(void);
 const struct rnd *rnd_system(void);
 
-/* Monotonic time of a clock in ns. */
+/* Returns the monotonic time in ns. */
 int64_t clk_ns(const struct clk *);
 
-/* Wall time of a clock in ms since 1970. */
+/* Returns the wall clock time in ms since 1970. */
 int64_t clk_wall_ms(const struct clk *);
 
-/* A number in [0, n), or 0 when n is 0. */
+/* Returns a random number in [0, n), or 0 if n is 0. */
 uint64_t rnd_below(const struct rnd *, uint64_t n);
 
-/* An interval spread evenly over +-25 % of ns, so that no two keep step. */
+/*
+ * Returns a random interval within +-25 % of ns, evenly distributed, so that
+ * processes with the same interval do not stay synchronised.
+ */
 int64_t rnd_jitter(const struct rnd *, int64_t ns);
 
-/* One step of a small generator over a caller's state (splitmix64). */
-uint64_t rnd_split(uint64_t *state);
+/* Advances a caller's state and returns the next number of splitmix64. */
+uint64_t rnd_splitmix64(uint64_t *state);
 
 #endif
--- a/cnt.c
+++ b/cnt.c
@@ -11,15 +11,15 @@
 #include "clk.h"
 #include "cnt.h"
 
-/* Upper bounds of the histogram's buckets in microseconds. */
+/* Upper bounds of the histogram buckets in microseconds, inclusive. */
 static const int64_t bounds_us[] = {50, 100, 200, 300, 500, 750, 1000, 1500,
     2000, 3000, 5000, 7500, 10000, 15000, 20000, 30000, 50000, 75000, 100000,
     200000, 500000, 1000000, 5000000};
 
-enum { BOUNDS = G_N_ELEMENTS(bounds_us) };
+enum { N_BOUNDS = G_N_ELEMENTS(bounds_us) };
 
 struct hist {
-	uint64_t bucket[BOUNDS + 1];
+	uint64_t bucket[N_BOUNDS + 1];
 	uint64_t count;
 	int64_t sum_ns;
 };
@@ -78,7 +78,7 @@
 	int64_t us = ns / NS_US;
 	size_t i = 0;
 
-	while (i < BOUNDS && us > bounds_us[i])
+	while (i < N_BOUNDS && us > bounds_us[i])
 		i++;
 	h->bucket[i]++;
 	h->count++;
@@ -88,13 +88,13 @@
 static void
 print_hist(const struct hist *h, const char *name, GString *out)
 {
-	uint64_t sum = 0;
+	uint64_t cumulative = 0;
 	size_t i;
 
-	for (i = 0; i < BOUNDS; i++) {
-		sum += h->bucket[i];
+	for (i = 0; i < N_BOUNDS; i++) {
+		cumulative += h->bucket[i];
 		g_string_append_printf(out, "%s_bucket{le=\"%g\"} %llu\n", name,
-		    (double)bounds_us[i] / 1e6, (unsigned long long)sum);
+		    (double)bounds_us[i] / 1e6, (unsigned long long)cumulative);
 	}
 	g_string_append_printf(out,
 	    "%s_bucket{le=\"+Inf\"} %llu\n%s_sum %.6f\n%s_count %llu\n", name,
--- a/cnt.h
+++ b/cnt.h
@@ -15,30 +15,36 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The types of a metric, as Prometheus's text form names them. */
+/* The metric types of Prometheus's text format. */
 enum cnt_type { CNT_COUNTER, CNT_GAUGE, CNT_HISTOGRAM };
 
-/* One metric: its name, the unit in the name, and what it tells. */
+/* The description of one metric; its name contains the unit. */
 struct cnt_desc {
 	const char *name;
 	const char *help;
 	enum cnt_type type;
 };
 
-/* A set of metrics over a constant table of descriptions. */
+/* The values of a set of metrics. */
 struct cnt;
 
+/*
+ * Creates metrics with the value 0 from a table of descriptions, which must
+ * outlive them.  A metric's id is its index in the table.  The caller frees
+ * them with cnt_free().
+ */
 struct cnt *cnt_new(const struct cnt_desc *, size_t);
 void cnt_free(struct cnt *);
 
-/* Count up a counter, set a gauge, take a sample in ns into a histogram. */
+/* Adds n to a counter, sets a gauge, adds a sample in ns to a histogram. */
 void cnt_add(struct cnt *, unsigned id, uint64_t n);
 void cnt_set(struct cnt *, unsigned id, uint64_t v);
 void cnt_sample(struct cnt *, unsigned id, int64_t ns);
 
+/* Returns the value of a counter or gauge. */
 uint64_t cnt_get(const struct cnt *, unsigned id);
 
-/* Append all metrics in the text form that Prometheus reads. */
+/* Appends all metrics in Prometheus's text format. */
 void cnt_print(const struct cnt *, GString *);
 
 #endif
--- a/ctl_call.c
+++ b/ctl_call.c
@@ -12,10 +12,10 @@
 
 #include "libctl.h"
 
-enum { TRIES_MAX = 8, TIMEOUT_MS = 3000, PAUSE_MS = 200 };
+enum { MAX_ATTEMPTS = 8, TIMEOUT_MS = 3000, RETRY_DELAY_MS = 200 };
 
-/* One call's answer on its way to the one that waits. */
-struct wait {
+/* A call in progress, and its result once it is done. */
+struct pending_call {
 	struct ctl *ctl;
 	bool done;
 	enum plat_result result;
@@ -23,54 +23,55 @@
 };
 
 static void on_done(void *, enum plat_result, json_t *);
-static bool lost_race(struct str, struct str, json_t *, json_t *, GError **);
+static bool
+set_conflict_error(struct str, struct str, json_t *, json_t *, GError **);
 
 static void
 on_done(void *ctx, enum plat_result result, json_t *body)
 {
-	struct wait *w = ctx;
+	struct pending_call *call = ctx;
 
-	w->done = true;
-	w->result = result;
-	w->body = json_incref(body);
-	uv_stop(w->ctl->loop);
+	call->done = true;
+	call->result = result;
+	call->body = json_incref(body);
+	uv_stop(call->ctl->loop);
 }
 
 enum plat_result
 ctl_call(struct ctl *c, const struct plat_request *rq, json_t **body)
 {
-	struct wait w = {.ctl = c};
+	struct pending_call call = {.ctl = c};
 	struct plat_request copy = *rq;
 
 	copy.timeout_ms = TIMEOUT_MS;
-	plat_start(c->plat, &copy, on_done, &w);
-	while (!w.done)
+	plat_start(c->plat, &copy, on_done, &call);
+	while (!call.done)
 		uv_run(c->loop, UV_RUN_DEFAULT);
-	*body = w.body;
-	return w.result;
+	*body = call.body;
+	return call.result;
 }
 
 static bool
-no_answer(GError **err)
+set_unavailable_error(GError **err)
 {
 	return err_set(err, ERR_PLATFORM,
 	    "the platform does not answer; nothing was changed");
 }
 
-/* Reading is free of effect, so it is tried again. */
+/* Makes a read call, which is retried, as reading has no side effects. */
 static enum plat_result
 read_call(struct ctl *c, const struct plat_request *rq, json_t **body)
 {
 	enum plat_result result = PLAT_UNAVAILABLE;
 	int i;
 
-	for (i = 0; i < TRIES_MAX; i++) {
+	for (i = 0; i < MAX_ATTEMPTS; i++) {
 		result = ctl_call(c, rq, body);
 		if (result != PLAT_UNAVAILABLE)
 			break;
 		json_decref(*body);
 		*body = NULL;
-		g_usleep(PAUSE_MS * 1000);
+		g_usleep(RETRY_DELAY_MS * 1000);
 	}
 	return result;
 }
@@ -86,7 +87,7 @@
 		return body;
 	json_decref(body);
 	if (result != PLAT_NOT_FOUND)
-		no_answer(err);
+		set_unavailable_error(err);
 	return NULL;
 }
 
@@ -98,7 +99,7 @@
 
 	if (read_call(c, &rq, &body) != PLAT_OK) {
 		json_decref(body);
-		no_answer(err);
+		set_unavailable_error(err);
 		return NULL;
 	}
 	objects = json_incref(json_object_get(body, "objects"));
@@ -112,46 +113,53 @@
 	return json_integer_value(json_object_get(o, "version"));
 }
 
+/* Sets an error with both versions of an object that was changed meanwhile. */
 static bool
-lost_race(
-    struct str kind, struct str name, json_t *old, json_t *now, GError **err)
+set_conflict_error(struct str kind, struct str name, json_t *old,
+    json_t *current, GError **err)
 {
 	char *text = json_dumps(
-	    json_object_get(now, "spec"), JSON_COMPACT | JSON_SORT_KEYS);
+	    json_object_get(current, "spec"), JSON_COMPACT | JSON_SORT_KEYS);
 
 	err_set(err, ERR_CONFLICT,
 	    "%.*s/%.*s: another change came first: yours was based on version "
 	    "%lld, now it is %lld: %s",
 	    STR_ARG(kind), STR_ARG(name), (long long)version_of(old),
-	    (long long)version_of(now), text == NULL ? "deleted" : text);
+	    (long long)version_of(current), text == NULL ? "deleted" : text);
 	free(text);
 	return false;
 }
 
-/* What became of a write whose answer was lost. */
-enum fate { FATE_DONE, FATE_NOT_DONE, FATE_OVERTAKEN, FATE_UNKNOWN };
+/* The outcome of a write; WRITE_CONFLICT: another change came first. */
+enum write_outcome {
+	WRITE_DONE,
+	WRITE_NOT_DONE,
+	WRITE_CONFLICT,
+	WRITE_UNKNOWN
+};
 
-static enum fate
+/* Determines the outcome of a write whose reply was lost. */
+static enum write_outcome
 read_back(struct ctl *c, struct str kind, struct str name, json_t *old,
-    const char *id, bool deletes, json_t **now)
+    const char *id, bool is_delete, json_t **current)
 {
 	GError *err = NULL;
 	const char *change;
 
-	*now = ctl_read(c, kind, name, &err);
+	*current = ctl_read(c, kind, name, &err);
 	if (err != NULL) {
 		g_error_free(err);
-		return FATE_UNKNOWN;
+		return WRITE_UNKNOWN;
 	}
-	if (*now == NULL)
-		return deletes	  ? FATE_DONE
-		    : old == NULL ? FATE_NOT_DONE
-				  : FATE_OVERTAKEN;
-	change = json_string_value(json_object_get(*now, "change"));
+	if (*current == NULL)
+		return is_delete  ? WRITE_DONE
+		    : old == NULL ? WRITE_NOT_DONE
+				  : WRITE_CONFLICT;
+	change = json_string_value(json_object_get(*current, "change"));
 	if (change != NULL && strcmp(change, id) == 0)
-		return FATE_DONE;
-	return version_of(*now) == version_of(old) ? FATE_NOT_DONE
-						   : FATE_OVERTAKEN;
+		return WRITE_DONE;
+	return version_of(*current) == version_of(old) ? WRITE_NOT_DONE
+						       : WRITE_CONFLICT;
 }
 
 bool
@@ -159,9 +167,9 @@
     json_t *spec, uint64_t *version, GError **err)
 {
 	struct plat_request rq = {.kind = kind, .name = name};
-	json_t *value, *body = NULL, *now;
+	json_t *value, *body = NULL, *current;
 	enum plat_result result;
-	enum fate fate;
+	enum write_outcome outcome;
 	char id[40];
 	int i;
 
@@ -173,48 +181,50 @@
 			     : PLAT_UPDATE;
 	rq.version = (uint64_t)version_of(old);
 	rq.value = value;
-	for (i = 0; i < TRIES_MAX; i++) {
+	for (i = 0; i < MAX_ATTEMPTS; i++) {
 		result = ctl_call(c, &rq, &body);
 		if (result == PLAT_OK) {
 			*version = (uint64_t)version_of(body);
 			break;
 		}
-		now = json_incref(json_object_get(body, "current"));
+		current = json_incref(json_object_get(body, "current"));
 		json_decref(body);
 		body = NULL;
-		fate = result == PLAT_CONFLICT || result == PLAT_NOT_FOUND
-		    ? FATE_OVERTAKEN
-		    : FATE_NOT_DONE;
-		/* Our own earlier try may be what we now collide with. */
-		if (result == PLAT_UNKNOWN || (fate == FATE_OVERTAKEN && i > 0))
-			fate = read_back(
-			    c, kind, name, old, id, spec == NULL, &now);
-		if (fate == FATE_DONE)
-			*version = (uint64_t)version_of(now);
-		if (fate == FATE_OVERTAKEN)
-			lost_race(kind, name, old, now, err);
+		outcome = result == PLAT_CONFLICT || result == PLAT_NOT_FOUND
+		    ? WRITE_CONFLICT
+		    : WRITE_NOT_DONE;
+		/* A conflict may be with an earlier attempt of this write. */
+		if (result == PLAT_UNKNOWN ||
+		    (outcome == WRITE_CONFLICT && i > 0))
+			outcome = read_back(
+			    c, kind, name, old, id, spec == NULL, &current);
+		if (outcome == WRITE_DONE)
+			*version = (uint64_t)version_of(current);
+		if (outcome == WRITE_CONFLICT)
+			set_conflict_error(kind, name, old, current, err);
 		if (result == PLAT_BAD_REQUEST)
 			err_set(err, ERR_PLATFORM,
-			    "%.*s/%.*s: the platform refuses the call",
+			    "%.*s/%.*s: the platform rejects the call",
 			    STR_ARG(kind), STR_ARG(name));
-		json_decref(now);
-		if (fate == FATE_DONE || fate == FATE_OVERTAKEN ||
+		json_decref(current);
+		if (outcome == WRITE_DONE || outcome == WRITE_CONFLICT ||
 		    result == PLAT_BAD_REQUEST)
 			break;
-		g_usleep(PAUSE_MS * 1000);
+		g_usleep(RETRY_DELAY_MS * 1000);
 	}
 	json_decref(body);
 	json_decref(value);
-	if (i == TRIES_MAX)
+	if (i == MAX_ATTEMPTS)
 		err_set(err, ERR_PLATFORM,
 		    "%.*s/%.*s: the platform does not answer; whether the "
-		    "change took effect is not known: look with 'get'",
+		    "change took effect is not known: check with 'get'",
 		    STR_ARG(kind), STR_ARG(name));
 	return err == NULL || *err == NULL;
 }
 
 bool
-ctl_key(const char *text, enum obj_kind *kind, struct str *name, GError **err)
+ctl_parse_key(
+    const char *text, enum obj_kind *kind, struct str *name, GError **err)
 {
 	const char *slash = strchr(text, '/');
 
@@ -225,5 +235,5 @@
 		return true;
 	}
 	return err_set(err, ERR_USAGE,
-	    "\"%s\": wanted is KIND/NAME, with backend, service or rule", text);
+	    "\"%s\": expected KIND/NAME, with backend, service or rule", text);
 }
--- a/ctl_edit.c
+++ b/ctl_edit.c
@@ -13,37 +13,39 @@
 #include "doc.h"
 #include "libctl.h"
 
-/* One object of an operator's file. */
+/* An object that an operator gives, in a file or on the command line. */
 struct item {
 	enum obj_kind kind;
-	struct str name; /* points into the document */
+	struct str name; /* a heap copy if read from a file */
 	json_t *spec;
 };
 
 typedef bool item_fn(struct ctl *, const struct item *, GError **);
 
 static bool read_items(struct doc *, GArray *, GError **);
-static bool each_item(struct ctl *, item_fn *, GError **);
+static bool for_each_item(struct ctl *, item_fn *, GError **);
 static bool apply_item(struct ctl *, const struct item *, GError **);
 static bool diff_item(struct ctl *, const struct item *, GError **);
 static bool
 edit_backend(struct ctl *, json_t *(*)(json_t *, char **), char **, GError **);
-static void
-report(const struct ctl *, const char *, struct str, const char *, uint64_t);
+static void print_result(
+    const struct ctl *, const char *, struct str, const char *, uint64_t);
 
+/* Prints the result of a change. */
 static void
-report(const struct ctl *c, const char *kind, struct str name, const char *what,
-    uint64_t version)
+print_result(const struct ctl *c, const char *kind, struct str name,
+    const char *result, uint64_t version)
 {
 	if (c->json)
 		printf("{\"key\":\"%s/%.*s\",\"result\":\"%s\","
 		       "\"version\":%llu}\n",
-		    kind, STR_ARG(name), what, (unsigned long long)version);
+		    kind, STR_ARG(name), result, (unsigned long long)version);
 	else
-		printf("%s/%.*s %s, version %llu\n", kind, STR_ARG(name), what,
-		    (unsigned long long)version);
+		printf("%s/%.*s %s, version %llu\n", kind, STR_ARG(name),
+		    result, (unsigned long long)version);
 }
 
+/* Appends one table of a file to the items; false if it is not valid. */
 static bool
 read_item(struct doc *doc, enum obj_kind kind, json_t *table, GArray *items,
     GError **err)
@@ -65,7 +67,7 @@
 	return obj != NULL;
 }
 
-/* All of a file is checked before any of it is applied. */
+/* Reads and checks all objects of a file; false if any is not valid. */
 static bool
 read_items(struct doc *doc, GArray *items, GError **err)
 {
@@ -78,7 +80,7 @@
 		if (!obj_kind_by_name(str_c(key), &kind) ||
 		    !json_is_array(list))
 			return err_set(err, ERR_OBJECT,
-			    "%s:%d: %s: wanted is [[backend]], [[service]] or "
+			    "%s:%d: %s: expected [[backend]], [[service]] or "
 			    "[[rule]]",
 			    doc->file, doc_line(doc, doc->root, key), key);
 		json_array_foreach (list, i, table) {
@@ -89,8 +91,9 @@
 	return true;
 }
 
+/* Reads and checks all files, and only then calls fn for each object. */
 static bool
-each_item(struct ctl *c, item_fn *fn, GError **err)
+for_each_item(struct ctl *c, item_fn *fn, GError **err)
 {
 	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct item));
 	GPtrArray *docs =
@@ -101,7 +104,7 @@
 	guint j;
 
 	if (c->nargs == 0)
-		ok = err_set(err, ERR_USAGE, "a file is wanted");
+		ok = err_set(err, ERR_USAGE, "expected a file");
 	for (i = 0; ok && i < c->nargs; i++) {
 		doc = doc_load(c->args[i], err);
 		if (doc != NULL)
@@ -117,40 +120,44 @@
 	return ok;
 }
 
+/* Creates or changes an object, unless it has this spec already. */
 static bool
 apply_item(struct ctl *c, const struct item *it, GError **err)
 {
 	const char *kind = obj_kind_name(it->kind);
-	GError *fail = NULL;
-	json_t *old = ctl_read(c, str_c(kind), it->name, &fail);
+	GError *error = NULL;
+	json_t *old = ctl_read(c, str_c(kind), it->name, &error);
 	uint64_t version = 0;
-	bool ok = fail == NULL;
+	bool ok = error == NULL;
 
 	if (ok && old != NULL &&
 	    json_equal(json_object_get(old, "spec"), it->spec)) {
 		version = (uint64_t)json_integer_value(
 		    json_object_get(old, "version"));
-		report(c, kind, it->name, "unchanged", version);
+		print_result(c, kind, it->name, "unchanged", version);
 	} else if (ok) {
 		ok = ctl_write(
-		    c, str_c(kind), it->name, old, it->spec, &version, &fail);
+		    c, str_c(kind), it->name, old, it->spec, &version, &error);
 		if (ok)
-			report(c, kind, it->name,
+			print_result(c, kind, it->name,
 			    old == NULL ? "created" : "changed", version);
 	}
 	json_decref(old);
-	if (fail != NULL)
-		g_propagate_error(err, fail);
+	if (error != NULL)
+		g_propagate_error(err, error);
 	return ok;
 }
 
 bool
 ctl_apply(struct ctl *c, GError **err)
 {
-	return each_item(c, apply_item, err);
+	return for_each_item(c, apply_item, err);
 }
 
-/* Print the fields in which two specs differ. */
+/*
+ * Prints the fields of `spec` that are absent from `old` or differ there;
+ * returns their number.
+ */
 static unsigned
 diff_specs(const json_t *old, const json_t *spec, const char *sign)
 {
@@ -174,12 +181,12 @@
 diff_item(struct ctl *c, const struct item *it, GError **err)
 {
 	const char *kind = obj_kind_name(it->kind);
-	GError *fail = NULL;
-	json_t *old = ctl_read(c, str_c(kind), it->name, &fail);
+	GError *error = NULL;
+	json_t *old = ctl_read(c, str_c(kind), it->name, &error);
 	json_t *spec = json_object_get(old, "spec");
 
-	if (fail != NULL) {
-		g_propagate_error(err, fail);
+	if (error != NULL) {
+		g_propagate_error(err, error);
 		return false;
 	}
 	if (old == NULL || !json_equal(spec, it->spec)) {
@@ -194,77 +201,84 @@
 bool
 ctl_diff(struct ctl *c, GError **err)
 {
-	return each_item(c, diff_item, err);
+	return for_each_item(c, diff_item, err);
 }
 
-/* Read an object, change its spec, and write it back if it is still that. */
+/*
+ * Reads an object, changes its spec and writes it back, provided that no one
+ * else has changed it in between.  `change` takes over a copy of the spec and
+ * returns it, or NULL if the arguments are not valid.
+ */
 static bool
-edit(struct ctl *c, enum obj_kind kind, struct str name,
-    json_t *(*change)(json_t *, char **), char **words, GError **err)
+edit_object(struct ctl *c, enum obj_kind kind, struct str name,
+    json_t *(*change)(json_t *, char **), char **args, GError **err)
 {
 	struct str kind_name = str_c(obj_kind_name(kind));
-	GError *fail = NULL;
-	json_t *old = ctl_read(c, kind_name, name, &fail), *spec;
+	GError *error = NULL;
+	json_t *old = ctl_read(c, kind_name, name, &error), *spec;
 	struct obj *obj = NULL;
 	uint64_t version = 0;
 
 	if (old == NULL) {
-		if (fail != NULL)
-			g_propagate_error(err, fail);
+		if (error != NULL)
+			g_propagate_error(err, error);
 		else
 			err_set(err, ERR_OBJECT, "%s/%.*s is not there",
 			    kind_name.p, STR_ARG(name));
 		return false;
 	}
-	spec = change(json_deep_copy(json_object_get(old, "spec")), words);
+	spec = change(json_deep_copy(json_object_get(old, "spec")), args);
 	if (spec == NULL)
-		err_set(&fail, ERR_USAGE, "wanted are words like NAME=VALUE");
+		err_set(
+		    &error, ERR_USAGE, "expected arguments like NAME=VALUE");
 	else
-		obj = obj_read(kind, name, spec, NULL, &fail);
+		obj = obj_read(kind, name, spec, NULL, &error);
 	if (obj != NULL &&
-	    ctl_write(c, kind_name, name, old, spec, &version, &fail))
-		report(c, kind_name.p, name, "changed", version);
+	    ctl_write(c, kind_name, name, old, spec, &version, &error))
+		print_result(c, kind_name.p, name, "changed", version);
 	obj_free(obj);
 	json_decref(spec);
 	json_decref(old);
-	if (fail == NULL)
+	if (error == NULL)
 		return true;
-	g_propagate_error(err, fail);
+	g_propagate_error(err, error);
 	return false;
 }
 
 static bool
-edit_backend(struct ctl *c, json_t *(*change)(json_t *, char **), char **words,
+edit_backend(struct ctl *c, json_t *(*change)(json_t *, char **), char **args,
     GError **err)
 {
 	if (c->nargs < 1)
-		return err_set(err, ERR_USAGE, "a backend server is wanted");
-	return edit(c, OBJ_BACKEND, str_c(c->args[0]), change, words, err);
+		return err_set(err, ERR_USAGE, "expected a backend server");
+	return edit_object(
+	    c, OBJ_BACKEND, str_c(c->args[0]), change, args, err);
 }
 
-/* "key=value" sets a label, "key-" takes it away. */
+/* Changes labels: "key=value" sets one, "key-" removes it. */
 static json_t *
-change_labels(json_t *spec, char **words)
+change_labels(json_t *spec, char **args)
 {
 	json_t *labels = json_object_get(spec, "labels");
-	char *eq, *word;
+	char *equals, *arg;
 	size_t n;
 
 	if (labels == NULL) {
 		labels = json_object();
 		json_object_set_new(spec, "labels", labels);
 	}
-	for (; *words != NULL; words++) {
-		word = *words;
-		n = strlen(word);
-		eq = strchr(word, '=');
-		if (eq != NULL) {
-			char *key = g_strndup(word, (size_t)(eq - word));
-
-			json_object_set_new(labels, key, json_string(eq + 1));
+	for (; *args != NULL; args++) {
+		arg = *args;
+		n = strlen(arg);
+		equals = strchr(arg, '=');
+		if (equals != NULL) {
+			char *key = g_strndup(arg, (size_t)(equals - arg));
+
+			json_object_set_new(
+			    labels, key, json_string(equals + 1));
 			g_free(key);
-		} else if (n > 1 && word[n - 1] == '-') {
-			char *key = g_strndup(word, n - 1);
+		} else if (n > 1 && arg[n - 1] == '-') {
+			char *key = g_strndup(arg, n - 1);
 
 			json_object_del(labels, key);
 			g_free(key);
@@ -281,22 +295,22 @@
 {
 	if (c->nargs < 2)
 		return err_set(err, ERR_USAGE,
-		    "wanted are a backend server and NAME=VALUE or NAME-");
+		    "expected a backend server and NAME=VALUE or NAME-");
 	return edit_backend(c, change_labels, c->args + 1, err);
 }
 
 static json_t *
-set_drain(json_t *spec, char **words)
+set_drain(json_t *spec, char **args)
 {
-	(void)words;
+	(void)args;
 	json_object_set_new(spec, "drain", json_true());
 	return spec;
 }
 
 static json_t *
-unset_drain(json_t *spec, char **words)
+unset_drain(json_t *spec, char **args)
 {
-	(void)words;
+	(void)args;
 	json_object_del(spec, "drain");
 	return spec;
 }
@@ -313,7 +327,7 @@
 	return edit_backend(c, unset_drain, NULL, err);
 }
 
-/* Evacuate a hall; saying it again changes nothing. */
+/* Evacuates a hall; repeating the command changes nothing. */
 bool
 ctl_evacuate(struct ctl *c, GError **err)
 {
@@ -322,7 +336,8 @@
 	bool ok;
 
 	if (c->nargs < 1 || c->nargs > 2)
-		return err_set(err, ERR_USAGE, "a hall is wanted, and why");
+		return err_set(err, ERR_USAGE,
+		    "expected a hall and optionally the reason");
 	it.name = str_c(c->args[0]);
 	it.spec = json_object();
 	if (c->nargs > 1)
@@ -334,20 +349,20 @@
 	return ok;
 }
 
-/* "field=number"; the check of the whole object follows. */
+/* Sets "field=number"; edit_object() checks the resulting object afterwards. */
 static json_t *
-change_limits(json_t *spec, char **words)
+change_limits(json_t *spec, char **args)
 {
 	unsigned long long v;
-	char *eq, *key;
+	char *equals, *key;
 
-	for (; *words != NULL; words++) {
-		eq = strchr(*words, '=');
-		if (eq == NULL || !str_u64(str_c(eq + 1), &v)) {
+	for (; *args != NULL; args++) {
+		equals = strchr(*args, '=');
+		if (equals == NULL || !str_u64(str_c(equals + 1), &v)) {
 			json_decref(spec);
 			return NULL;
 		}
-		key = g_strndup(*words, (size_t)(eq - *words));
+		key = g_strndup(*args, (size_t)(equals - *args));
 		json_object_set_new(spec, key, json_integer((json_int_t)v));
 		g_free(key);
 	}
@@ -362,24 +377,24 @@
 
 	if (c->nargs < 2)
 		return err_set(err, ERR_USAGE,
-		    "wanted are service/NAME or rule/NAME, and FIELD=NUMBER");
-	if (!ctl_key(c->args[0], &kind, &name, err))
+		    "expected service/NAME or rule/NAME, and FIELD=NUMBER");
+	if (!ctl_parse_key(c->args[0], &kind, &name, err))
 		return false;
-	return edit(c, kind, name, change_limits, c->args + 1, err);
+	return edit_object(c, kind, name, change_limits, c->args + 1, err);
 }
 
 static bool
 delete_object(struct ctl *c, enum obj_kind kind, struct str name, GError **err)
 {
 	struct str kind_name = str_c(obj_kind_name(kind));
-	GError *fail = NULL;
+	GError *error = NULL;
 	uint64_t version = 0;
 	json_t *old;
 	bool ok;
 
-	old = ctl_read(c, kind_name, name, &fail);
-	if (fail != NULL) {
-		g_propagate_error(err, fail);
+	old = ctl_read(c, kind_name, name, &error);
+	if (error != NULL) {
+		g_propagate_error(err, error);
 		return false;
 	}
 	if (old == NULL)
@@ -387,7 +402,7 @@
 		    kind_name.p, STR_ARG(name));
 	ok = ctl_write(c, kind_name, name, old, NULL, &version, err);
 	if (ok)
-		report(c, kind_name.p, name, "deleted", version);
+		print_result(c, kind_name.p, name, "deleted", version);
 	json_decref(old);
 	return ok;
 }
@@ -399,8 +414,8 @@
 	struct str name;
 
 	if (c->nargs != 1)
-		return err_set(err, ERR_USAGE, "wanted is KIND/NAME");
-	if (!ctl_key(c->args[0], &kind, &name, err))
+		return err_set(err, ERR_USAGE, "expected KIND/NAME");
+	if (!ctl_parse_key(c->args[0], &kind, &name, err))
 		return false;
 	return delete_object(c, kind, name, err);
 }
@@ -409,6 +424,6 @@
 ctl_return(struct ctl *c, GError **err)
 {
 	if (c->nargs != 1)
-		return err_set(err, ERR_USAGE, "a hall is wanted");
+		return err_set(err, ERR_USAGE, "expected a hall");
 	return delete_object(c, OBJ_EVACUATION, str_c(c->args[0]), err);
 }
--- a/ctl_main.c
+++ b/ctl_main.c
@@ -15,13 +15,13 @@
 #include "libctl.h"
 #include "set.h"
 
-enum { WORDS_MAX = 256, ERRORS_MAX = 8 };
+enum { MAX_ARGS = 256, MAX_PARSE_ERRORS = 8 };
 
 static const struct {
 	const char *name;
 	ctl_fn *fn;
-	const char *words;
-	const char *about;
+	const char *args;
+	const char *summary;
 } commands[] = {
     {"apply", ctl_apply, "FILE...", "create or change the files' objects"},
     {"diff", ctl_diff, "FILE...", "show what apply would change"},
@@ -39,14 +39,14 @@
     {"explain", ctl_explain, "PATH", "what a request would meet, and why"},
 };
 
-/* The command line as argtable sees it. */
-struct line {
+/* The command line, as argtable2 parses it. */
+struct command_line {
 	struct arg_lit *help, *version, *json;
-	struct arg_str *platform, *method, *host, *header, *words;
+	struct arg_str *platform, *method, *host, *header, *args;
 	struct arg_end *end;
 };
 
-static int run(struct ctl *, struct line *);
+static int run(struct ctl *, struct command_line *);
 static void usage(void **);
 
 static void
@@ -59,10 +59,11 @@
 	arg_print_glossary(stdout, table, "  %-28s %s\n");
 	printf("Commands:\n");
 	for (i = 0; i < G_N_ELEMENTS(commands); i++)
-		printf("  %-8s %-31s %s\n", commands[i].name, commands[i].words,
-		    commands[i].about);
+		printf("  %-8s %-31s %s\n", commands[i].name, commands[i].args,
+		    commands[i].summary);
 }
 
+/* Returns the function of a command, NULL if there is no such command. */
 static ctl_fn *
 find_command(const char *name)
 {
@@ -74,6 +75,7 @@
 	return NULL;
 }
 
+/* Returns the known command whose name is most similar. */
 static const char *
 nearest_command(const char *name)
 {
@@ -90,8 +92,9 @@
 	return nearest;
 }
 
+/* Returns the platform's address from the option or else the environment. */
 static const char *
-platform_of(const struct line *l)
+platform_address(const struct command_line *l)
 {
 	const char *env = getenv("FERN_PLATFORM");
 
@@ -101,15 +104,15 @@
 }
 
 static bool
-open_platform(struct ctl *c, const struct line *l, GError **err)
+open_platform(struct ctl *c, const struct command_line *l, GError **err)
 {
-	struct str address = str_c(platform_of(l));
+	struct str address = str_c(platform_address(l));
 	char ip[64];
 	uint16_t port;
 
-	if (!field_address(address, ip, sizeof(ip), &port))
+	if (!field_parse_address(address, ip, sizeof(ip), &port))
 		return err_set(err, ERR_USAGE,
-		    "the platform's address is wanted: --platform or "
+		    "expected the platform's address in --platform or "
 		    "FERN_PLATFORM, found \"%s\"",
 		    address.p);
 	c->loop = uv_default_loop();
@@ -122,24 +125,25 @@
 	return true;
 }
 
+/* Runs the command of the command line; returns the exit status. */
 static int
-run(struct ctl *c, struct line *l)
+run(struct ctl *c, struct command_line *l)
 {
 	GError *err = NULL;
 	ctl_fn *fn;
 	int status;
 
-	if (l->words->count == 0)
-		err_set(&err, ERR_USAGE, "a command is wanted; try --help");
-	else if ((fn = find_command(l->words->sval[0])) == NULL)
+	if (l->args->count == 0)
+		err_set(&err, ERR_USAGE, "expected a command; try --help");
+	else if ((fn = find_command(l->args->sval[0])) == NULL)
 		err_set(&err, ERR_USAGE,
-		    "%s: no such command; the nearest is %s", l->words->sval[0],
-		    nearest_command(l->words->sval[0]));
+		    "%s: no such command; the nearest is %s", l->args->sval[0],
+		    nearest_command(l->args->sval[0]));
 	else if (open_platform(c, l, &err)) {
 		c->json = l->json->count > 0;
-		c->nargs = l->words->count - 1;
+		c->nargs = l->args->count - 1;
 		c->args = g_new0(char *, c->nargs + 1);
-		memcpy(c->args, l->words->sval + 1,
+		memcpy(c->args, l->args->sval + 1,
 		    sizeof(char *) * (size_t)c->nargs);
 		c->method =
 		    (char *)(l->method->count > 0 ? l->method->sval[0] : "GET");
@@ -153,7 +157,7 @@
 	if (err == NULL)
 		return 0;
 	fprintf(stderr, "fernctl: %s\n", err->message);
-	status = err_answer((enum err_kind)err->code)->exit_code;
+	status = err_lookup((enum err_kind)err->code)->exit_code;
 	g_error_free(err);
 	return status;
 }
@@ -162,7 +166,7 @@
 main(int argc, char **argv)
 {
 	static struct ctl ctl;
-	struct line l = {
+	struct command_line l = {
 	    arg_lit0("h", "help", "print this and exit"),
 	    arg_lit0("V", "version", "print the version"),
 	    arg_lit0("j", "json", "print JSON"),
@@ -170,11 +174,11 @@
 	    arg_str0(NULL, "method", "METHOD", "explain: the method"),
 	    arg_str0(NULL, "host", "HOST", "explain: the host"),
 	    arg_str0(NULL, "header", "HEADER", "explain: \"name: value\""),
-	    arg_strn(NULL, NULL, "WORD", 0, WORDS_MAX, "command and its words"),
-	    arg_end(ERRORS_MAX),
+	    arg_strn(NULL, NULL, "WORD", 0, MAX_ARGS, "command and its words"),
+	    arg_end(MAX_PARSE_ERRORS),
 	};
 	void *table[] = {l.help, l.version, l.json, l.platform, l.method,
-	    l.host, l.header, l.words, l.end};
+	    l.host, l.header, l.args, l.end};
 	int errors = arg_parse(argc, argv, table), status = 0;
 
 	signal(SIGPIPE, SIG_IGN);
@@ -184,7 +188,7 @@
 		printf("fernctl %s\n", SET_VERSION);
 	} else if (errors > 0) {
 		arg_print_errors(stderr, l.end, "fernctl");
-		status = err_answer(ERR_USAGE)->exit_code;
+		status = err_lookup(ERR_USAGE)->exit_code;
 	} else {
 		status = run(&ctl, &l);
 	}
--- a/ctl_show.c
+++ b/ctl_show.c
@@ -39,10 +39,11 @@
 	}
 }
 
+/* Prints one target of a rule: its service, selector, weight and servers. */
 static void
-print_part(const struct route_rule *rule, const struct route_target *part)
+print_target(const struct route_rule *rule, const struct route_target *target)
 {
-	const struct route_service *svc = part->service;
+	const struct route_service *svc = target->service;
 
 	if (svc == NULL) {
 		printf("service     %s: there is no such service\n",
@@ -53,7 +54,7 @@
 	printf("service     %.*s: %s", STR_ARG(svc->name),
 	    svc->obj->select_text.p);
 	if (rule->ntargets > 1)
-		printf(", %llu of %llu", (unsigned long long)part->weight,
+		printf(", %llu of %llu", (unsigned long long)target->weight,
 		    (unsigned long long)rule->total_weight);
 	printf("\n");
 	print_backends(svc);
@@ -66,7 +67,7 @@
     STR_LIT("backend,service,rule,evacuation");
 
 static const char *
-text_of(const json_t *o, const char *key)
+string_member(const json_t *o, const char *key)
 {
 	const char *s = json_string_value(json_object_get(o, key));
 
@@ -74,7 +75,7 @@
 }
 
 static long long
-number_of(const json_t *o, const char *key)
+integer_member(const json_t *o, const char *key)
 {
 	return (long long)json_integer_value(json_object_get(o, key));
 }
@@ -88,19 +89,19 @@
 	free(text);
 }
 
-/* get [KIND | KIND/NAME] */
+/* get [KIND | KIND/NAME]: prints the matching objects. */
 bool
 ctl_get(struct ctl *c, GError **err)
 {
 	struct str kinds = config_kinds;
-	const char *only = NULL;
+	const char *only_name = NULL;
 	json_t *objects, *o;
 	char *spec;
 	size_t i;
 
 	if (c->nargs > 0 && strchr(c->args[0], '/') != NULL) {
-		only = strchr(c->args[0], '/') + 1;
-		kinds = str_n(c->args[0], (size_t)(only - 1 - c->args[0]));
+		only_name = strchr(c->args[0], '/') + 1;
+		kinds = str_n(c->args[0], (size_t)(only_name - 1 - c->args[0]));
 	} else if (c->nargs > 0) {
 		kinds = str_c(c->args[0]);
 	}
@@ -109,7 +110,8 @@
 		return false;
 	for (i = json_array_size(objects); i-- > 0;) {
 		o = json_array_get(objects, i);
-		if (only != NULL && strcmp(text_of(o, "name"), only) != 0)
+		if (only_name != NULL &&
+		    strcmp(string_member(o, "name"), only_name) != 0)
 			json_array_remove(objects, i);
 	}
 	if (c->json) {
@@ -120,19 +122,20 @@
 		json_array_foreach (objects, i, o) {
 			spec = json_dumps(json_object_get(o, "spec"),
 			    JSON_COMPACT | JSON_SORT_KEYS);
-			printf("%-9s %-24s %-8lld %s\n", text_of(o, "kind"),
-			    text_of(o, "name"), number_of(o, "version"),
+			printf("%-9s %-24s %-8lld %s\n",
+			    string_member(o, "kind"), string_member(o, "name"),
+			    integer_member(o, "version"),
 			    spec == NULL ? "" : spec);
 			free(spec);
 		}
 	}
-	if (only != NULL && json_array_size(objects) == 0)
+	if (only_name != NULL && json_array_size(objects) == 0)
 		err_set(err, ERR_OBJECT, "%s is not there", c->args[0]);
 	json_decref(objects);
 	return err == NULL || *err == NULL;
 }
 
-/* Which configuration is in force on which box, and what is rejected. */
+/* Prints each box's configuration in force, and the objects it rejects. */
 static void
 print_status(json_t *objects)
 {
@@ -144,20 +147,23 @@
 	json_array_foreach (objects, i, o) {
 		spec = json_object_get(o, "spec");
 		printf("%-12s %-10s %-8lld %-17s %-17s %-6s %lld\n",
-		    text_of(spec, "box"), text_of(spec, "hall"),
-		    number_of(spec, "newest"), text_of(spec, "digest"),
-		    text_of(spec, "gate_digest"),
+		    string_member(spec, "box"), string_member(spec, "hall"),
+		    integer_member(spec, "newest"),
+		    string_member(spec, "digest"),
+		    string_member(spec, "gate_digest"),
 		    json_is_true(json_object_get(spec, "leaving")) ? "leaves"
 			: json_is_true(json_object_get(spec, "gate_ready"))
 			? "yes"
 			: "no",
-		    number_of(spec, "objects"));
+		    integer_member(spec, "objects"));
 		rejected = json_object_get(spec, "rejected");
 		json_array_foreach (rejected, j, r) {
 			printf("  rejected: %s version %lld, in force is %lld: "
 			       "%s\n",
-			    text_of(r, "key"), number_of(r, "rejected"),
-			    number_of(r, "in_force"), text_of(r, "why"));
+			    string_member(r, "key"),
+			    integer_member(r, "rejected"),
+			    integer_member(r, "in_force"),
+			    string_member(r, "why"));
 		}
 	}
 }
@@ -177,6 +183,7 @@
 	return true;
 }
 
+/* Builds the configuration that a gate has from the platform's objects. */
 static struct conf *
 load_conf(struct ctl *c, json_t *objects)
 {
@@ -186,20 +193,20 @@
 	size_t i;
 
 	json_array_foreach (objects, i, o) {
-		key = g_strdup_printf(
-		    "%s/%s", text_of(o, "kind"), text_of(o, "name"));
-		conf_offer(conf, str_c(key), (uint64_t)number_of(o, "version"),
-		    false, json_object_get(o, "spec"), STR_LIT("platform"),
-		    NULL);
+		key = g_strdup_printf("%s/%s", string_member(o, "kind"),
+		    string_member(o, "name"));
+		conf_offer(conf, str_c(key),
+		    (uint64_t)integer_member(o, "version"), false,
+		    json_object_get(o, "spec"), STR_LIT("platform"), NULL);
 		g_free(key);
 	}
 	(void)c;
 	return conf;
 }
 
-/* The one header that --header gives, "name: value". */
+/* Returns the value of a header if --header gives it as "name: value". */
 static struct str
-given_header(void *ctx, struct str name)
+find_header(void *ctx, struct str name)
 {
 	const struct ctl *c = ctx;
 	const char *value;
@@ -218,7 +225,7 @@
     struct ctl *c, const struct route_rule *rule, const struct obj_rule *obj)
 {
 	struct str method = str_c(c->method);
-	bool key = given_header(c, STR_LIT("idempotency-key")).n > 0;
+	bool key = find_header(c, STR_LIT("idempotency-key")).n > 0;
 	unsigned i;
 
 	printf("rule        %.*s (host \"%s\", path \"%s\", method \"%s\")\n",
@@ -233,21 +240,21 @@
 	printf("class       %s\n",
 	    obj_class_name((enum obj_class)obj->request_class));
 	for (i = 0; i < rule->ntargets; i++)
-		print_part(rule, &rule->targets[i]);
+		print_target(rule, &rule->targets[i]);
 }
 
-/* explain PATH: the same code as the gate's decides. */
+/* explain PATH: matches a request with the routing code of the gate. */
 bool
 ctl_explain(struct ctl *c, GError **err)
 {
-	struct route_query q = {.header = given_header, .ctx = c};
+	struct route_query q = {.header = find_header, .ctx = c};
 	const struct route_rule *rule;
 	struct route_table *t;
 	struct conf *conf;
 	json_t *objects;
 
 	if (c->nargs != 1)
-		return err_set(err, ERR_USAGE, "a path is wanted");
+		return err_set(err, ERR_USAGE, "expected a path");
 	objects = ctl_list(c, config_kinds, err);
 	if (objects == NULL)
 		return false;
--- a/daemon.c
+++ b/daemon.c
@@ -72,7 +72,7 @@
 			fprintf(stderr, "%s: a settings file is wanted\n",
 			    ops->program);
 		fprintf(stderr, "Try '%s --help'.\n", ops->program);
-		*status = err_answer(ERR_USAGE)->exit_code;
+		*status = err_lookup(ERR_USAGE)->exit_code;
 	} else {
 		args->settings = g_strdup(file->filename[0]);
 		args->check = check->count > 0;
@@ -91,7 +91,7 @@
 	if (err == NULL)
 		return 0;
 	fprintf(stderr, "%s: %s\n", program, err->message);
-	status = err_answer((enum err_kind)err->code)->exit_code;
+	status = err_lookup((enum err_kind)err->code)->exit_code;
 	g_error_free(err);
 	return status;
 }
--- a/disp_doubt.c
+++ b/disp_doubt.c
@@ -125,7 +125,8 @@
 	     i++) {
 		doubt = &g_array_index(
 		    b->crash_suspects, struct disp_crash_suspect, i);
-		if (doubt->in_trial && fprint_same(doubt->fingerprint, print))
+		if (doubt->in_trial &&
+		    fprint_same_request(doubt->fingerprint, print))
 			return true;
 	}
 	return false;
--- a/disp_trial.c
+++ b/disp_trial.c
@@ -105,7 +105,7 @@
 	for (at = d->inflight.head; at != NULL; at = at->next) {
 		other = at->data;
 		if (other->in_trial &&
-		    fprint_same(other->fingerprint, r->fingerprint))
+		    fprint_same_request(other->fingerprint, r->fingerprint))
 			return true;
 	}
 	for (i = 0; i < d->backends->len; i++)
--- a/doc.h
+++ b/doc.h
@@ -20,24 +20,30 @@
 #endif
 
 /*
- * A TOML text as a tree of jansson values, with the line that each value
- * stands on.  The parser is toml++, behind this header.
+ * A TOML document as a tree of jansson values, with the line number of each
+ * key.  toml++ does the parsing.
  */
 struct doc {
 	json_t *root; /* always an object */
-	GHashTable *lines; /* table and key to line number */
-	char *file; /* name for messages */
+	GHashTable *lines; /* line number by table and key */
+	char *file; /* the file's name, for messages */
 };
 
-/* Read a file.  NULL and ERR_SETTINGS if it cannot be read or parsed. */
+/*
+ * Reads a file; the caller frees the document with doc_free().  Returns NULL
+ * with ERR_SETTINGS if the file cannot be read or parsed.
+ */
 struct doc *doc_load(const char *file, GError **);
 
-/* Parse n bytes; name stands for the file in messages. */
+/* As doc_load(), from n bytes in memory; `name` is the file in messages. */
 struct doc *doc_parse(const char *text, size_t n, const char *name, GError **);
 
 void doc_free(struct doc *);
 
-/* The line a table's key stands on; 0 if it is not of this document. */
+/*
+ * Returns the line number of a key in a table, 0 if the key is not in the
+ * document or doc is NULL.
+ */
 int doc_line(const struct doc *, const json_t *table, const char *key);
 
 #ifdef __cplusplus
--- a/doc_toml.cpp
+++ b/doc_toml.cpp
@@ -9,8 +9,8 @@
  * WITH REGARD TO THIS SOFTWARE.  See LICENSE for the whole text.
  */
 /*
- * The one C++ file: toml++ behind a C header, as Debian has no C library
- * for TOML.
+ * TOML parsing by toml++ behind a C header.  This is the only C++ file of the
+ * programs; Debian has no C library for TOML.
  */
 #include <fstream>
 #include <sstream>
@@ -19,23 +19,25 @@
 #include <string_view>
 
 /*
- * The parser checks itself by assertions, some of which malformed text can
- * reach; where it goes on, the text is refused all the same.
+ * Malformed text can make some of toml++'s assertions fail.  A failed assertion
+ * is recorded here instead of ending the process, and doc_parse() then rejects
+ * the text.
  */
 static bool assertion_failed;
 
 static inline bool
-note_failure()
+record_failure()
 {
 	assertion_failed = true;
 	return true;
 }
 
-#define TOML_ASSERT(expr) static_cast<void>((expr) || note_failure())
+#define TOML_ASSERT(expr) static_cast<void>((expr) || record_failure())
 
 /*
- * Its tables of Unicode spaces tell the compiler that it cannot get past some
- * switches, where letters such as U+00E9 do get: there the answer is no.
+ * toml++'s tables of Unicode characters mark the code after some switches as
+ * unreachable, but letters such as U+00E9 reach it.  Those functions return
+ * false there instead, so that the behaviour is defined.
  */
 #include <toml++/impl/preprocessor.h>
 #undef TOML_UNREACHABLE
@@ -53,7 +55,10 @@
 
 static json_t *convert(struct doc *, const toml::node &);
 
-/* jansson shares its booleans, so a line belongs to a table and a key. */
+/*
+ * Lines are stored by table and key, not by value, as jansson shares one value
+ * among all booleans.
+ */
 static char *
 line_key(const json_t *table, const char *key)
 {
@@ -61,7 +66,7 @@
 }
 
 static void
-note_line(struct doc *doc, const json_t *table, const char *key,
+record_line(struct doc *doc, const json_t *table, const char *key,
     const toml::node &node)
 {
 	g_hash_table_insert(doc->lines, line_key(table, key),
@@ -75,7 +80,7 @@
 
 	for (const auto &[key, node] : table) {
 		std::string name(key.str());
-		note_line(doc, out, name.c_str(), node);
+		record_line(doc, out, name.c_str(), node);
 		json_object_set_new(out, name.c_str(), convert(doc, node));
 	}
 	return out;
@@ -109,6 +114,7 @@
 	return json_string("(a date or time)");
 }
 
+/* Converts a value; an empty string replaces one that jansson rejects. */
 static json_t *
 convert(struct doc *doc, const toml::node &node)
 {
@@ -123,11 +129,11 @@
 doc_parse(const char *text, size_t n, const char *name, GError **err)
 {
 	struct doc *doc;
-	const char *bad;
+	const char *invalid;
 
-	if (!g_utf8_validate(text, static_cast<gssize>(n), &bad)) {
+	if (!g_utf8_validate(text, static_cast<gssize>(n), &invalid)) {
 		err_set(err, ERR_SETTINGS, "%s: byte %td is not valid UTF-8",
-		    name, bad - text + 1);
+		    name, invalid - text + 1);
 		return nullptr;
 	}
 	try {
@@ -143,9 +149,9 @@
 		doc->root = convert_table(doc, table);
 		return doc;
 	} catch (const toml::parse_error &e) {
-		std::string why(e.description());
+		std::string reason(e.description());
 		err_set(err, ERR_SETTINGS, "%s:%d: %s", name,
-		    static_cast<int>(e.source().begin.line), why.c_str());
+		    static_cast<int>(e.source().begin.line), reason.c_str());
 		return nullptr;
 	} catch (const std::exception &e) {
 		err_set(err, ERR_SETTINGS, "%s: %s", name, e.what());
--- a/err.c
+++ b/err.c
@@ -12,7 +12,7 @@
 
 #include "err.h"
 
-static const struct err_row answers[ERR_MAX] = {
+static const struct err_info kinds[ERR_MAX] = {
     [ERR_NONE] = {"none", 200, 0, 0, "no error"},
     [ERR_BAD_REQUEST] = {"bad-request", 400, 0, 1, "the request is malformed"},
     [ERR_TOO_LARGE] = {"too-large", 413, 0, 1, "the body is too large"},
@@ -48,18 +48,18 @@
     [ERR_SYSTEM] = {"system", 500, 0, 7, "the system refused a call"},
 };
 
-const struct err_row *
-err_answer(enum err_kind kind)
+const struct err_info *
+err_lookup(enum err_kind kind)
 {
 	if ((unsigned)kind >= ERR_MAX)
 		kind = ERR_SYSTEM;
-	return &answers[kind];
+	return &kinds[kind];
 }
 
 int
-err_promise_status(enum err_kind kind, enum err_ran ran)
+err_status_for_ran(enum err_kind kind, enum err_ran ran)
 {
-	int status = err_answer(kind)->status;
+	int status = err_lookup(kind)->status;
 
 	if (ran == RAN_NO && status >= 500)
 		return 503;
@@ -74,7 +74,7 @@
 	int i;
 
 	for (i = 0; i < ERR_MAX; i++)
-		if (str_eq(str_c(answers[i].name), name))
+		if (str_eq(str_c(kinds[i].name), name))
 			return (enum err_kind)i;
 	return ERR_NONE;
 }
@@ -105,7 +105,7 @@
 }
 
 bool
-err_at(GError **err, const char *setting)
+err_prefix_setting(GError **err, const char *setting)
 {
 	g_prefix_error(err, "%s: ", setting);
 	return false;
--- a/err.h
+++ b/err.h
@@ -17,8 +17,8 @@
 #include "str.h"
 
 /*
- * The closed list of error kinds.  Kinds up to ERR_ANSWER_LAST are answers
- * to callers; those behind it are met by operators and developers only.
+ * All kinds of error.  Those up to ERR_RESPONSE_LAST are sent to callers; the
+ * ones after it are seen by operators and developers only.
  */
 enum err_kind {
 	ERR_NONE,
@@ -39,7 +39,7 @@
 	ERR_NOT_READY,
 	ERR_POISON,
 	ERR_NO_KEY,
-	ERR_ANSWER_LAST = ERR_NO_KEY,
+	ERR_RESPONSE_LAST = ERR_NO_KEY,
 	ERR_USAGE,
 	ERR_SETTINGS,
 	ERR_SELECTOR,
@@ -52,42 +52,46 @@
 	ERR_MAX
 };
 
-/* Whether a request was acted on by a backend server. */
+/* Whether a backend server executed a request: certainly not, or unknown. */
 enum err_ran { RAN_NO, RAN_UNKNOWN };
 
-/* What a kind means to the one who meets it. */
-struct err_row {
+/* How an error kind is reported to callers and operators. */
+struct err_info {
 	const char *name; /* the kind's name on the wire and in logs */
 	int status; /* HTTP status; 0 for kinds not sent to callers */
 	int retry_after_s; /* Retry-After in seconds; 0 for none */
-	int exit_code; /* exit status of a command that ends on it */
-	const char *sentence; /* the answer's text */
+	int exit_code; /* exit status of a command that fails with it */
+	const char *sentence; /* the text of the HTTP response */
 };
 
-/* Look up a kind.  Never fails: an unknown kind gives ERR_SYSTEM's. */
-const struct err_row *err_answer(enum err_kind);
+/* Looks up a kind.  An unknown kind gives the entry of ERR_SYSTEM. */
+const struct err_info *err_lookup(enum err_kind);
 
 /*
- * The status of an answer where statuses promise by themselves whether a
- * request has run: one that did not run is never told as a failure on the
- * way, and one that may have run never as refused.
+ * Returns the HTTP status of an error for callers that conclude from the status
+ * alone whether the request was executed.  A request that was not executed
+ * never gets a 5xx status other than 503; one that may have been executed never
+ * gets 503 or 429.
  */
-int err_promise_status(enum err_kind, enum err_ran);
+int err_status_for_ran(enum err_kind, enum err_ran);
 
-/* Find a kind by its name; ERR_NONE if there is none. */
+/* Finds a kind by its name; ERR_NONE if there is none. */
 enum err_kind err_by_name(struct str);
 
-/* The name of a ran value: "no" or "unknown". */
+/* Returns the name of an err_ran value: "no" or "unknown". */
 const char *err_ran_name(enum err_ran);
 
-/* Domain of every GError of ours; the code is an enum err_kind. */
+/* The domain of every GError of this project; its code is an err_kind. */
 #define ERR_DOMAIN err_quark()
 GQuark err_quark(void);
 
-/* Set a GError of ours and return false, for "return err_set(...)". */
+/*
+ * Sets a GError with a kind and a message, and returns false, for "return
+ * err_set(...)".  Does nothing if the pointer is NULL or an error is set.
+ */
 bool err_set(GError **, enum err_kind, const char *, ...) G_GNUC_PRINTF(3, 4);
 
-/* Put the setting that it is about in front of an error; false as well. */
-bool err_at(GError **, const char *setting);
+/* Prefixes an error's message with the setting's name; returns false. */
+bool err_prefix_setting(GError **, const char *setting);
 
 #endif
--- a/field.c
+++ b/field.c
@@ -16,17 +16,17 @@
 
 enum { NAME_MAX_LEN = 128, WEIGHT_MAX = 1000000 };
 
-/* What a reader carries along, for its messages. */
-struct reader {
+/* What the read functions need for their error messages. */
+struct read_context {
 	const struct doc *doc;
 	const json_t *table;
-	const char *where;
+	const char *source;
 	enum err_kind kind;
 	GError **err;
 };
 
 typedef bool
-read_fn(const struct reader *, const struct field *, json_t *, void *);
+read_fn(const struct read_context *, const struct field *, json_t *, void *);
 
 static read_fn read_str;
 static read_fn read_name;
@@ -34,15 +34,15 @@
 static read_fn read_int;
 static read_fn read_real;
 static read_fn read_bool;
-static read_fn read_word;
+static read_fn read_choice;
 static read_fn read_labels;
 static read_fn read_addresses;
 static read_fn read_weights;
-static bool
-bad(const struct reader *, const struct field *, const json_t *, const char *);
-static bool
-unknown(const struct reader *, const struct field *, size_t, const char *);
-static bool known(const struct field *, size_t, const char *);
+static bool set_value_error(const struct read_context *, const struct field *,
+    const json_t *, const char *);
+static bool set_unknown_error(
+    const struct read_context *, const struct field *, size_t, const char *);
+static bool is_known(const struct field *, size_t, const char *);
 static void set_default(const struct field *, void *);
 
 static read_fn *const readers[] = {
@@ -52,7 +52,7 @@
     [FIELD_INT] = read_int,
     [FIELD_REAL] = read_real,
     [FIELD_BOOL] = read_bool,
-    [FIELD_WORD] = read_word,
+    [FIELD_CHOICE] = read_choice,
     [FIELD_LABELS] = read_labels,
     [FIELD_ADDRESSES] = read_addresses,
     [FIELD_WEIGHTS] = read_weights,
@@ -64,43 +64,43 @@
 	return (char *)out + f->offset;
 }
 
-/* Say what was found and what is allowed, with file and line. */
+/* Sets an error with file and line, the value found and what is allowed. */
 static bool
-bad(const struct reader *r, const struct field *f, const json_t *value,
-    const char *allowed)
+set_value_error(const struct read_context *r, const struct field *f,
+    const json_t *value, const char *allowed)
 {
 	char *found = json_dumps(value, JSON_ENCODE_ANY | JSON_COMPACT);
 	int line = doc_line(r->doc, r->table, f->name);
 
 	if (line > 0)
 		err_set(r->err, r->kind, "%s:%d: %s: found %s; allowed is %s",
-		    r->where, line, f->name, found, allowed);
+		    r->source, line, f->name, found, allowed);
 	else
 		err_set(r->err, r->kind, "%s: %s: found %s; allowed is %s",
-		    r->where, f->name, found, allowed);
+		    r->source, f->name, found, allowed);
 	free(found);
 	return false;
 }
 
 static bool
-read_str(
-    const struct reader *r, const struct field *f, json_t *value, void *out)
+read_str(const struct read_context *r, const struct field *f, json_t *value,
+    void *out)
 {
 	if (!json_is_string(value))
-		return bad(r, f, value, "a string");
+		return set_value_error(r, f, value, "a string");
 	*(struct str *)member(f, out) =
 	    str_dup(str_n(json_string_value(value), json_string_length(value)));
 	return true;
 }
 
 static bool
-read_name(
-    const struct reader *r, const struct field *f, json_t *value, void *out)
+read_name(const struct read_context *r, const struct field *f, json_t *value,
+    void *out)
 {
 	if (!json_is_string(value) ||
 	    !field_is_name(
 		str_n(json_string_value(value), json_string_length(value))))
-		return bad(
+		return set_value_error(
 		    r, f, value, "a name of letters, digits, '-', '_' and '.'");
 	return read_str(r, f, value, out);
 }
@@ -112,23 +112,23 @@
 	uint16_t port;
 
 	return json_is_string(value) &&
-	    field_address(
+	    field_parse_address(
 		str_n(json_string_value(value), json_string_length(value)), ip,
 		sizeof(ip), &port);
 }
 
 static bool
-read_address(
-    const struct reader *r, const struct field *f, json_t *value, void *out)
+read_address(const struct read_context *r, const struct field *f, json_t *value,
+    void *out)
 {
 	if (!is_address(value))
-		return bad(r, f, value, "an IP number and a port");
+		return set_value_error(r, f, value, "an IP number and a port");
 	return read_str(r, f, value, out);
 }
 
 static bool
-read_int(
-    const struct reader *r, const struct field *f, json_t *value, void *out)
+read_int(const struct read_context *r, const struct field *f, json_t *value,
+    void *out)
 {
 	char allowed[80];
 	json_int_t v = json_integer_value(value);
@@ -137,15 +137,15 @@
 		snprintf(allowed, sizeof(allowed),
 		    "a whole number from %lld to %lld", (long long)f->min,
 		    (long long)f->max);
-		return bad(r, f, value, allowed);
+		return set_value_error(r, f, value, allowed);
 	}
 	*(int64_t *)member(f, out) = v;
 	return true;
 }
 
 static bool
-read_real(
-    const struct reader *r, const struct field *f, json_t *value, void *out)
+read_real(const struct read_context *r, const struct field *f, json_t *value,
+    void *out)
 {
 	char allowed[80];
 	double v = json_number_value(value);
@@ -154,123 +154,130 @@
 	    v > (double)f->max) {
 		snprintf(allowed, sizeof(allowed), "a number from %lld to %lld",
 		    (long long)f->min, (long long)f->max);
-		return bad(r, f, value, allowed);
+		return set_value_error(r, f, value, allowed);
 	}
 	*(double *)member(f, out) = v;
 	return true;
 }
 
 static bool
-read_bool(
-    const struct reader *r, const struct field *f, json_t *value, void *out)
+read_bool(const struct read_context *r, const struct field *f, json_t *value,
+    void *out)
 {
 	if (!json_is_boolean(value))
-		return bad(r, f, value, "true or false");
+		return set_value_error(r, f, value, "true or false");
 	*(bool *)member(f, out) = json_is_true(value);
 	return true;
 }
 
 static bool
-read_word(
-    const struct reader *r, const struct field *f, json_t *value, void *out)
+read_choice(const struct read_context *r, const struct field *f, json_t *value,
+    void *out)
 {
 	const char *s = json_string_value(value);
 	char *allowed;
 	int i;
 
-	for (i = 0; s != NULL && f->words[i] != NULL; i++) {
-		if (strcmp(f->words[i], s) == 0) {
+	for (i = 0; s != NULL && f->choices[i] != NULL; i++) {
+		if (strcmp(f->choices[i], s) == 0) {
 			*(int *)member(f, out) = i;
 			return true;
 		}
 	}
-	allowed = g_strjoinv(" or ", (char **)f->words);
-	bad(r, f, value, allowed);
+	allowed = g_strjoinv(" or ", (char **)f->choices);
+	set_value_error(r, f, value, allowed);
 	g_free(allowed);
 	return false;
 }
 
 static bool
-read_labels(
-    const struct reader *r, const struct field *f, json_t *value, void *out)
+read_labels(const struct read_context *r, const struct field *f, json_t *value,
+    void *out)
 {
 	const char *key;
 	json_t *item;
 
 	if (!json_is_object(value))
-		return bad(r, f, value, "a table of names to strings");
+		return set_value_error(
+		    r, f, value, "a table of names to strings");
 	json_object_foreach (value, key, item) {
 		if (!field_is_name(str_c(key)) || !json_is_string(item))
-			return bad(r, f, value, "a table of names to strings");
+			return set_value_error(
+			    r, f, value, "a table of names to strings");
 	}
 	*(json_t **)member(f, out) = json_incref(value);
 	return true;
 }
 
 static bool
-read_weights(
-    const struct reader *r, const struct field *f, json_t *value, void *out)
+read_weights(const struct read_context *r, const struct field *f, json_t *value,
+    void *out)
 {
 	const char *key;
 	json_t *item;
 
 	if (!json_is_object(value))
-		return bad(r, f, value, "a table of names to weights");
+		return set_value_error(
+		    r, f, value, "a table of names to weights");
 	json_object_foreach (value, key, item) {
 		if (!field_is_name(str_c(key)) || !json_is_integer(item) ||
 		    json_integer_value(item) < 0 ||
 		    json_integer_value(item) > WEIGHT_MAX)
-			return bad(r, f, value, "a table of names to weights");
+			return set_value_error(
+			    r, f, value, "a table of names to weights");
 	}
 	*(json_t **)member(f, out) = json_incref(value);
 	return true;
 }
 
 static bool
-read_addresses(
-    const struct reader *r, const struct field *f, json_t *value, void *out)
+read_addresses(const struct read_context *r, const struct field *f,
+    json_t *value, void *out)
 {
 	json_t *item;
 	size_t i;
 
 	if (!json_is_array(value))
-		return bad(r, f, value, "a list of IP numbers and ports");
+		return set_value_error(
+		    r, f, value, "a list of IP numbers and ports");
 	json_array_foreach (value, i, item) {
 		if (!is_address(item))
-			return bad(r, f, item, "an IP number and a port");
+			return set_value_error(
+			    r, f, item, "an IP number and a port");
 	}
 	*(json_t **)member(f, out) = json_incref(value);
 	return true;
 }
 
 static bool
-known(const struct field *tab, size_t n, const char *name)
+is_known(const struct field *fields, size_t n, const char *name)
 {
 	size_t i;
 
 	for (i = 0; i < n; i++)
-		if (strcmp(tab[i].name, name) == 0)
+		if (strcmp(fields[i].name, name) == 0)
 			return true;
 	return false;
 }
 
+/* Sets an error for an unknown name, with the nearest known one. */
 static bool
-unknown(
-    const struct reader *r, const struct field *tab, size_t n, const char *name)
+set_unknown_error(const struct read_context *r, const struct field *fields,
+    size_t n, const char *name)
 {
 	size_t i, d, best = SIZE_MAX;
 	const char *nearest = "";
 	int line = doc_line(r->doc, r->table, name);
 
 	for (i = 0; i < n; i++) {
-		d = str_distance(str_c(tab[i].name), str_c(name));
+		d = str_distance(str_c(fields[i].name), str_c(name));
 		if (d < best) {
 			best = d;
-			nearest = tab[i].name;
+			nearest = fields[i].name;
 		}
 	}
 	return err_set(r->err, r->kind,
-	    "%s:%d: %s: unknown; the nearest known name is %s", r->where, line,
+	    "%s:%d: %s: unknown; the nearest known name is %s", r->source, line,
 	    name, nearest);
 }
 
@@ -292,7 +299,7 @@
 	case FIELD_BOOL:
 		*(bool *)member(f, out) = f->dflt != 0;
 		break;
-	case FIELD_WORD:
+	case FIELD_CHOICE:
 		*(int *)member(f, out) = (int)f->dflt;
 		break;
 	case FIELD_LABELS:
@@ -306,55 +313,55 @@
 }
 
 bool
-field_read(const struct field *tab, size_t n, const json_t *obj,
-    const struct doc *doc, const char *where, enum err_kind kind, void *out,
+field_read(const struct field *fields, size_t n, const json_t *obj,
+    const struct doc *doc, const char *source, enum err_kind kind, void *out,
     GError **err)
 {
-	const struct reader r = {doc, obj, where, kind, err};
+	const struct read_context r = {doc, obj, source, kind, err};
 	const char *key;
 	json_t *value;
 	size_t i;
 
 	if (!json_is_object(obj))
-		return err_set(err, kind, "%s: is not a table", where);
+		return err_set(err, kind, "%s: is not a table", source);
 	json_object_foreach ((json_t *)obj, key, value) {
-		if (!known(tab, n, key))
-			return unknown(&r, tab, n, key);
+		if (!is_known(fields, n, key))
+			return set_unknown_error(&r, fields, n, key);
 	}
 	for (i = 0; i < n; i++) {
-		value = json_object_get(obj, tab[i].name);
-		if (value == NULL && tab[i].required) {
-			err_set(err, kind, "%s: %s: is missing", where,
-			    tab[i].name);
+		value = json_object_get(obj, fields[i].name);
+		if (value == NULL && fields[i].required) {
+			err_set(err, kind, "%s: %s: is missing", source,
+			    fields[i].name);
 			break;
 		}
 		if (value == NULL)
-			set_default(&tab[i], out);
-		else if (!readers[tab[i].type](&r, &tab[i], value, out))
+			set_default(&fields[i], out);
+		else if (!readers[fields[i].type](&r, &fields[i], value, out))
 			break;
 	}
 	if (i == n)
 		return true;
-	field_free(tab, i, out);
+	field_free(fields, i, out);
 	return false;
 }
 
 void
-field_free(const struct field *tab, size_t n, void *out)
+field_free(const struct field *fields, size_t n, void *out)
 {
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		switch (tab[i].type) {
+		switch (fields[i].type) {
 		case FIELD_STR:
 		case FIELD_NAME:
 		case FIELD_ADDRESS:
-			str_free(member(&tab[i], out));
+			str_free(member(&fields[i], out));
 			break;
 		case FIELD_LABELS:
 		case FIELD_WEIGHTS:
 		case FIELD_ADDRESSES:
-			json_decref(*(json_t **)member(&tab[i], out));
+			json_decref(*(json_t **)member(&fields[i], out));
 			break;
 		default:
 			break;
@@ -363,27 +370,27 @@
 }
 
 bool
-field_address(struct str s, char *ip, size_t ipsz, uint16_t *port)
+field_parse_address(struct str s, char *ip, size_t ipsz, uint16_t *port)
 {
 	const char *colon = memrchr(s.p, ':', s.n);
-	unsigned char raw[sizeof(struct in6_addr)];
+	unsigned char addr[sizeof(struct in6_addr)];
 	unsigned long long v;
-	struct str host, num;
+	struct str host, port_text;
 
 	if (colon == NULL)
 		return false;
 	host = str_n(s.p, (size_t)(colon - s.p));
-	num = str_n(colon + 1, s.n - host.n - 1);
+	port_text = str_n(colon + 1, s.n - host.n - 1);
 	if (host.n >= 2 && host.p[0] == '[' && host.p[host.n - 1] == ']')
 		host = str_n(host.p + 1, host.n - 2);
-	if (host.n == 0 || host.n >= ipsz || !str_u64(num, &v) || v == 0 ||
-	    v > UINT16_MAX)
+	if (host.n == 0 || host.n >= ipsz || !str_u64(port_text, &v) ||
+	    v == 0 || v > UINT16_MAX)
 		return false;
 	memcpy(ip, host.p, host.n);
 	ip[host.n] = '\0';
 	*port = (uint16_t)v;
-	return inet_pton(AF_INET, ip, raw) == 1 ||
-	    inet_pton(AF_INET6, ip, raw) == 1;
+	return inet_pton(AF_INET, ip, addr) == 1 ||
+	    inet_pton(AF_INET6, ip, addr) == 1;
 }
 
 bool
--- a/fprint.c
+++ b/fprint.c
@@ -12,9 +12,12 @@
 
 #include "fprint.h"
 
-/* The length goes first, so that no two lists of parts read alike. */
+/*
+ * Hashes one part.  Its length goes first, so that different lists of parts
+ * never give the same input to the hash.
+ */
 static void
-add(XXH3_state_t *state, struct str part)
+hash_part(XXH3_state_t *state, struct str part)
 {
 	uint64_t n = part.n;
 
@@ -24,17 +27,17 @@
 }
 
 struct fprint
-fprint_of(const struct fprint_parts *parts)
+fprint_compute(const struct fprint_parts *parts)
 {
 	XXH3_state_t *state = XXH3_createState();
 	XXH128_hash_t hash;
 
 	XXH3_128bits_reset(state);
-	add(state, parts->identity);
-	add(state, parts->method);
-	add(state, parts->host);
-	add(state, parts->path);
-	add(state, parts->body);
+	hash_part(state, parts->identity);
+	hash_part(state, parts->method);
+	hash_part(state, parts->host);
+	hash_part(state, parts->path);
+	hash_part(state, parts->body);
 	hash = XXH3_128bits_digest(state);
 	XXH3_freeState(state);
 	return (struct fprint){hash.high64, hash.low64,
@@ -48,7 +51,7 @@
 }
 
 bool
-fprint_same(struct fprint a, struct fprint b)
+fprint_same_request(struct fprint a, struct fprint b)
 {
 	return a.hi == b.hi && a.lo == b.lo;
 }
@@ -56,5 +59,5 @@
 bool
 fprint_eq(struct fprint a, struct fprint b)
 {
-	return fprint_same(a, b) && a.caller == b.caller;
+	return fprint_same_request(a, b) && a.caller == b.caller;
 }
--- a/fprint.h
+++ b/fprint.h
@@ -17,38 +17,40 @@
 #include "str.h"
 
 /*
- * A fingerprint tells whether a request is the same again.  To backend servers
- * it is that if method, host, path, query, body and the identity that it shows
- * are the same.  From where it comes they do not see; that is a part by itself.
- * Its id and its deadline are no part of it, as they are new each time.
+ * A fingerprint identifies a request that is sent again.  Two requests are the
+ * same to a backend server if the method, host, path, query, body and the
+ * caller's identity in the request are equal.  The address that a request comes
+ * from is not visible to backend servers and is hashed separately.  The request
+ * id and the deadline are not included, as they differ each time.
  */
 struct fprint {
-	uint64_t hi, lo; /* of what backend servers see */
-	uint64_t caller; /* of the address that it comes from */
+	uint64_t hi, lo; /* 128-bit hash of what backend servers see */
+	uint64_t caller; /* hash of the address that it comes from */
 };
 
-/* What makes up a request for this purpose. */
+/* The parts of a request that its fingerprint is computed from. */
 struct fprint_parts {
 	struct str address; /* of the caller */
-	struct str identity; /* that the request shows; may be empty */
+	struct str identity; /* of the caller, in the request; may be empty */
 	struct str method;
 	struct str host;
 	struct str path; /* with its query */
 	struct str body;
 };
 
-struct fprint fprint_of(const struct fprint_parts *);
+/* Returns the fingerprint of a request. */
+struct fprint fprint_compute(const struct fprint_parts *);
 
-/* No fingerprint: of a request of which it is not known. */
+/* Returns whether it is unset, with hi and lo 0: not known for the request. */
 bool fprint_is_none(struct fprint);
 
-/* The same request from the same caller. */
+/* Returns whether it is the same request from the same caller address. */
 bool fprint_eq(struct fprint, struct fprint);
 
-/* The same request, whoever sends it. */
-bool fprint_same(struct fprint, struct fprint);
+/* Returns whether it is the same request, from whatever address. */
+bool fprint_same_request(struct fprint, struct fprint);
 
-/* For the log: printf("print=" FPRINT_FMT, FPRINT_ARG(print)). */
+/* For logs: printf("print=" FPRINT_FMT, FPRINT_ARG(fingerprint)). */
 #define FPRINT_FMT "%016llx/%08x"
 #define FPRINT_ARG(f) (unsigned long long)(f).lo, (unsigned)(f).caller
 
--- a/gate_admit.c
+++ b/gate_admit.c
@@ -185,7 +185,7 @@
 	    .body = str_n(req->entity.base, req->entity.len),
 	};
 
-	return fprint_of(&parts);
+	return fprint_compute(&parts);
 }
 
 static bool
--- a/gate_answer.c
+++ b/gate_answer.c
@@ -45,7 +45,7 @@
 gate_respond(struct gate_req *r, enum err_kind kind, enum err_ran ran,
     int64_t retry_after)
 {
-	const struct err_row *a = err_answer(kind);
+	const struct err_info *a = err_lookup(kind);
 	const struct dialect *dialect = r->gate->dialect;
 	h2o_req_t *req = r->req;
 	int status = a->status;
@@ -64,7 +64,7 @@
 	gate_req_settle_claim(r, ran == RAN_NO);
 	cnt_add(r->gate->cnt, GC_REFUSED, 1);
 	if (dialect->status_means_not_run)
-		status = err_promise_status(kind, ran);
+		status = err_status_for_ran(kind, ran);
 	slog_decision(SLOG_ROUTE, "refused",
 	    "id=%.*s print=" FPRINT_FMT
 	    " why=%s ran=%s status=%d age_ms=%lld tries=%d "
--- a/gate_claim.c
+++ b/gate_claim.c
@@ -118,7 +118,7 @@
 	bool ours = kind == ERR_NONE;
 
 	slog_decision(SLOG_CLAIM, "claim", "claim=%s result=%s", c->name,
-	    kind == ERR_NONE ? "ours" : err_answer(kind)->name);
+	    kind == ERR_NONE ? "ours" : err_lookup(kind)->name);
 	if (kind == ERR_DUPLICATE)
 		cnt_add(g->cnt, GC_DUPLICATES, 1);
 	c->phase = PHASE_HELD;
--- a/gate_flow.c
+++ b/gate_flow.c
@@ -427,7 +427,7 @@
 	r->body_ended = true;
 	r->body_cut = true;
 	slog_decision(SLOG_GATE, "answer was cut", "id=%.*s why=%s",
-	    STR_ARG(r->request_id), err_answer(kind)->name);
+	    STR_ARG(r->request_id), err_lookup(kind)->name);
 	gate_try_failed(r, kind);
 	send_more(r);
 }
--- a/gate_open.c
+++ b/gate_open.c
@@ -69,9 +69,9 @@
 	.offset = F(policy),
 	.text_dflt = "fern"},
     {.name = "route",
-	.type = FIELD_WORD,
+	.type = FIELD_CHOICE,
 	.offset = F(route),
-	.words = words_route},
+	.choices = words_route},
     {.name = "body_max",
 	.type = FIELD_INT,
 	.offset = F(body_max),
@@ -218,19 +218,20 @@
 	g->wire =
 	    wire_open(g->loop, g->settings.inbox, gate_conf_on_message, g, err);
 	if (g->wire == NULL)
-		return err_at(err, "inbox");
+		return err_prefix_setting(err, "inbox");
 	g->caller_server = hsrv_open(
 	    g->loop, g->settings.listen, body, gate_req_from_caller, g, err);
 	if (g->caller_server == NULL)
-		return err_at(err, "listen");
+		return err_prefix_setting(err, "listen");
 	hsrv_allow_concurrent(g->caller_server, gate_admit_pipelined);
 	g->forward_server = hsrv_open(
 	    g->loop, g->settings.pass_listen, body, gate_req_from_gate, g, err);
 	if (g->forward_server == NULL)
-		return err_at(err, "pass_listen");
+		return err_prefix_setting(err, "pass_listen");
 	g->admin_server = hsrv_open(g->loop, g->settings.admin_listen,
 	    ADMIN_BODY_MAX, gate_stat_page, g, err);
-	return g->admin_server != NULL || err_at(err, "admin_listen");
+	return g->admin_server != NULL ||
+	    err_prefix_setting(err, "admin_listen");
 }
 
 bool
--- a/gate_try.c
+++ b/gate_try.c
@@ -363,7 +363,7 @@
 	    "id=%.*s print=" FPRINT_FMT " why=%s service=%.*s backend=%.*s "
 	    "out_ms=%lld beside=%d tries=%d",
 	    STR_ARG(r->request_id), FPRINT_ARG(r->disp.fingerprint),
-	    err_answer(kind)->name, STR_ARG(r->service), STR_ARG(b->name),
+	    err_lookup(kind)->name, STR_ARG(r->service), STR_ARG(b->name),
 	    (long long)((clk_ns(r->gate->clk) - r->disp.sent_at) / NS_MS),
 	    b->inflight - 1, r->disp.attempt_count);
 }
--- a/hsrv.c
+++ b/hsrv.c
@@ -44,8 +44,8 @@
 
 	(void)self;
 	h2o_add_header_by_str(&req->pool, &req->res.headers,
-	    H2O_STRLIT("fern-error"), 0, NULL, err_answer(kind)->name,
-	    strlen(err_answer(kind)->name));
+	    H2O_STRLIT("fern-error"), 0, NULL, err_lookup(kind)->name,
+	    strlen(err_lookup(kind)->name));
 	h2o_add_header_by_str(&req->pool, &req->res.headers,
 	    H2O_STRLIT("fern-ran"), 0, NULL, H2O_STRLIT("no"));
 	h2o_setup_next_ostream(req, slot);
@@ -92,7 +92,7 @@
 	uint16_t port = 0;
 	int rc;
 
-	if (!field_address(address, ip, sizeof(ip), &port))
+	if (!field_parse_address(address, ip, sizeof(ip), &port))
 		return err_set(
 		    err, ERR_SYSTEM, "%.*s is no address", STR_ARG(address));
 	if (uv_ip4_addr(ip, port, (struct sockaddr_in *)&sa) != 0)
--- a/libctl.h
+++ b/libctl.h
@@ -22,7 +22,7 @@
 #include "tmr.h"
 #include "up.h"
 
-/* What one run of fernctl works with. */
+/* The state of one run of fernctl. */
 struct ctl {
 	uv_loop_t *loop;
 	const struct clk *clk;
@@ -31,38 +31,50 @@
 	struct up *up;
 	struct plat *plat;
 	bool json; /* print JSON in place of tables */
-	char **args; /* the words behind the command's name */
+	char **args; /* the arguments after the command; NULL-terminated */
 	int nargs;
-	char *method, *host, *header; /* for explain */
+	char *method, *host, *header; /* for explain; header may be NULL */
 };
 
-/* A command returns true, or false with an error set. */
+/* A command; returns true, or false with an error set. */
 typedef bool ctl_fn(struct ctl *, GError **);
 
 ctl_fn ctl_apply, ctl_diff, ctl_get, ctl_label, ctl_drain, ctl_undrain,
     ctl_evacuate, ctl_return, ctl_limits, ctl_delete, ctl_status, ctl_explain;
 
-/* ctl_call.c: calls to the platform that wait for their answer. */
+/* ctl_call.c: synchronous calls to the platform. */
 
-/* One call; *body is a new reference or NULL. */
+/* Makes one call and waits for it; *body is a new reference or NULL. */
 enum plat_result
 ctl_call(struct ctl *, const struct plat_request *, json_t **body);
 
-/* Read an object: NULL with no error set if it is not there. */
+/*
+ * Reads an object; the result is a new reference.  Returns NULL with no error
+ * set if the object does not exist, NULL with ERR_PLATFORM on failure.
+ */
 json_t *ctl_read(struct ctl *, struct str kind, struct str name, GError **);
 
-/* All objects of some kinds, as the platform lists them. */
+/*
+ * Lists all objects of some kinds, separated by commas.  The result is a new
+ * reference; NULL with ERR_PLATFORM on failure.
+ */
 json_t *ctl_list(struct ctl *, struct str kinds, GError **);
 
 /*
- * Write an object on the condition that it is still in the version that
- * `old` shows (NULL: that it is not there).  A lost answer is settled by
- * reading back the change id that the write carries.  `spec` NULL deletes.
+ * Writes an object on the condition that it still has the version of `old`
+ * (NULL: that it does not exist yet).  `spec` NULL deletes it.  If the reply is
+ * lost, the object is read back: the change id in it shows whether the write
+ * took effect.  *version is the new version.  Returns false with ERR_CONFLICT
+ * if another change came first, with ERR_PLATFORM if the platform rejects the
+ * write or does not reply.
  */
 bool ctl_write(struct ctl *, struct str kind, struct str name, json_t *old,
     json_t *spec, uint64_t *version, GError **);
 
-/* The parts of "kind/name"; false with an error set if it is not that. */
-bool ctl_key(const char *, enum obj_kind *, struct str *name, GError **);
+/*
+ * Splits "kind/name"; `name` points into the text.  Returns false with
+ * ERR_USAGE if the kind is unknown or the name is not valid.
+ */
+bool ctl_parse_key(const char *, enum obj_kind *, struct str *name, GError **);
 
 #endif
--- a/poison.c
+++ b/poison.c
@@ -109,7 +109,7 @@
 
 	for (i = 0; i < p->words->len; i++) {
 		w = g_ptr_array_index(p->words, i);
-		if (!fprint_same(w->fingerprint, print))
+		if (!fprint_same_request(w->fingerprint, print))
 			continue;
 		if (fprint_eq(w->fingerprint, print))
 			o.own = w;
--- a/regress/disp_world.h
+++ b/regress/disp_world.h
@@ -65,7 +65,7 @@
 
 	static uint64_t next(void *ctx)
 	{
-		return rnd_split(&static_cast<World *>(ctx)->seed);
+		return rnd_splitmix64(&static_cast<World *>(ctx)->seed);
 	}
 
 	static void send(void *ctx, struct disp_req *d, struct pick_backend *b)
@@ -98,7 +98,7 @@
 		of(d)->ended = true;
 		of(d)->kind = kind;
 		w->trace.push_back("give up " + std::to_string(of(d)->id) +
-		    " " + err_answer(kind)->name);
+		    " " + err_lookup(kind)->name);
 		if (w->on_end)
 			w->on_end(of(d));
 	}
--- a/regress/load.cpp
+++ b/regress/load.cpp
@@ -40,7 +40,7 @@
 double
 unit(uint64_t *seed)
 {
-	return static_cast<double>(rnd_split(seed) >> 11) * 0x1p-53;
+	return static_cast<double>(rnd_splitmix64(seed) >> 11) * 0x1p-53;
 }
 
 /* A number in 0 to 1 that depends on its arguments only. */
@@ -50,7 +50,7 @@
 	uint64_t s =
 	    seed ^ (a * 0x9e3779b97f4a7c15u) ^ (b * 0xc2b2ae3d27d4eb4fu);
 
-	rnd_split(&s);
+	rnd_splitmix64(&s);
 	return unit(&s);
 }
 
@@ -382,7 +382,7 @@
 
 	static uint64_t next(void *ctx)
 	{
-		return rnd_split(&static_cast<Product *>(ctx)->random);
+		return rnd_splitmix64(&static_cast<Product *>(ctx)->random);
 	}
 
 	static Attempt *of(struct disp_req *d)
--- a/regress/standin_platform.c
+++ b/regress/standin_platform.c
@@ -357,14 +357,14 @@
 	struct str path = hsrv_path(req);
 
 	(void)ctx;
-	if (str_starts(path, STR_LIT("/standin/"))) {
+	if (str_has_prefix(path, STR_LIT("/standin/"))) {
 		control(req);
 	} else if (st.mode == MODE_HANG) {
 		waiter_new(req);
 	} else if (st.mode == MODE_DOWN) {
 		st.reads++;
 		send_json(req, 503, json_object());
-	} else if (str_starts(path, STR_LIT("/v1/objects/"))) {
+	} else if (str_has_prefix(path, STR_LIT("/v1/objects/"))) {
 		object(req);
 	} else if (str_eq(path, STR_LIT("/v1/objects"))) {
 		list(req);
--- a/regress/standin_proxy.c
+++ b/regress/standin_proxy.c
@@ -296,7 +296,7 @@
 	char ip[INET6_ADDRSTRLEN];
 	uint16_t port;
 
-	return field_address(str_c(address), ip, sizeof(ip), &port) &&
+	return field_parse_address(str_c(address), ip, sizeof(ip), &port) &&
 	    uv_ip4_addr(ip, port, (struct sockaddr_in *)sa) == 0;
 }
 
--- a/regress/test_box.cpp
+++ b/regress/test_box.cpp
@@ -57,7 +57,7 @@
 		box::Taken taken(net::own_ip(), c.port);
 		World w(true, "", "", "", taken.ip);
 
-		EXPECT_EQ(err_answer(ERR_SYSTEM)->exit_code, w.box.wait_exit())
+		EXPECT_EQ(err_lookup(ERR_SYSTEM)->exit_code, w.box.wait_exit())
 		    << c.port;
 		EXPECT_TRUE(w.logged("fernbox: " + std::string(c.setting) +
 		    ": " + taken.ip + ":" + c.port))
--- a/regress/test_customer.cpp
+++ b/regress/test_customer.cpp
@@ -208,7 +208,8 @@
 	uint64_t seed = 7;
 
 	for (int i = 0; i < 20000; i++) {
-		now += static_cast<int64_t>(rnd_split(&seed) % (5 * NS_MS));
+		now +=
+		    static_cast<int64_t>(rnd_splitmix64(&seed) % (5 * NS_MS));
 		if (bucket_reserve(&b, 100, 50, 100 * NS_MS, now, &wait)) {
 			begun.push_back(now + wait);
 			continue;
--- a/regress/test_gossip.cpp
+++ b/regress/test_gossip.cpp
@@ -92,7 +92,7 @@
 
 	static uint64_t next(void *ctx)
 	{
-		return rnd_split(&static_cast<Fleet *>(ctx)->seed);
+		return rnd_splitmix64(&static_cast<Fleet *>(ctx)->seed);
 	}
 
 	/* In each of so many halls three boxes of half a processor. */
--- a/regress/test_platform.cpp
+++ b/regress/test_platform.cpp
@@ -637,9 +637,9 @@
 
 TEST(Err, AStatusThatPromisesIsTrue)
 {
-	for (int k = ERR_NO_BACKEND; k <= ERR_ANSWER_LAST; k++) {
+	for (int k = ERR_NO_BACKEND; k <= ERR_RESPONSE_LAST; k++) {
 		enum err_kind kind = static_cast<enum err_kind>(k);
-		int unsure = err_promise_status(kind, RAN_UNKNOWN);
+		int unsure = err_status_for_ran(kind, RAN_UNKNOWN);
 
 		/* These promise that a request has not run. */
 		EXPECT_NE(503, unsure) << k;
@@ -647,10 +647,10 @@
 		EXPECT_NE(408, unsure) << k;
 		EXPECT_NE(421, unsure) << k;
 	}
-	EXPECT_EQ(503, err_promise_status(ERR_DEADLINE, RAN_NO));
-	EXPECT_EQ(504, err_promise_status(ERR_DEADLINE, RAN_UNKNOWN));
-	EXPECT_EQ(503, err_promise_status(ERR_CONNECT, RAN_NO));
-	EXPECT_EQ(404, err_promise_status(ERR_NO_RULE, RAN_NO));
+	EXPECT_EQ(503, err_status_for_ran(ERR_DEADLINE, RAN_NO));
+	EXPECT_EQ(504, err_status_for_ran(ERR_DEADLINE, RAN_UNKNOWN));
+	EXPECT_EQ(503, err_status_for_ran(ERR_CONNECT, RAN_NO));
+	EXPECT_EQ(404, err_status_for_ran(ERR_NO_RULE, RAN_NO));
 }
 
 TEST(Pace, AWordLosesItsWorthWithAge)
--- a/regress/test_poison.cpp
+++ b/regress/test_poison.cpp
@@ -39,7 +39,7 @@
 
 	static uint64_t next(void *ctx)
 	{
-		return rnd_split(&static_cast<Memory *>(ctx)->seed);
+		return rnd_splitmix64(&static_cast<Memory *>(ctx)->seed);
 	}
 
 	Memory(int64_t *at, uint64_t with)
--- a/regress/test_policy.cpp
+++ b/regress/test_policy.cpp
@@ -87,12 +87,13 @@
 
 	static uint64_t next(void *ctx)
 	{
-		return rnd_split(&static_cast<Sim *>(ctx)->seed);
+		return rnd_splitmix64(&static_cast<Sim *>(ctx)->seed);
 	}
 
 	double uniform()
 	{
-		return static_cast<double>(rnd_split(&seed) >> 11) * 0x1p-53;
+		return static_cast<double>(rnd_splitmix64(&seed) >> 11) *
+		    0x1p-53;
 	}
 
 	void in(int64_t ns, std::function<void()> fn)
--- a/regress/test_roll.cpp
+++ b/regress/test_roll.cpp
@@ -42,7 +42,7 @@
 double
 uniform(uint64_t *seed)
 {
-	return static_cast<double>(rnd_split(seed) >> 11) * 0x1p-53;
+	return static_cast<double>(rnd_splitmix64(seed) >> 11) * 0x1p-53;
 }
 
 /* Bad answers of each version, as shares, and how many of each come. */
--- a/regress/test_units.cpp
+++ b/regress/test_units.cpp
@@ -77,7 +77,7 @@
 uint64_t
 step_random(void *ctx)
 {
-	return rnd_split(static_cast<uint64_t *>(ctx));
+	return rnd_splitmix64(static_cast<uint64_t *>(ctx));
 }
 
 } // namespace
@@ -85,16 +85,16 @@
 TEST(Err, EachKindHasARowAndAName)
 {
 	for (int i = 0; i < ERR_MAX; i++) {
-		const struct err_row *a = err_answer((enum err_kind)i);
+		const struct err_info *a = err_lookup((enum err_kind)i);
 
 		ASSERT_NE(nullptr, a->name) << i;
 		EXPECT_NE(nullptr, a->sentence) << i;
 		EXPECT_EQ(i, err_by_name(str_c(a->name)));
-		if (i > ERR_NONE && i <= ERR_ANSWER_LAST) {
+		if (i > ERR_NONE && i <= ERR_RESPONSE_LAST) {
 			EXPECT_GE(a->status, 400) << a->name;
 		}
 	}
-	EXPECT_STREQ("system", err_answer((enum err_kind)999)->name);
+	EXPECT_STREQ("system", err_lookup((enum err_kind)999)->name);
 }
 
 TEST(Str, NumbersAndDistances)
@@ -150,15 +150,16 @@
 	char ip[64];
 	uint16_t port;
 
-	EXPECT_TRUE(
-	    field_address(STR_LIT("127.0.0.1:80"), ip, sizeof(ip), &port));
+	EXPECT_TRUE(field_parse_address(
+	    STR_LIT("127.0.0.1:80"), ip, sizeof(ip), &port));
 	EXPECT_EQ(80, port);
 	EXPECT_TRUE(
-	    field_address(STR_LIT("[::1]:8080"), ip, sizeof(ip), &port));
+	    field_parse_address(STR_LIT("[::1]:8080"), ip, sizeof(ip), &port));
 	EXPECT_STREQ("::1", ip);
 	for (const char *bad : {"", ":", "127.0.0.1", "127.0.0.1:", "x:80",
 		 "127.0.0.1:0", "127.0.0.1:65536", "localhost:80", "[::1:80"})
-		EXPECT_FALSE(field_address(str_c(bad), ip, sizeof(ip), &port))
+		EXPECT_FALSE(
+		    field_parse_address(str_c(bad), ip, sizeof(ip), &port))
 		    << bad;
 	EXPECT_TRUE(field_is_name(STR_LIT("a-b_c.9")));
 	EXPECT_FALSE(field_is_name(STR_LIT("a/b")));
@@ -930,8 +931,8 @@
 	    STR_LIT("body")};
 	struct fprint_parts b = a;
 
-	EXPECT_TRUE(fprint_eq(fprint_of(&a), fprint_of(&b)));
-	EXPECT_FALSE(fprint_is_none(fprint_of(&a)));
+	EXPECT_TRUE(fprint_eq(fprint_compute(&a), fprint_compute(&b)));
+	EXPECT_FALSE(fprint_is_none(fprint_compute(&a)));
 	EXPECT_TRUE(fprint_is_none({}));
 	/* Each part counts, and so does where one ends. */
 	struct str *parts[] = {
@@ -939,19 +940,22 @@
 	for (struct str *part : parts) {
 		b = a;
 		part->n--;
-		EXPECT_FALSE(fprint_same(fprint_of(&a), fprint_of(&b)));
+		EXPECT_FALSE(fprint_same_request(
+		    fprint_compute(&a), fprint_compute(&b)));
 	}
 	a.host = STR_LIT("ab");
 	a.path = STR_LIT("c");
 	b = a;
 	b.host = STR_LIT("a");
 	b.path = STR_LIT("bc");
-	EXPECT_FALSE(fprint_same(fprint_of(&a), fprint_of(&b)));
+	EXPECT_FALSE(
+	    fprint_same_request(fprint_compute(&a), fprint_compute(&b)));
 	/* From elsewhere it is the same request, of another caller. */
 	b = a;
 	b.address = STR_LIT("10.0.0.2");
-	EXPECT_TRUE(fprint_same(fprint_of(&a), fprint_of(&b)));
-	EXPECT_FALSE(fprint_eq(fprint_of(&a), fprint_of(&b)));
+	EXPECT_TRUE(
+	    fprint_same_request(fprint_compute(&a), fprint_compute(&b)));
+	EXPECT_FALSE(fprint_eq(fprint_compute(&a), fprint_compute(&b)));
 }
 
 /* Refused and back: the first time counts, and each refusal is kept once. */
--- a/regress/test_up.cpp
+++ b/regress/test_up.cpp
@@ -145,7 +145,7 @@
 	}
 	static void fail(void *ctx, struct up_call *, enum err_kind kind)
 	{
-		static_cast<Call *>(ctx)->end = err_answer(kind)->name;
+		static_cast<Call *>(ctx)->end = err_lookup(kind)->name;
 	}
 };
 
--- a/route.c
+++ b/route.c
@@ -306,7 +306,7 @@
 static bool
 path_takes(struct str prefix, struct str path)
 {
-	if (!str_starts(path, prefix))
+	if (!str_has_prefix(path, prefix))
 		return false;
 	return path.n == prefix.n || prefix.p[prefix.n - 1] == '/' ||
 	    path.p[prefix.n] == '/' || path.p[prefix.n] == '?';
--- a/sel.c
+++ b/sel.c
@@ -12,7 +12,7 @@
 #include "field.h"
 #include "sel.h"
 
-enum op { OP_THERE, OP_NOT_THERE, OP_IN, OP_NOT_IN };
+enum op { OP_EXISTS, OP_NOT_EXISTS, OP_IN, OP_NOT_IN };
 
 struct term {
 	enum op op;
@@ -24,19 +24,19 @@
 	GPtrArray *terms;
 };
 
-/* A parser's place in the text. */
+/* The text under parsing, the position in it, and where errors go. */
 struct cursor {
 	struct str text;
-	size_t at;
+	size_t pos;
 	GError **err;
 };
 
 static struct term *parse_term(struct cursor *);
 static bool parse_op(struct cursor *, struct term *);
 static bool parse_list(struct cursor *, struct term *);
-static bool parse_word(struct cursor *, struct str *);
-static bool take(struct cursor *, const char *);
-static bool bad(const struct cursor *, const char *);
+static bool parse_name(struct cursor *, struct str *);
+static bool skip_symbol(struct cursor *, const char *);
+static bool syntax_error(const struct cursor *, const char *);
 static bool term_match(const struct term *, const json_t *);
 
 static void
@@ -57,46 +57,48 @@
 }
 
 static bool
-bad(const struct cursor *c, const char *wanted)
+syntax_error(const struct cursor *c, const char *expected)
 {
 	return err_set(c->err, ERR_SELECTOR,
-	    "selector \"%.*s\": column %zu: %s is wanted", STR_ARG(c->text),
-	    c->at + 1, wanted);
+	    "selector \"%.*s\": column %zu: expected %s", STR_ARG(c->text),
+	    c->pos + 1, expected);
 }
 
 static void
 skip_space(struct cursor *c)
 {
-	while (c->at < c->text.n &&
-	    (c->text.p[c->at] == ' ' || c->text.p[c->at] == '\t'))
-		c->at++;
+	while (c->pos < c->text.n &&
+	    (c->text.p[c->pos] == ' ' || c->text.p[c->pos] == '\t'))
+		c->pos++;
 }
 
-/* Take a symbol if it stands here. */
+/* Skips white space, and a symbol if it comes next; returns whether it did. */
 static bool
-take(struct cursor *c, const char *symbol)
+skip_symbol(struct cursor *c, const char *symbol)
 {
-	struct str rest;
+	struct str remaining;
 
 	skip_space(c);
-	rest = str_n(c->text.p + c->at, c->text.n - c->at);
-	if (!str_starts(rest, str_c(symbol)))
+	remaining = str_n(c->text.p + c->pos, c->text.n - c->pos);
+	if (!str_has_prefix(remaining, str_c(symbol)))
 		return false;
-	c->at += strlen(symbol);
+	c->pos += strlen(symbol);
 	return true;
 }
 
+/* Parses a label name, a value or an operator; false if none comes next. */
 static bool
-parse_word(struct cursor *c, struct str *word)
+parse_name(struct cursor *c, struct str *name)
 {
-	size_t from;
+	size_t start;
 
 	skip_space(c);
-	from = c->at;
-	while (c->at < c->text.n && field_is_name(str_n(c->text.p + c->at, 1)))
-		c->at++;
-	*word = str_n(c->text.p + from, c->at - from);
-	return field_is_name(*word);
+	start = c->pos;
+	while (
+	    c->pos < c->text.n && field_is_name(str_n(c->text.p + c->pos, 1)))
+		c->pos++;
+	*name = str_n(c->text.p + start, c->pos - start);
+	return field_is_name(*name);
 }
 
 static void
@@ -113,14 +115,14 @@
 {
 	struct str v;
 
-	if (!take(c, "("))
-		return bad(c, "'('");
+	if (!skip_symbol(c, "("))
+		return syntax_error(c, "'('");
 	do {
-		if (!parse_word(c, &v))
-			return bad(c, "a value");
+		if (!parse_name(c, &v))
+			return syntax_error(c, "a value");
 		add_value(t, v);
-	} while (take(c, ","));
-	return take(c, ")") || bad(c, "',' or ')'");
+	} while (skip_symbol(c, ","));
+	return skip_symbol(c, ")") || syntax_error(c, "',' or ')'");
 }
 
 static bool
@@ -130,30 +132,30 @@
 		const char *symbol;
 		enum op op;
 	} ops[] = {{"!=", OP_NOT_IN}, {"==", OP_IN}, {"=", OP_IN}};
-	struct str word;
-	size_t i, from;
+	struct str name;
+	size_t i, start;
 
 	for (i = 0; i < G_N_ELEMENTS(ops); i++) {
-		if (!take(c, ops[i].symbol))
+		if (!skip_symbol(c, ops[i].symbol))
 			continue;
 		t->op = ops[i].op;
-		if (!parse_word(c, &word))
-			return bad(c, "a value");
-		add_value(t, word);
+		if (!parse_name(c, &name))
+			return syntax_error(c, "a value");
+		add_value(t, name);
 		return true;
 	}
-	from = c->at;
-	if (!parse_word(c, &word)) {
-		t->op = OP_THERE;
+	start = c->pos;
+	if (!parse_name(c, &name)) {
+		t->op = OP_EXISTS;
 		return true;
 	}
-	if (str_eq(word, str_c("in")))
+	if (str_eq(name, str_c("in")))
 		t->op = OP_IN;
-	else if (str_eq(word, str_c("notin")))
+	else if (str_eq(name, str_c("notin")))
 		t->op = OP_NOT_IN;
 	else {
-		c->at = from;
-		return bad(c, "'=', '!=', 'in', 'notin' or ','");
+		c->pos = start;
+		return syntax_error(c, "'=', '!=', 'in', 'notin' or ','");
 	}
 	return parse_list(c, t);
 }
@@ -162,18 +164,18 @@
 parse_term(struct cursor *c)
 {
 	struct term *t = g_new0(struct term, 1);
-	bool not_there = take(c, "!"), ok;
+	bool negated = skip_symbol(c, "!"), ok;
 	struct str key;
 
 	t->values = g_ptr_array_new_with_free_func(str_destroy);
-	if (!parse_word(c, &key)) {
-		bad(c, "a label's name");
+	if (!parse_name(c, &key)) {
+		syntax_error(c, "a label's name");
 		term_destroy(t);
 		return NULL;
 	}
 	t->key = str_dup(key);
-	t->op = OP_NOT_THERE;
-	ok = not_there || parse_op(c, t);
+	t->op = OP_NOT_EXISTS;
+	ok = negated || parse_op(c, t);
 	if (ok)
 		return t;
 	term_destroy(t);
@@ -189,19 +191,19 @@
 
 	s->terms = g_ptr_array_new_with_free_func(term_destroy);
 	skip_space(&c);
-	if (c.at == text.n)
+	if (c.pos == text.n)
 		return s;
 	do {
 		t = parse_term(&c);
 		if (t == NULL)
 			break;
 		g_ptr_array_add(s->terms, t);
-	} while (take(&c, ","));
+	} while (skip_symbol(&c, ","));
 	skip_space(&c);
-	if (t != NULL && c.at == text.n)
+	if (t != NULL && c.pos == text.n)
 		return s;
 	if (t != NULL)
-		bad(&c, "','");
+		syntax_error(&c, "','");
 	sel_free(s);
 	return NULL;
 }
@@ -220,19 +222,19 @@
 {
 	const json_t *label = json_object_get(labels, t->key.p);
 	const struct str *v;
-	struct str have;
+	struct str actual;
 	guint i;
 
-	if (t->op == OP_THERE)
+	if (t->op == OP_EXISTS)
 		return label != NULL;
-	if (t->op == OP_NOT_THERE)
+	if (t->op == OP_NOT_EXISTS)
 		return label == NULL;
 	if (label == NULL)
 		return t->op == OP_NOT_IN;
-	have = str_n(json_string_value(label), json_string_length(label));
+	actual = str_n(json_string_value(label), json_string_length(label));
 	for (i = 0; i < t->values->len; i++) {
 		v = g_ptr_array_index(t->values, i);
-		if (str_eq(*v, have))
+		if (str_eq(*v, actual))
 			return t->op == OP_IN;
 	}
 	return t->op == OP_NOT_IN;
--- a/sel.h
+++ b/sel.h
@@ -18,24 +18,28 @@
 #include "str.h"
 
 /*
- * Label selectors: terms joined by commas, all of which must hold.
+ * Label selectors: terms joined by commas, all of which must match.
  *
- *	key		the label is there
- *	!key		the label is not there
+ *	key		the label exists
+ *	!key		the label does not exist
  *	key=value	also written key==value
- *	key!=value	true as well where the label is not there
+ *	key!=value	also matches if the label does not exist
  *	key in (a,b)
- *	key notin (a,b)	true as well where the label is not there
+ *	key notin (a,b)	also matches if the label does not exist
  *
- * The empty selector matches nothing, so that a slip selects no one.
+ * The empty selector matches nothing, so that one left empty by mistake does
+ * not select every server.
  */
 struct sel;
 
-/* NULL and ERR_SELECTOR, with the column, on failure. */
+/*
+ * Parses a selector; the caller frees it with sel_free().  Returns NULL with
+ * ERR_SELECTOR, which names the column, on failure.
+ */
 struct sel *sel_parse(struct str, GError **);
 void sel_free(struct sel *);
 
-/* Does a table of label names to strings match? */
+/* Returns whether an object of label names and string values matches. */
 bool sel_match(const struct sel *, const json_t *labels);
 
 #endif
--- a/set.c
+++ b/set.c
@@ -13,7 +13,7 @@
 #include "set.h"
 
 bool
-set_load(const char *file, const char *section, const struct field *tab,
+set_load(const char *file, const char *section, const struct field *fields,
     size_t n, void *out, GError **err)
 {
 	struct doc *doc = doc_load(file, err);
@@ -29,7 +29,7 @@
 		    err, ERR_SETTINGS, "%s: [%s]: is missing", file, section);
 	else
 		ok = field_read(
-		    tab, n, values, doc, file, ERR_SETTINGS, out, err);
+		    fields, n, values, doc, file, ERR_SETTINGS, out, err);
 	doc_free(doc);
 	return ok;
 }
--- a/set.h
+++ b/set.h
@@ -17,13 +17,15 @@
 #include "field.h"
 
 /*
- * Load a settings file into a struct by a table of its keys.  `section` is
- * the TOML table to read, NULL for the whole file.  Messages tell file, line,
- * key, what was found and what is allowed.
+ * Loads a settings file into a struct according to a table of its keys.
+ * `section` is the TOML table to read, NULL for the whole file.  Returns false
+ * with ERR_SETTINGS on failure; its message names the file, line and key, the
+ * value found and what is allowed.  field_free() frees the values.
  */
 bool set_load(const char *file, const char *section, const struct field *,
     size_t, void *, GError **);
 
+/* The version that the programs print. */
 #define SET_VERSION "0.1.0"
 
 #endif
--- a/slog.c
+++ b/slog.c
@@ -20,25 +20,25 @@
 enum {
 	RING_SIZE = 1 << 20,
 	LINE_MAX_LEN = 512,
-	CHUNK = 4096, /* POLLOUT promises PIPE_BUF bytes on a pipe */
-	HEAD_LEN = 128,
-	QUOTE_MAX = 400
+	CHUNK_SIZE = 4096, /* PIPE_BUF; POLLOUT on a pipe means that it fits */
+	PREFIX_MAX_LEN = 128, /* for the time, level, part and message */
+	QUOTE_MAX = 400 /* escaped bytes; longer texts are cut off */
 };
 
 /*
- * Lines for decisions, a second: some for each of the requests that a box of
- * today's sites takes, with room for a surge.
+ * Rate limit of decision lines, in lines a second: enough for several lines per
+ * request at a box's usual request rate, with a margin for a surge.
  */
-static const double DECISIONS_RATE = 2000;
+static const double DECISION_LINES_PER_S = 2000;
 
 static GLogWriterOutput
 writer(GLogLevelFlags, const GLogField *, gsize, gpointer);
 static void
-emit(GLogLevelFlags, enum slog_part, const char *, const char *, va_list);
+log_line(GLogLevelFlags, enum slog_part, const char *, const char *, va_list);
 static void ring_put(const char *, size_t);
 static bool ring_write(void);
 
-static const char *const prefixes[SLOG_PART_MAX] = {
+static const char *const part_names[SLOG_PART_MAX] = {
     [SLOG_GATE] = "gate",
     [SLOG_ROUTE] = "route",
     [SLOG_PICK] = "pick",
@@ -51,52 +51,53 @@
     [SLOG_STANDIN] = "standin",
 };
 
-/* One process writes one log, so the ring is the process's own. */
+/* A process writes one log, so there is one ring buffer per process. */
 static struct {
 	const struct clk *clk;
 	bool quiet;
 	size_t head, used;
-	uint64_t dropped, said;
+	uint64_t dropped, reported; /* lines dropped; as last logged */
 	struct limit decisions;
 	char bytes[RING_SIZE];
 } ring;
 
+/* Appends a line, or counts it as dropped if it does not fit. */
 static void
 ring_put(const char *p, size_t n)
 {
-	size_t at, first;
+	size_t pos, first;
 
 	if (n > RING_SIZE - ring.used) {
 		ring.dropped++;
 		return;
 	}
-	at = (ring.head + ring.used) % RING_SIZE;
-	first = MIN(n, RING_SIZE - at);
-	memcpy(ring.bytes + at, p, first);
+	pos = (ring.head + ring.used) % RING_SIZE;
+	first = MIN(n, RING_SIZE - pos);
+	memcpy(ring.bytes + pos, p, first);
 	memcpy(ring.bytes, p + first, n - first);
 	ring.used += n;
 }
 
-/* Write one chunk if that cannot block; false if nothing was written. */
+/* Writes one chunk if that cannot block; false if nothing was written. */
 static bool
 ring_write(void)
 {
 	struct pollfd pfd = {STDOUT_FILENO, POLLOUT, 0};
-	size_t n = MIN(MIN(ring.used, RING_SIZE - ring.head), CHUNK);
-	ssize_t done;
+	size_t n = MIN(MIN(ring.used, RING_SIZE - ring.head), CHUNK_SIZE);
+	ssize_t written;
 
 	if (n == 0 || poll(&pfd, 1, 0) != 1 || !(pfd.revents & POLLOUT))
 		return false;
-	done = write(STDOUT_FILENO, ring.bytes + ring.head, n);
-	if (done <= 0)
+	written = write(STDOUT_FILENO, ring.bytes + ring.head, n);
+	if (written <= 0)
 		return false;
-	ring.head = (ring.head + (size_t)done) % RING_SIZE;
-	ring.used -= (size_t)done;
+	ring.head = (ring.head + (size_t)written) % RING_SIZE;
+	ring.used -= (size_t)written;
 	return true;
 }
 
 static const char *
-field_of(const GLogField *fields, gsize n, const char *key)
+find_field(const GLogField *fields, gsize n, const char *key)
 {
 	gsize i;
 
@@ -106,12 +107,15 @@
 	return "";
 }
 
-/* Time in seconds since 1970.  GLib's own lines have no part or fields. */
+/*
+ * Formats a log line.  The time is in seconds since 1970.  Lines that GLib
+ * itself logs have no part and no fields.
+ */
 static GLogWriterOutput
 writer(GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data)
 {
-	char line[LINE_MAX_LEN + HEAD_LEN];
-	const char *part = field_of(fields, n, "FERN_PART");
+	char line[LINE_MAX_LEN + PREFIX_MAX_LEN];
+	const char *part = find_field(fields, n, "FERN_PART");
 	int64_t ms = clk_wall_ms(ring.clk);
 	int len;
 
@@ -123,8 +127,8 @@
 		? "warning"
 		: "info",
 	    part[0] != '\0' ? part : "glib",
-	    slog_quote(field_of(fields, n, "MESSAGE")),
-	    field_of(fields, n, "FERN_FIELDS"));
+	    slog_quote(find_field(fields, n, "MESSAGE")),
+	    find_field(fields, n, "FERN_FIELDS"));
 	if (len >= (int)sizeof(line)) {
 		len = sizeof(line) - 1;
 		line[len - 1] = '\n';
@@ -133,22 +137,23 @@
 	return G_LOG_WRITER_HANDLED;
 }
 
+/* Two buffers take turns, so that writer() leaves a caller's value intact. */
 const char *
 slog_quote(const char *text)
 {
 	static char out[2][QUOTE_MAX + 3];
-	static unsigned turn;
-	char *to = out[turn++ % 2], *begin = to;
+	static unsigned next_buffer;
+	char *dst = out[next_buffer++ % 2], *start = dst;
 
-	*to++ = '"';
-	for (; *text != '\0' && to < begin + QUOTE_MAX; text++) {
+	*dst++ = '"';
+	for (; *text != '\0' && dst < start + QUOTE_MAX; text++) {
 		if (*text == '"' || *text == '\\')
-			*to++ = '\\';
-		*to++ = (unsigned char)*text < ' ' ? ' ' : *text;
+			*dst++ = '\\';
+		*dst++ = (unsigned char)*text < ' ' ? ' ' : *text;
 	}
-	*to++ = '"';
-	*to = '\0';
-	return begin;
+	*dst++ = '"';
+	*dst = '\0';
+	return start;
 }
 
 void
@@ -160,12 +165,12 @@
 }
 
 static void
-emit(GLogLevelFlags level, enum slog_part part, const char *msg,
+log_line(GLogLevelFlags level, enum slog_part part, const char *msg,
     const char *fmt, va_list ap)
 {
 	char text[LINE_MAX_LEN];
 	const GLogField fields[] = {
-	    {"FERN_PART", prefixes[part], -1},
+	    {"FERN_PART", part_names[part], -1},
 	    {"MESSAGE", msg, -1},
 	    {"FERN_FIELDS", text, -1},
 	};
@@ -182,7 +187,7 @@
 	va_list ap;
 
 	va_start(ap, fmt);
-	emit(G_LOG_LEVEL_MESSAGE, part, msg, fmt, ap);
+	log_line(G_LOG_LEVEL_MESSAGE, part, msg, fmt, ap);
 	va_end(ap);
 }
 
@@ -192,7 +197,7 @@
 	va_list ap;
 
 	va_start(ap, fmt);
-	emit(G_LOG_LEVEL_WARNING, part, msg, fmt, ap);
+	log_line(G_LOG_LEVEL_WARNING, part, msg, fmt, ap);
 	va_end(ap);
 }
 
@@ -203,26 +208,27 @@
 
 	if (ring.quiet || ring.clk == NULL)
 		return;
-	if (!limit_allow(&ring.decisions, DECISIONS_RATE, clk_ns(ring.clk))) {
+	if (!limit_allow(
+		&ring.decisions, DECISION_LINES_PER_S, clk_ns(ring.clk))) {
 		ring.dropped++;
 		return;
 	}
 	va_start(ap, fmt);
-	emit(G_LOG_LEVEL_INFO, part, msg, fmt, ap);
+	log_line(G_LOG_LEVEL_INFO, part, msg, fmt, ap);
 	va_end(ap);
 }
 
 void
 slog_flush(void)
 {
-	uint64_t lost = ring.dropped - ring.said;
+	uint64_t unreported = ring.dropped - ring.reported;
 
 	while (ring.used > 0 && ring_write())
 		;
-	if (lost > 0 && ring.used < RING_SIZE / 2) {
-		ring.said = ring.dropped;
-		slog(SLOG_GATE, "log lines were left out", "lines=%llu",
-		    (unsigned long long)lost);
+	if (unreported > 0 && ring.used < RING_SIZE / 2) {
+		ring.reported = ring.dropped;
+		slog(SLOG_GATE, "log lines were dropped", "lines=%llu",
+		    (unsigned long long)unreported);
 	}
 }
 
--- a/slog.h
+++ b/slog.h
@@ -18,17 +18,17 @@
 #include "clk.h"
 
 /*
- * Structured logging by GLib through a writer of ours: lines of key=value
- * pairs go into a ring in memory and from there to standard output, without
- * ever blocking the loop:
+ * Structured logging through GLib with a log writer of this file: lines of
+ * key=value pairs go into a ring buffer in memory and from there to standard
+ * output, without ever blocking the event loop:
  *
  *	time=1768204449.036 level=info part=pick msg="sent" id=9c41 slots=3
  *
- * Lines that find the ring full, or that come faster than their bound, are
- * left out, and how many is said later.
+ * A line is dropped if the buffer is full, or if it is above the rate limit of
+ * its kind.  A later line says how many were dropped.
  */
 
-/* The parts of the system; each has one fixed prefix in the log. */
+/* The parts of the system; each has a fixed name in the log. */
 enum slog_part {
 	SLOG_GATE,
 	SLOG_ROUTE,
@@ -43,37 +43,43 @@
 	SLOG_PART_MAX
 };
 
-/* Install the writer.  `quiet` keeps back the lines for decisions. */
+/*
+ * Installs the log writer.  Until then, slog() and its like write nothing.
+ * `quiet` suppresses the lines of slog_decision().
+ */
 void slog_open(const struct clk *, bool quiet);
 
 /*
- * Write one line: a short message and, in printf's form, its fields.  Takes a
+ * Logs one line: a short message, and its fields as a printf format.  Takes a
  * few microseconds and never blocks.
  */
 void slog(enum slog_part, const char *msg, const char *fields, ...)
     G_GNUC_PRINTF(3, 4);
 
-/* The same for what must never be: level=warning. */
+/* The same with level=warning, for what should never happen. */
 void slog_warn(enum slog_part, const char *msg, const char *fields, ...)
     G_GNUC_PRINTF(3, 4);
 
-/* The same for a decision on a request; these lines are bounded in number. */
+/* The same for a decision about a request; these lines are rate-limited. */
 void slog_decision(enum slog_part, const char *msg, const char *fields, ...)
     G_GNUC_PRINTF(3, 4);
 
 /*
- * A text as a quoted value, for texts that are not ours.  Valid until the
- * next call.
+ * Quotes and escapes a text from outside the program as a value of a log line.
+ * The result is static and valid until the next call.
  */
 const char *slog_quote(const char *);
 
-/* Hand what the ring holds to the system, as far as it takes it now. */
+/* Writes out as much of the buffer as is possible without blocking. */
 void slog_flush(void);
 
-/* Flush and wait until all is written; for the end of a process. */
+/*
+ * Writes out the whole buffer before the process exits.  Gives up if standard
+ * output accepts nothing for 100 ms.
+ */
 void slog_close(void);
 
-/* Lines left out since the start. */
+/* Returns the number of lines dropped since the process started. */
 uint64_t slog_dropped(void);
 
 #endif
--- a/str.c
+++ b/str.c
@@ -54,7 +54,7 @@
 size_t
 str_distance(struct str a, struct str b)
 {
-	size_t row[DISTANCE_MAX + 1], i, j, diag, keep;
+	size_t row[DISTANCE_MAX + 1], i, j, diag, above;
 
 	if (a.n > DISTANCE_MAX || b.n > DISTANCE_MAX)
 		return DISTANCE_MAX;
@@ -64,11 +64,11 @@
 		diag = row[0];
 		row[0] = i;
 		for (j = 1; j <= b.n; j++) {
-			keep = row[j];
+			above = row[j];
 			row[j] = diag + (a.p[i - 1] != b.p[j - 1]);
-			row[j] = MIN(row[j], keep + 1);
+			row[j] = MIN(row[j], above + 1);
 			row[j] = MIN(row[j], row[j - 1] + 1);
-			diag = keep;
+			diag = above;
 		}
 	}
 	return row[b.n];
--- a/str.h
+++ b/str.h
@@ -15,7 +15,7 @@
 #include <stddef.h>
 #include <string.h>
 
-/* A length-counted string.  The bytes are not NUL-terminated. */
+/* A string with a length.  The bytes need not be NUL-terminated. */
 struct str {
 	const char *p;
 	size_t n;
@@ -31,7 +31,7 @@
 /* Printf helpers: printf("%.*s", STR_ARG(s)). */
 #define STR_ARG(s) (int)(s).n, (s).p
 
-/* View a NUL-terminated string; NULL gives the empty string. */
+/* Returns a view of a NUL-terminated string; NULL gives the empty string. */
 static inline struct str
 str_c(const char *p)
 {
@@ -40,7 +40,7 @@
 	return s;
 }
 
-/* View n bytes at p. */
+/* Returns a view of n bytes at p. */
 static inline struct str
 str_n(const char *p, size_t n)
 {
@@ -56,22 +56,28 @@
 }
 
 static inline bool
-str_starts(struct str s, struct str head)
+str_has_prefix(struct str s, struct str prefix)
 {
-	return s.n >= head.n &&
-	    (head.n == 0 || memcmp(s.p, head.p, head.n) == 0);
+	return s.n >= prefix.n &&
+	    (prefix.n == 0 || memcmp(s.p, prefix.p, prefix.n) == 0);
 }
 
-/* Copy to the heap; the copy carries a NUL behind its bytes as well. */
+/* Copies to the heap, with a NUL after the bytes; free it with str_free(). */
 struct str str_dup(struct str);
 
-/* Free a copy made by str_dup() and clear the view. */
+/* Frees a copy made by str_dup(), and sets the pointer and length to 0. */
 void str_free(struct str *);
 
-/* Parse a whole decimal number, without sign; false if it is none. */
+/*
+ * Parses an unsigned decimal number of 1 to 18 digits; false if the string is
+ * anything else.
+ */
 bool str_u64(struct str, unsigned long long *);
 
-/* The number of edits between two names, for "did you mean". */
+/*
+ * Returns the Levenshtein distance of two names, to suggest a similar name for
+ * an unknown one; 64 if either is longer than 64 bytes.
+ */
 size_t str_distance(struct str, struct str);
 
 #endif
--- a/up.c
+++ b/up.c
@@ -58,7 +58,7 @@
 	char ip[INET6_ADDRSTRLEN];
 	uint16_t port = 0;
 
-	if (!field_address(address, ip, sizeof(ip), &port))
+	if (!field_parse_address(address, ip, sizeof(ip), &port))
 		return false;
 	if (uv_ip4_addr(ip, port, (struct sockaddr_in *)sa) == 0)
 		return true;
