--- a/slog.c
+++ b/slog.c
@@ -137,7 +137,7 @@
 	return G_LOG_WRITER_HANDLED;
 }
 
-/* Two buffers take turns, so that writer() leaves a caller's value intact. */
+/* Alternates between two buffers. */
 const char *
 slog_quote(const char *text)
 {
