--- a/daemon.c
+++ b/daemon.c
@@ -75,7 +75,7 @@
 			fprintf(stderr, "%s: no settings file given\n",
 			    ops->program);
 		fprintf(stderr, "Try '%s --help'.\n", ops->program);
-		*status = err_answer(ERR_USAGE)->exit_code;
+		*status = err_lookup(ERR_USAGE)->exit_code;
 	} else {
 		args->settings = g_strdup(file->filename[0]);
 		args->check = check->count > 0;
@@ -95,7 +95,7 @@
 	if (err == NULL)
 		return 0;
 	fprintf(stderr, "%s: %s\n", program, err->message);
-	status = err_answer((enum err_kind)err->code)->exit_code;
+	status = err_lookup((enum err_kind)err->code)->exit_code;
 	g_error_free(err);
 	return status;
 }
--- a/disp_doubt.c
+++ b/disp_doubt.c
@@ -132,7 +132,7 @@
 		suspect = &g_array_index(
 		    b->crash_suspects, struct disp_crash_suspect, i);
 		if (suspect->in_trial &&
-		    fprint_same(suspect->fingerprint, fingerprint))
+		    fprint_same_request(suspect->fingerprint, fingerprint))
 			return true;
 	}
 	return false;
--- a/disp_trial.c
+++ b/disp_trial.c
@@ -105,7 +105,7 @@
 	for (node = d->inflight.head; node != NULL; node = node->next) {
 		other = node->data;
 		if (other->in_trial &&
-		    fprint_same(other->fingerprint, r->fingerprint))
+		    fprint_same_request(other->fingerprint, r->fingerprint))
 			return true;
 	}
 	for (i = 0; i < d->backends->len; i++)
--- a/gate_answer.c
+++ b/gate_answer.c
@@ -54,7 +54,7 @@
 gate_respond(struct gate_req *r, enum err_kind kind, enum err_ran ran,
     int64_t retry_after)
 {
-	const struct err_row *row = err_answer(kind);
+	const struct err_info *row = err_lookup(kind);
 	const struct dialect *dialect = r->gate->dialect;
 	h2o_req_t *req = r->req;
 	int status = row->status;
@@ -73,7 +73,7 @@
 	gate_req_settle_claim(r, ran == RAN_NO);
 	cnt_add(r->gate->cnt, GC_REFUSED, 1);
 	if (dialect->status_means_not_run)
-		status = err_promise_status(kind, ran);
+		status = err_status_for_ran(kind, ran);
 	slog_decision(SLOG_ROUTE, "refused",
 	    "id=%.*s print=" FPRINT_FMT
 	    " why=%s ran=%s status=%d age_ms=%lld tries=%d "
--- a/poison.c
+++ b/poison.c
@@ -110,7 +110,7 @@
 
 	for (i = 0; i < p->records->len; i++) {
 		rec = g_ptr_array_index(p->records, i);
-		if (!fprint_same(rec->fingerprint, fingerprint))
+		if (!fprint_same_request(rec->fingerprint, fingerprint))
 			continue;
 		if (fprint_eq(rec->fingerprint, fingerprint))
 			combined.caller_record = rec;
--- a/regress/disp_world.h
+++ b/regress/disp_world.h
@@ -69,7 +69,7 @@
 
 	static uint64_t next(void *ctx)
 	{
-		return rnd_split(&static_cast<World *>(ctx)->seed);
+		return rnd_splitmix64(&static_cast<World *>(ctx)->seed);
 	}
 
 	static void send(void *ctx, struct disp_req *d, struct pick_backend *b)
@@ -103,7 +103,7 @@
 		request_of(d)->ended = true;
 		request_of(d)->kind = kind;
 		w->trace.push_back("fail " + std::to_string(request_of(d)->id) +
-		    " " + err_answer(kind)->name);
+		    " " + err_lookup(kind)->name);
 		if (w->on_end)
 			w->on_end(request_of(d));
 	}
--- a/regress/test_gossip.cpp
+++ b/regress/test_gossip.cpp
@@ -96,7 +96,7 @@
 
 	static uint64_t next(void *ctx)
 	{
-		return rnd_split(&static_cast<Fleet *>(ctx)->seed);
+		return rnd_splitmix64(&static_cast<Fleet *>(ctx)->seed);
 	}
 
 	/* The first three boxes of each hall are strong: half a processor. */
--- a/regress/test_platform.cpp
+++ b/regress/test_platform.cpp
@@ -646,9 +646,9 @@
 
 TEST(Err, AStatusThatMeansNotExecutedIsTrue)
 {
-	for (int k = ERR_NO_BACKEND; k <= ERR_ANSWER_LAST; k++) {
+	for (int k = ERR_NO_BACKEND; k <= ERR_RESPONSE_LAST; k++) {
 		enum err_kind kind = static_cast<enum err_kind>(k);
-		int unknown_status = err_promise_status(kind, RAN_UNKNOWN);
+		int unknown_status = err_status_for_ran(kind, RAN_UNKNOWN);
 
 		/* These promise that a request has not run. */
 		EXPECT_NE(503, unknown_status) << k;
@@ -656,10 +656,10 @@
 		EXPECT_NE(408, unknown_status) << k;
 		EXPECT_NE(421, unknown_status) << k;
 	}
-	EXPECT_EQ(503, err_promise_status(ERR_DEADLINE, RAN_NO));
-	EXPECT_EQ(504, err_promise_status(ERR_DEADLINE, RAN_UNKNOWN));
-	EXPECT_EQ(503, err_promise_status(ERR_CONNECT, RAN_NO));
-	EXPECT_EQ(404, err_promise_status(ERR_NO_RULE, RAN_NO));
+	EXPECT_EQ(503, err_status_for_ran(ERR_DEADLINE, RAN_NO));
+	EXPECT_EQ(504, err_status_for_ran(ERR_DEADLINE, RAN_UNKNOWN));
+	EXPECT_EQ(503, err_status_for_ran(ERR_CONNECT, RAN_NO));
+	EXPECT_EQ(404, err_status_for_ran(ERR_NO_RULE, RAN_NO));
 }
 
 TEST(Pace, AReportLosesWeightWithAge)
--- a/regress/test_poison.cpp
+++ b/regress/test_poison.cpp
@@ -42,7 +42,7 @@
 
 	static uint64_t next(void *ctx)
 	{
-		return rnd_split(&static_cast<Records *>(ctx)->seed);
+		return rnd_splitmix64(&static_cast<Records *>(ctx)->seed);
 	}
 
 	Records(int64_t *at, uint64_t seed_value)
--- a/regress/test_roll.cpp
+++ b/regress/test_roll.cpp
@@ -43,7 +43,7 @@
 double
 uniform(uint64_t *seed)
 {
-	return static_cast<double>(rnd_split(seed) >> 11) * 0x1p-53;
+	return static_cast<double>(rnd_splitmix64(seed) >> 11) * 0x1p-53;
 }
 
 /*
--- a/regress/test_up.cpp
+++ b/regress/test_up.cpp
@@ -145,7 +145,7 @@
 	}
 	static void fail(void *ctx, struct up_call *, enum err_kind kind)
 	{
-		static_cast<Call *>(ctx)->outcome = err_answer(kind)->name;
+		static_cast<Call *>(ctx)->outcome = err_lookup(kind)->name;
 	}
 };
 
