--- a/regress/test_box.cpp
+++ b/regress/test_box.cpp
@@ -35,7 +35,7 @@
 	EXPECT_EQ(404, w.ask("/nothing/1").status);
 	EXPECT_EQ(2u, w.ran(0, 1));
 	EXPECT_EQ(0u, w.ran(2, 3));
-	/* Another service, within the time that a change may take. */
+	/* Changes to another service, within the time allowed for a change. */
 	w.configure("shelf");
 	EXPECT_TRUE(until(
 	    [&] {
@@ -45,7 +45,7 @@
 	    2000));
 }
 
-/* One that cannot listen ends, and says where and by which setting. */
+/* A box that cannot listen exits and logs the address and its setting. */
 TEST(Box, AnAddressThatIsTakenIsNamedWithItsSetting)
 {
 	struct {
@@ -84,20 +84,27 @@
 	ASSERT_TRUE(
 	    until([&] { return w.logged("part=gate msg=\"started\""); }));
 	EXPECT_FALSE(w.ready());
-	/* Nothing comes: refused as not run, never as unknown. */
+	/*
+	 * No configuration arrives, so the request is refused as not run (503)
+	 * rather than with the answer for an unknown route.
+	 */
 	EXPECT_EQ(503, w.ask("/look/1").status);
 	w.configure("till");
 	EXPECT_TRUE(until([&] { return w.ask("/look/1").status == 200; }));
 }
 
-/* It is answered once: h2o ends the process where an answer comes twice. */
+/*
+ * A request that is held until the configuration arrives gets exactly one
+ * response although its client disconnects: h2o aborts the process when a
+ * request is answered twice.
+ */
 TEST(Box, AnEarlyRequestWhoseCallerGoesAwayIsForgotten)
 {
 	World w(false);
 
 	ASSERT_TRUE(
 	    until([&] { return w.logged("part=gate msg=\"started\""); }));
-	/* The caller waits for less than the gate would. */
+	/* The client's timeout is shorter than the gate's. */
 	http("GET", w.ip + ":8080", "/look/1", {{"Host", "shop.example"}}, "",
 	    300);
 	EXPECT_TRUE(until([&] { return w.logged("why=gone"); }));
@@ -126,18 +133,18 @@
 	World w;
 
 	ASSERT_TRUE(until([&] { return w.ready(); }));
-	/* Back within the second that a deletion is held. */
+	/* Put back within the second for which a deletion is held. */
 	w.platform.remove("servers", "i-0");
 	pump(100);
 	w.enter(0, "ready");
 	ASSERT_TRUE(until([&] { return w.logged("deletion is held"); }));
 	ASSERT_TRUE(until([&] { return w.logged("lapsed entry came back"); }));
 	EXPECT_FALSE(w.logged("deletion is in force"));
-	/* One that stays away is gone. */
+	/* An entry that stays away is deleted. */
 	w.platform.remove("servers", "i-1");
 	EXPECT_TRUE(
 	    until([&] { return w.logged("lapsed entry is gone"); }, 3000));
-	/* Requests go by it once the gate has built its routes of it. */
+	/* Requests follow the deletion once the gate has rebuilt its routes. */
 	EXPECT_TRUE(until([&] { return w.logged("deletion is in force"); }));
 	size_t before = w.ran(1, 1);
 	for (int i = 0; i < 20; i++)
@@ -155,7 +162,7 @@
 	Reply r = w.ask("/buy/1", "POST");
 	EXPECT_EQ(502, r.status);
 	EXPECT_EQ(1u, w.ran(0, 1));
-	/* Nothing was run: a refusal, with the time to come back. */
+	/* Nothing was run, so the request is refused with a Retry-After. */
 	w.platform.set("i-0", 100, true, false);
 	w.platform.set("i-1", 100, true, false);
 	r = w.ask("/buy/1", "POST");
@@ -167,7 +174,7 @@
 namespace
 {
 
-/* An entry of i-2, which is no backend server of this service. */
+/* An entry of i-2, which is not a backend server of this service. */
 std::string
 foreign(const World &w, const std::string &what, const std::string &with)
 {
@@ -181,9 +188,9 @@
 } // namespace
 
 /*
- * Others may write there too: fields are missing or of another type, or a
- * state is none that is known.  Such an entry names no backend server, and all
- * other entries hold, on pages after it as well.
+ * Other programs may write to the same table: fields may be missing or of
+ * another type, and a state may be unknown. Such an entry defines no backend
+ * server. All other entries stay in force, also those on later pages.
  */
 TEST(Box, AnEntryOfAnotherWriterNamesNoBackendServer)
 {
@@ -199,7 +206,7 @@
 	    foreign(w, "\"service\":\"till\"", "\"service\":[\"till\"]")};
 	int n = 0;
 
-	/* Before, between and after the good ones, by their names. */
+	/* Their names sort before, between and after the valid entries. */
 	for (const std::string &spec : bad)
 		for (const char *name : {"a-", "i-1x", "z-"})
 			w.platform.put(
@@ -209,7 +216,10 @@
 	for (int i = 0; i < 40; i++)
 		EXPECT_EQ(200, w.ask("/look/1").status);
 	EXPECT_EQ(40u, w.ran(0, 1));
-	/* One that was good ends like one that went; changes go on after it. */
+	/*
+	 * A valid entry that becomes invalid is treated as deleted, and later
+	 * changes are still applied.
+	 */
 	w.platform.put(
 	    "servers", "i-0", foreign(w, "\"ready\"", "\"resting\""));
 	ASSERT_TRUE(until(
@@ -220,7 +230,7 @@
 		EXPECT_EQ(200, w.ask("/look/1").status);
 	EXPECT_EQ(before, w.ran(0, 0));
 	EXPECT_EQ(other + 20, w.ran(1, 1));
-	/* Good again, and the other one bad. */
+	/* The first entry becomes valid again, the other one invalid. */
 	w.enter(0, "ready");
 	w.platform.put("servers", "i-1", "{}");
 	EXPECT_TRUE(until([&] {
@@ -234,7 +244,7 @@
 	World w;
 
 	ASSERT_TRUE(until([&] { return w.ready(); }));
-	/* i-0 is said to be where i-2 is: that one answers 421. */
+	/* The entry of i-0 has the address of i-2, which answers 421. */
 	w.platform.put("servers", "i-0",
 	    "{\"service\":\"till\",\"addr\":\"" + w.ip +
 		":9102\",\"zone\":\"north\",\"slots\":3,\"state\":\"ready\"}");
@@ -281,7 +291,10 @@
 	EXPECT_TRUE(until([&] { return w.logged("platform answers again"); }));
 }
 
-/* The first list is a cheap one; a watch goes on from what it told. */
+/*
+ * The first list is a cheap read that may be stale. The watch continues from
+ * its version and must deliver the changes that the list missed.
+ */
 TEST(Box, AStaleFirstListIsCaughtUp)
 {
 	World w;
@@ -293,7 +306,7 @@
 	w.enter(2, "draining");
 	w.box.start();
 	ASSERT_TRUE(until([&] { return w.ready(); }));
-	/* Rules and backend servers are caught up with each by itself. */
+	/* Rules and backend servers are brought up to date independently. */
 	EXPECT_TRUE(until(
 	    [&] {
 		    w.ask("/look/1");
@@ -306,7 +319,10 @@
 	EXPECT_EQ(before, w.ran(0, 2));
 }
 
-/* A list that the platform swallowed does not hold up the next for long. */
+/*
+ * A list request that the platform never answers must not delay the next one
+ * for long.
+ */
 TEST(Box, ACallThatIsNeverAnsweredIsGivenUpSoon)
 {
 	World w;
@@ -320,25 +336,30 @@
 	EXPECT_TRUE(until([&] { return w.ready(); }, 3500));
 }
 
-/* An answer on a calm day does not make other calls start anew. */
+/* A successful call while the platform works must not restart other calls. */
 TEST(Box, ACalmPlatformIsAskedSeldom)
 {
-	/* It has rules and backend servers, and no other kinds. */
+	/* The platform holds rules and backend servers and no other kinds. */
 	World w(true, "", "", "contracts = \"base\"\n");
 
 	ASSERT_TRUE(until([&] { return w.ready(); }));
 	pump(1500);
 	size_t before = w.platform.calls(), looks = w.platform.looks();
 	pump(4500);
-	/* Two or three looks at the list of boxes; watches wait for 20 s. */
+	/* Two or three reads of the list of boxes; watches last 20 s. */
 	EXPECT_LE(w.platform.calls() - before, 4u);
 	EXPECT_GE(w.platform.calls() - before, 1u);
-	/* One a second, spread by a quarter, at one feed or two. */
+	/*
+	 * One poll a second, with a jitter of a quarter, on one or two feeds.
+	 */
 	EXPECT_LE(w.platform.looks() - looks, 9u);
 	EXPECT_GE(w.platform.looks() - looks, 3u);
 }
 
-/* Each call has its price, and one tells whether the platform is back. */
+/*
+ * Each call to the platform has a cost. While it is unreachable, a single feed
+ * retries to find out whether it is back.
+ */
 TEST(Box, OneFeedAsksWhileThePlatformIsAway)
 {
 	World w;
@@ -351,7 +372,10 @@
 	pump(1000);
 	size_t before = w.platform.calls();
 	pump(3000);
-	/* One each 300 ms, spread by a quarter, and few for other ends. */
+	/*
+	 * One call every 300 ms, with a jitter of a quarter, and a few others
+	 * for calls that ended otherwise.
+	 */
 	EXPECT_LE(w.platform.calls() - before, 16u);
 	EXPECT_GE(w.platform.calls() - before, 6u);
 	w.configure("shelf");
@@ -365,13 +389,16 @@
 	    2000));
 }
 
-/* It says nothing of the platform, and is no reason to wait. */
+/*
+ * A watch connection that is cut does not show that the platform is
+ * unreachable, so the watch is renewed without backoff.
+ */
 TEST(Box, AWatchThatIsCutIsRenewedAtOnce)
 {
 	World w;
 
 	ASSERT_TRUE(until([&] { return w.ready(); }));
-	/* It watches by now. */
+	/* The watch is established by now. */
 	w.configure("shelf");
 	ASSERT_TRUE(until(
 	    [&] {
@@ -418,7 +445,10 @@
 	EXPECT_TRUE(w.logged(" requests_cut=0\n"));
 }
 
-/* A planned stop answers all that came before it, if only with an error. */
+/*
+ * On a planned stop each earlier request gets a response, even if it is an
+ * error.
+ */
 TEST(Box, NobodyIsLeftWithoutAnAnswerAtAPlannedStop)
 {
 	World w(true, "grace_ms = 500\n");
@@ -443,9 +473,9 @@
 }
 
 /*
- * The platform says how long it lets a box end.  A request that a backend
- * server works on is not given up before that is nearly over, whatever the
- * setting for platforms that say nothing.
+ * The platform reports how long a box may take to stop. A request that runs on
+ * a backend server is not given up until that time is nearly over, whatever the
+ * setting for platforms that report no such time.
  */
 TEST(Box, APlannedStopLastsAsLongAsThePlatformAllows)
 {
@@ -464,7 +494,7 @@
 	    });
 	ASSERT_TRUE(until([&] { return w.ran(0, 1) > 0; }));
 	w.box.signal(SIGTERM);
-	/* Its rule allows it 900 ms. */
+	/* The rule of this request allows 900 ms. */
 	pump(600);
 	EXPECT_FALSE(answered);
 	EXPECT_EQ(0, w.box.wait_exit(5000));
@@ -475,7 +505,7 @@
 namespace
 {
 
-/* A strong box, and a weak one beside it that callers ask. */
+/* A strong box, and a weak box in the same hall that receives the requests. */
 struct Pair : World {
 	std::string weak_file;
 	Process weak;
@@ -530,15 +560,24 @@
 
 } // namespace
 
-/* It needs rules to pass requests to homes, and no backend servers. */
+/*
+ * A weak box needs the rules to forward requests to owners, but no backend
+ * servers.
+ */
 TEST(Box, AWeakBoxHoldsRulesAndPassesRequestsOn)
 {
 	Pair p;
 
-	/* The strong one is on the platform's list, where others look. */
+	/*
+	 * The strong box must be on the platform's list, where other boxes find
+	 * it.
+	 */
 	ASSERT_TRUE(until([&] { return p.ready() && p.has("boxes", "b1"); }));
 	p.weak.start();
-	/* Whoever asks first waits until it knows homes, and is served. */
+	/*
+	 * The first request waits until the weak box knows the owners, and is
+	 * served.
+	 */
 	Reply first;
 	ASSERT_TRUE(until([&] {
 		first = p.ask_weak("/look/1");
@@ -552,7 +591,10 @@
 		EXPECT_EQ(200, p.ask_weak("/look/1").status);
 	EXPECT_EQ(21u, p.ran(0, 1));
 	EXPECT_FALSE(p.weak_logged("msg=\"sent\""));
-	/* A change of rules reaches it, one of backend servers does not. */
+	/*
+	 * The weak box receives a change of rules but not one of backend
+	 * servers.
+	 */
 	p.enter(1, "draining");
 	p.configure("shelf");
 	EXPECT_TRUE(until(
@@ -565,9 +607,9 @@
 }
 
 /*
- * Before it knows what it needs, others tell it of the configuration: of
- * backend servers it takes none, as the few that it would hear of would stay
- * with it.
+ * A box that does not yet know what it has to hold receives configuration from
+ * other boxes. It must accept no backend servers then, as it would keep the few
+ * that it received.
  */
 TEST(Box, AWeakBoxTakesNoBackendServersBeforeItKnowsItsScope)
 {
@@ -578,7 +620,10 @@
 	text = replaced(text, "seeds = []", "seeds = [\"" + p.ip + ":8480\"]");
 	std::ofstream(p.weak_file) << text;
 	ASSERT_TRUE(until([&] { return p.ready() && p.has("boxes", "b1"); }));
-	/* No list tells it that there is a stronger box. */
+	/*
+	 * Without the list the weak box cannot know that there is a stronger
+	 * one.
+	 */
 	p.platform.hang(true);
 	p.weak.start();
 	ASSERT_TRUE(until(
@@ -590,7 +635,7 @@
 	p.platform.hang(false);
 }
 
-/* With its home gone it says that nothing has run. */
+/* When the owner is gone, a weak box refuses a request as not run. */
 TEST(Box, AWeakBoxWhoseHomeIsGoneRefusesAsNotRun)
 {
 	Pair p;
@@ -603,15 +648,16 @@
 	Reply r = p.ask_weak("/look/1");
 	EXPECT_EQ(503, r.status);
 	EXPECT_NE("", r.header("retry-after"));
-	/* It is back: served again, by a box that has just started. */
+	/* The owner is back and has just started; requests are served again. */
 	p.box.start();
 	EXPECT_TRUE(
 	    until([&] { return p.ask_weak("/look/1").status == 200; }, 4000));
 }
 
 /*
- * In a large fleet a box sees a dozen requests of a kind a minute.  Who was
- * turned away before is known all the same, where all of them meet.
+ * In a large fleet each box sees only about a dozen requests of a kind a
+ * minute. A client that retries after a refusal is still recognised by the
+ * owner, which receives the requests of all boxes.
  */
 TEST(Box, WhoCameBackIsKnownToTheHomeOfManyBoxes)
 {
@@ -639,7 +685,10 @@
 	    << w.box.read_log() << second.box.read_log();
 }
 
-/* Its second attempt says that it waits a third of the time only. */
+/*
+ * A retry whose deadline is only a third of the first one is still recognised
+ * as a retry of the refused request.
+ */
 TEST(Box, WhoWasRefusedIsKnownAgainWhateverItsDeadline)
 {
 	box::World w;
