--- a/regress/test_crash.cpp
+++ b/regress/test_crash.cpp
@@ -34,7 +34,7 @@
 {
 
 constexpr int SERVERS = 6;
-/* As on large fleets: a box tells of itself once, and when it has to. */
+/* As on large fleets, a box announces its full state once and when needed. */
 const char *const statuses = "status_by = \"hubs\"\nstatus_ms = 3600000\n"
 			     "boxes_ms = 60000\n";
 /* The time within which all boxes must know what one of them has learned. */
--- a/regress/test_word.cpp
+++ b/regress/test_word.cpp
@@ -22,17 +22,21 @@
 #include "word.h"
 }
 
-/* What backend servers say of themselves in their answers. */
+/*
+ * Tests of what backend servers report of themselves in their responses: a rate
+ * limit, that they are leaving, and a Retry-After pause.
+ */
 
 using box::World;
 
 namespace
 {
 
-/* Callers who ask one box after the other, so many times a second. */
+/* Clients that send requests to the boxes in turn, at a given rate. */
 struct Callers {
-	std::vector<std::string> boxes; /* that take requests, by address */
-	std::map<int, int> answers; /* by status; 0: none */
+	std::vector<std::string>
+	    boxes; /* addresses of the boxes that receive requests */
+	std::map<int, int> answers; /* by status; 0: no response */
 	size_t asked = 0, answered = 0;
 	double slowest_refusal_ms = 0;
 
@@ -40,7 +44,10 @@
 	{
 	}
 
-	/* What is under way still tells us of its end. */
+	/*
+	 * The callbacks of requests in flight refer to this object, so wait for
+	 * them.
+	 */
 	~Callers()
 	{
 		finish();
@@ -79,7 +86,10 @@
 	}
 };
 
-/* The most that came in any span of so long, from a moment on. */
+/*
+ * Returns the largest number of arrivals at or after from within any period of
+ * the length span.
+ */
 size_t
 most_in(const std::vector<int64_t> &came, int64_t span, int64_t from)
 {
@@ -103,19 +113,22 @@
 }
 
 constexpr int64_t SPAN_NS = 4 * NS_S;
-/* A box that has handed on an answer knows what it says. */
+/*
+ * The time after which a box that forwarded a response has applied the report
+ * in it.
+ */
 constexpr int64_t TOLD_NS = 500 * NS_MS;
 
 } // namespace
 
 /*
- * Backend servers in need say in their answers how many requests a second they
- * take, and went on to get as many as before.  The home of their hall handed
- * such answers on and read nothing of them but the load: what a server got was
- * bounded by its slots, and the servers were quick, so that slots were free.
- * Once the log told of it, it showed that one box had heard each word and sent
- * all of the requests; in a test like this one 64 came in four seconds where 12
- * are taken:
+ * Backend servers under load report in their responses how many requests a
+ * second they accept. The owner of their hall once read only the load from
+ * these responses, so a server continued to receive as many requests as before.
+ * Only its slots bounded them, and quick servers had free slots. The log showed
+ * that the box that had received every report also sent all of the requests. In
+ * a test like this one 64 requests arrived in four seconds where 12 are
+ * accepted:
  *
  *	a backend server says how many requests it takes a_second=3.00
  *	sent backend=i-0 in_use=1 limit=2 a_second=3.00 against=quota
@@ -133,12 +146,12 @@
 	w.platform.say("i-0", "server-limit", "3.0");
 	told = clk_ns(clk_system()) + TOLD_NS;
 	c.ask_for(6000, 35);
-	/* In any span what it takes in that time, and the one at its start. */
+	/* In any span as many as the rate allows, and one at its start. */
 	EXPECT_GE(13u, most_in(w.platform.came("i-0"), SPAN_NS, told));
-	/* The other one has room, so nobody pays for it. */
+	/* The other server has free capacity, so no request is refused. */
 	EXPECT_TRUE(c.finish());
 	EXPECT_EQ(c.asked, static_cast<size_t>(c.answers[200]));
-	/* It takes any number again, and gets its part. */
+	/* The limit of the first server ends, and it gets its share again. */
 	w.platform.say("i-0", "server-limit", "");
 	w.platform.say("i-1", "server-limit", "0.5");
 	c.ask_for(2000, 35);
@@ -147,8 +160,8 @@
 }
 
 /*
- * With more demand than all of them take, what they take is used, and what they
- * do not is refused at once as not run, with the time to come back.
+ * With more demand than all servers accept, their rate limits are used up, and
+ * all other requests are refused at once as not run, with a Retry-After.
  */
 TEST(Word, WhatLimitedServersTakeIsUsedAndTheRestIsRefusedAtOnce)
 {
@@ -167,7 +180,7 @@
 	EXPECT_GE(11u, most_in(w.platform.came("i-1"), SPAN_NS, told));
 	taken = count_from(w.platform.came("i-0"), told) +
 	    count_from(w.platform.came("i-1"), told);
-	/* Nine in ten of 6.5 a second in six seconds. */
+	/* Nine tenths of 6.5 requests a second in six seconds. */
 	EXPECT_LT(35u, taken);
 	EXPECT_TRUE(c.finish());
 	EXPECT_EQ(
@@ -175,7 +188,7 @@
 	EXPECT_GT(300, c.slowest_refusal_ms);
 }
 
-/* The next home goes on where the one that ended left off. */
+/* A new owner must keep to the rate limit that the previous owner applied. */
 TEST(Word, ALimitHoldsWhenItsHomeEnds)
 {
 	World w;
@@ -191,11 +204,14 @@
 	c.ask_for(500, 30);
 	told = clk_ns(clk_system()) + TOLD_NS;
 	c.ask_for(3000, 30);
-	/* Either of the two may be home. */
+	/* Either of the two boxes may be the owner. */
 	w.box.signal(SIGTERM);
 	c.boxes.erase(c.boxes.begin());
 	c.ask_for(3000, 30);
-	/* What it takes, and what the new home sends before it knows. */
+	/*
+	 * What the limit allows, and what the new owner sends before it learns
+	 * of it.
+	 */
 	EXPECT_GE(16u, most_in(w.platform.came("i-0"), SPAN_NS, told));
 	EXPECT_TRUE(c.finish());
 	EXPECT_LT(c.asked * 97 / 100, static_cast<size_t>(c.answers[200]));
@@ -204,7 +220,7 @@
 namespace
 {
 
-/* Send whatever may be sent, each 5 ms. */
+/* Sends all that the quota allows, with a check every 5 ms. */
 void
 send_all(struct quota *q, int64_t from, int64_t to, std::vector<int64_t> *sent)
 {
@@ -225,10 +241,13 @@
 
 		EXPECT_EQ(INT_MAX, quota_available(&q, NS_S));
 		EXPECT_TRUE(quota_update(&q, rate, 0, NS_S));
-		/* What came before is not known: it begins with nothing. */
+		/* Earlier requests are unknown, so the bucket starts empty. */
 		EXPECT_EQ(0, quota_available(&q, NS_S));
 		send_all(&q, NS_S, 21 * NS_S, &sent);
-		/* 19 in 20 are used, and one look's worth is beyond. */
+		/*
+		 * 19 in 20 are used, and at most one check's worth is sent
+		 * above the rate.
+		 */
 		EXPECT_LE(
 		    std::floor(rate * 19), static_cast<double>(sent.size()))
 		    << rate;
@@ -240,7 +259,10 @@
 	}
 }
 
-/* What no server takes in earnest is kept as a number that can be counted. */
+/*
+ * A rate higher than any server can serve is bounded, so that the token count
+ * stays within its range.
+ */
 TEST(Quota, AHugeRateIsBounded)
 {
 	struct quota q = {};
@@ -257,14 +279,20 @@
 
 	EXPECT_TRUE(quota_update(&q, 5, 0, 2 * NS_S));
 	EXPECT_TRUE(quota_update(&q, 3, 0, 3 * NS_S));
-	/* Answers to requests that were sent before that was said. */
+	/*
+	 * Responses to requests that were sent before the lower limit was
+	 * reported.
+	 */
 	EXPECT_FALSE(quota_update(&q, 5, 3 * NS_S - 1, 4 * NS_S));
 	EXPECT_FALSE(quota_update(&q, 0, 3 * NS_S - 1, 4 * NS_S));
 	EXPECT_DOUBLE_EQ(3, q.rate);
 	EXPECT_TRUE(quota_update(&q, 5, 3 * NS_S, 4 * NS_S));
 	EXPECT_TRUE(quota_update(&q, 0, 4 * NS_S, 5 * NS_S));
 	EXPECT_EQ(INT_MAX, quota_available(&q, 5 * NS_S));
-	/* An old word of a limit is taken: one answer more ends it again. */
+	/*
+	 * An old report of a limit is accepted: the next response ends the
+	 * limit again.
+	 */
 	EXPECT_TRUE(quota_update(&q, 5, 3 * NS_S, 6 * NS_S));
 	EXPECT_EQ(0, quota_available(&q, 6 * NS_S));
 	EXPECT_EQ(0, quota_available_by(&q, 6 * NS_S, 6 * NS_S + 199 * NS_MS));
@@ -272,10 +300,11 @@
 }
 
 /*
- * A backend server that leaves says so in its answers and to the platform.  Its
- * home went by the platform's word alone, and while that was silent the server
- * got requests for as long as its entry said that it is ready: 37 in thirteen
- * seconds.  The answers had come to the very box that sent all of these:
+ * A backend server that is leaving reports so in its responses and to the
+ * platform. Its owner once used the platform's entry alone. While the platform
+ * was silent, the server received requests for as long as its entry said that
+ * it was ready: 37 in thirteen seconds. The responses had reached the very box
+ * that sent all of these requests:
  *
  *	a backend server says that it leaves backend=i-0
  *	sent backend=i-0 in_use=0 limit=2 slots=3 against=leaving
@@ -287,7 +316,9 @@
 	int64_t told;
 
 	ASSERT_TRUE(until([&] { return w.ready(); }));
-	/* The platform does not take its word, and tells that it is ready. */
+	/*
+	 * The platform accepts no update and still lists the server as ready.
+	 */
 	w.platform.silence(true);
 	w.platform.say("i-0", "server-leaving", "1");
 	c.ask_for(500, 35);
@@ -302,11 +333,10 @@
 }
 
 /*
- * A backend server that turns a request away may ask for a rest, and got the
- * next request milliseconds later.  Its home closed one that refuses for a time
- * of its own, 5 ms and up to a third of a second, and read nothing of what the
- * refusal said: one that had asked for two seconds got 7 requests in them, and
- * each of these lost a try.
+ * A backend server that refuses a request may ask for a pause by Retry-After.
+ * Its owner once ignored that and stopped sending only for a time of its own, 5
+ * ms to a third of a second. A server that had asked for two seconds got 7
+ * requests within them, and each of these lost an attempt:
  *
  *	a backend server asks for a rest backend=i-0 rest_ms=2000
  *	sent backend=i-0 in_use=0 limit=3 slots=3 against=rest
@@ -330,12 +360,15 @@
 	    std::find_if(came.begin(), came.end(),
 		[&](int64_t at) { return at > now; }));
 	ASSERT_FALSE(came.empty());
-	/* What was under way, the rest, and then it is asked again. */
+	/* Requests that were in flight, then the pause, then new requests. */
 	EXPECT_EQ(0u,
 	    count_from(came, came[0] + 100 * NS_MS) -
 		count_from(came, came[0] + 2 * NS_S));
 	EXPECT_LT(0u, count_from(came, came[0] + 2 * NS_S));
-	/* It takes requests again, and gets them once the rest is over. */
+	/*
+	 * The server accepts requests again, and gets them once the pause is
+	 * over.
+	 */
 	w.platform.say("i-0", "retry-after", "");
 	w.platform.set("i-0", 100, false, false);
 	c.ask_for(3000, 35);
@@ -348,7 +381,7 @@
 namespace
 {
 
-/* Two boxes of one hall, of which the one that is home can be told. */
+/* Two boxes of one hall; the test can find out which one is the owner. */
 struct TwoBoxes : World {
 	box::Further other;
 	Callers callers;
@@ -372,7 +405,7 @@
 		return logged("part=pick msg=\"sent\"") ? box : other.box;
 	}
 
-	/* The home dies, and callers go to the other one. */
+	/* Kills the owner and sends all requests to the other box. */
 	void lose_home()
 	{
 		bool first = &home() == &box;
@@ -384,7 +417,10 @@
 
 } // namespace
 
-/* The box that takes a home's place handed on its answers, or did not. */
+/*
+ * The new owner knows that a server is leaving, whether or not it forwarded the
+ * responses that reported so.
+ */
 TEST(Word, TheNextHomeKnowsWhoLeaves)
 {
 	TwoBoxes w;
@@ -419,11 +455,11 @@
 	for (int i = 0; i < 6; i++)
 		w.callers.ask("/look/1?ms=60");
 	w.callers.ask_for(1900, 35);
-	/* Its bucket begins empty: one each two seconds. */
+	/* The bucket starts empty: one request every two seconds. */
 	EXPECT_GE(1u, count_from(w.platform.came("i-0"), told));
 }
 
-/* An entry lapses in an outage, and is back as it was. */
+/* The server's entry expires during an outage and returns unchanged. */
 TEST(Word, WhatAServerSaidOutlivesItsEntry)
 {
 	World w;
@@ -480,7 +516,10 @@
 
 } // namespace
 
-/* Whichever way they come, the last rate and the latest life hold. */
+/*
+ * Whatever the order of arrival, the latest rate and the latest incarnation
+ * hold.
+ */
 TEST(Words, OlderWordsAndEarlierLivesUndoNothing)
 {
 	Words w;
@@ -492,7 +531,7 @@
 	EXPECT_TRUE(w.take(said("a", 5, true, 3, 12)));
 	EXPECT_FALSE(w.take(said("a", 5, false, 3, 30)));
 	EXPECT_TRUE(w.find("a", 5)->leaving);
-	/* One whose start is unsaid may be this life. */
+	/* A server whose start time is not reported may be this incarnation. */
 	EXPECT_TRUE(w.find("a", 0)->leaving);
 	EXPECT_EQ(nullptr, w.find("a", 6));
 	EXPECT_TRUE(w.take(said("a", 6, false, 2, 31)));
@@ -502,7 +541,7 @@
 	EXPECT_DOUBLE_EQ(2, w.find("a", 6)->rate);
 }
 
-/* Among many that stand, what has changed is told once, and soon. */
+/* A changed report is sent once and soon, also among many unchanged ones. */
 TEST(Words, WhatHasChangedIsToldByItself)
 {
 	Words w;
