--- a/regress/test_config.cpp
+++ b/regress/test_config.cpp
@@ -8,7 +8,7 @@
  * THE SOFTWARE IS PROVIDED "AS IS" AND THE AUTHOR DISCLAIMS ALL WARRANTIES
  * WITH REGARD TO THIS SOFTWARE.  See LICENSE for the whole text.
  */
-/* Configuration and membership under faults, with real processes. */
+/* Tests of configuration and membership under faults, with real processes. */
 #include <algorithm>
 #include <csignal>
 #include <fstream>
@@ -41,7 +41,10 @@
 	return f.wait_ready() && until([&] { return f.in_force(4); });
 }
 
-/* The limit that is in force on a box, seen by whether a rule answers. */
+/*
+ * Returns whether the box answers a request to path with 200, which shows
+ * whether a rule for path is in force there.
+ */
 bool
 serves(Fleet &f, size_t box, const std::string &path)
 {
@@ -96,7 +99,7 @@
 	f.start_box(1);
 	ASSERT_TRUE(until([&] { return f.ready(1); }));
 	EXPECT_TRUE(until([&] { return serves(f, 1, "/dir/x"); }));
-	/* It says where it got them. */
+	/* The box logs where it received the configuration from. */
 	EXPECT_TRUE(until([&] {
 		return f.boxes[1].agent_process.read_log().find(
 			   "key=service/dir version=3 from=" + f.ip(10)) !=
@@ -135,7 +138,7 @@
 	std::string out;
 
 	ASSERT_TRUE(up(f));
-	/* Written round fernctl. */
+	/* Written directly to the platform, without the checks of fernctl. */
 	f.put("service/dir", R"({"select":"app=dir","deadline":5})");
 	EXPECT_TRUE(until([&] {
 		f.ctl({"status"}, &out);
@@ -157,7 +160,9 @@
 	Fleet f(fleet(1));
 
 	ASSERT_TRUE(up(f));
-	/* Both read the same version; the platform's answer is slow. */
+	/*
+	 * Both writers read the same version, as the platform responds slowly.
+	 */
 	f.set_platform("slow_ms=200");
 	Process a, b;
 	std::string outs[2] = {f.dir + "/ctl.out", f.dir + "/ctl.log"};
@@ -212,7 +217,9 @@
 {
 	FleetOptions o = fleet(3);
 
-	/* Lists are far apart, so that only peers could tell. */
+	/*
+	 * Lists are far apart, so that only other boxes could report a change.
+	 */
 	Fleet f(o);
 	ASSERT_TRUE(up(f));
 	f.put("rule/x", R"({"path":"/x","service":"dir"})");
@@ -221,7 +228,9 @@
 	f.remove("rule/x");
 	ASSERT_TRUE(
 	    until([&] { return !serves(f, 0, "/x") && !serves(f, 2, "/x"); }));
-	/* Longer than what an agent takes for a pause. */
+	/*
+	 * Longer than the gap after which an agent assumes that it was paused.
+	 */
 	pump(3000);
 	f.boxes[1].agent_process.signal(SIGCONT);
 	ASSERT_TRUE(until([&] {
@@ -248,7 +257,7 @@
 	pump(6000);
 	double seconds = (now_ms() - began) / 1000;
 	long during = f.platform_count("reads") - before;
-	/* Six boxes, four of them watchers: backoff holds them. */
+	/* Six boxes, four of them watchers; backoff limits their calls. */
 	EXPECT_LT(during / seconds, 6 * 3.0);
 	f.set_platform("mode=up");
 	before = f.platform_count("reads") + f.platform_count("writes");
@@ -294,13 +303,19 @@
 	    static_cast<double>(probes() - before) / (now_ms() - began) * 1000;
 	load.stop();
 	EXPECT_TRUE(until([&] { return load.drained(); }));
-	/* One a second for each of six, whatever the traffic and the boxes. */
+	/*
+	 * One a second for each of six servers, whatever the traffic and the
+	 * number of boxes.
+	 */
 	EXPECT_LT(calm, 9);
 	EXPECT_LT(surge, 9);
 	EXPECT_GT(surge, 3);
 }
 
-/* A gate that begins to serve does not wait for the next hellos. */
+/*
+ * A gate that starts to serve learns which other gates serve without waiting
+ * for the next announcements.
+ */
 TEST(Config, GatesKnowWhoServesBeforeTheNextHello)
 {
 	FleetOptions o = fleet(4);
