--- a/regress/test_promises.cpp
+++ b/regress/test_promises.cpp
@@ -8,7 +8,7 @@
  * THE SOFTWARE IS PROVIDED "AS IS" AND THE AUTHOR DISCLAIMS ALL WARRANTIES
  * WITH REGARD TO THIS SOFTWARE.  See LICENSE for the whole text.
  */
-/* What must always hold, under faults, with real processes. */
+/* Tests of what must always hold under faults, with real processes. */
 #include <csignal>
 #include <gtest/gtest.h>
 
@@ -36,7 +36,7 @@
 	return o;
 }
 
-/* Objects that put_rules() adds. */
+/* The number of objects that put_rules() adds. */
 const size_t RULES = 4;
 
 void
@@ -87,7 +87,10 @@
 	return {read, pay, keyed, bulk};
 }
 
-/* No new requests, all answered; then the promises are checked. */
+/*
+ * Stops the load, waits until all requests are answered and checks the recorded
+ * outcomes for violations.
+ */
 void
 settle(Fleet &f, Load &load)
 {
@@ -180,7 +183,10 @@
 	FleetOptions o = small_fleet(1, 1, "ms=2 cut=100000 chunked=1");
 	Fleet f(o);
 
-	/* Without a length, only the end itself can tell what is missing. */
+	/*
+	 * Without a length, only the end of the body shows whether it is
+	 * complete.
+	 */
 	ASSERT_TRUE(up(f));
 	for (const char *flag : {"--http1.1", "--http2-prior-knowledge"}) {
 		Process p;
@@ -205,17 +211,17 @@
 	Headers id1 = {{"x-request-id", "one"}},
 		id2 = {{"x-request-id", "two"}};
 
-	/* The request arrives and runs, its answer is lost. */
+	/* The request arrives and runs, but its response is lost. */
 	f.backends[0]->proxy->set("mode=drop_answers");
 	Reply r = http("POST", door, "/pay/x", id1, "pay");
 	EXPECT_EQ(502, r.status);
 	EXPECT_EQ("cut", r.header("fern-error"));
 	EXPECT_EQ("unknown", r.header("fern-ran"));
 	EXPECT_EQ(1, f.runs()["one"]);
-	/* Nothing listens: nothing was sent, and that is said. */
+	/* Nothing listens, so nothing was sent, and the response says so. */
 	f.backends[0]->proxy->process.kill9();
 	r = http("POST", door, "/pay/x", id2, "pay");
-	/* Which of the two depends on whether a probe came first. */
+	/* The error depends on whether a probe failed before the request. */
 	EXPECT_TRUE(r.header("fern-error") == "connect" ||
 	    r.header("fern-error") == "no-backend")
 	    << r.header("fern-error");
@@ -303,7 +309,7 @@
 	EXPECT_EQ("no", r.header("fern-ran"));
 	EXPECT_NE("", r.header("retry-after"));
 	EXPECT_EQ(0, f.runs()["out"]);
-	/* Reads go on, and the key works once the platform is back. */
+	/* Reads continue, and the key works once the platform is back. */
 	EXPECT_EQ(200, http("GET", f.boxes[0].listen, "/dir/x").status);
 	f.set_platform("mode=up");
 	EXPECT_EQ(
@@ -317,7 +323,10 @@
 	std::string out;
 
 	ASSERT_TRUE(up(f));
-	/* By its object, by a label, by its own answers, by its health. */
+	/*
+	 * A server drains by its object, by a label, by its own responses, and
+	 * by its health.
+	 */
 	EXPECT_EQ(0, f.ctl({"drain", "b0"}, &out));
 	EXPECT_EQ(0, f.ctl({"label", "b1", "drain=yes"}, &out));
 	f.backends[2]->set("drain=1");
@@ -344,7 +353,7 @@
 {
 	FleetOptions o = small_fleet(1, 4, "ms=3");
 
-	/* Probes are far too seldom to tell it. */
+	/* Probes are far too rare to discover the drain. */
 	Fleet f(o);
 	f.start();
 	f.put("service/dir", R"({"select":"app=dir","probe_ms":600000})");
@@ -359,7 +368,7 @@
 	long before = f.backends[0]->count("ran");
 	for (int i = 0; i < 60; i++)
 		http("GET", f.boxes[0].listen, "/dir/x");
-	/* The answer that tells it is the last one. */
+	/* The response that reports the drain is the last one. */
 	EXPECT_LE(f.backends[0]->count("ran"), before + 1);
 }
 
@@ -372,7 +381,7 @@
 		b.hall = "north";
 	Fleet f(o);
 	ASSERT_TRUE(up(f));
-	/* The box that is not home passes; find it by its counter. */
+	/* The box that is not the owner forwards; its counter identifies it. */
 	for (auto &b : f.boxes)
 		http("GET", b.listen, "/dir/x");
 	size_t home = f.metric(0, "fern_passed_out_total") > 0 ? 1 : 0;
@@ -384,8 +393,11 @@
 	double took = now_ms() - began;
 	f.boxes[home].gate.signal(SIGCONT);
 	EXPECT_EQ(200, r.status);
-	/* Asked after 20 ms, left after 40 more; the rest is for slow
-	 * machines, and far below the deadline of 5 s. */
+	/*
+	 * The other box sends a query after 20 ms and gives up the owner 40 ms
+	 * later. The bound leaves time for slow machines and is far below the
+	 * deadline of 5 s.
+	 */
 	EXPECT_LT(took, 1000);
 }
 
@@ -403,7 +415,9 @@
 		http("GET", b.listen, "/dir/x");
 	size_t home = f.metric(0, "fern_passed_out_total") > 0 ? 1 : 0;
 	f.boxes[home].gate.signal(SIGTERM);
-	/* Long before the doors close the other box knows. */
+	/*
+	 * The other box knows long before the leaving box closes its listeners.
+	 */
 	EXPECT_TRUE(
 	    until([&] { return f.metric(1 - home, "fern_boxes") == 1; }, 3000));
 	double passed = f.metric(1 - home, "fern_passed_out_total");
@@ -421,7 +435,9 @@
 
 	ASSERT_TRUE(up(f));
 	Load load(doors(f), mixed(100), 15);
-	/* The platform's balancer uses the boxes that say they are ready. */
+	/*
+	 * The platform's balancer uses the boxes that report themselves ready.
+	 */
 	load.target_up = [&](size_t i) {
 		return in[i];
 	};
