--- a/regress/test_silent.cpp
+++ b/regress/test_silent.cpp
@@ -12,21 +12,29 @@
 
 #include "box.h"
 
-/* Changes, drains and evacuations around silences of the platform. */
+/*
+ * Tests of changes, drains and evacuations that are written while the platform
+ * does not respond, or shortly afterwards.
+ */
 
 namespace
 {
 
-/* The operators' bound for a change, from its acknowledgement on, in ms. */
+/*
+ * The longest time from the acknowledgement of a change until it is in force,
+ * in ms.
+ */
 const double apply_ms = 2000;
-/* So long after a silence the platform counts as calm again, in ms. */
+/* The time after a silence until the platform counts as calm again, in ms. */
 const int calm_ms = 3000;
-/* Answers that may be stale are so old, in ms. */
+/* The age of stale responses, in ms. */
 const int lag_ms = 3000;
 enum { LOOK_MS = 1250 };
 
 struct Silent : box::World {
-	/* As where they are deployed: lists are seldom, changes gathered. */
+	/*
+	 * Settings as in a deployment: lists are rare and changes are batched.
+	 */
 	Silent()
 	    : World(true, "", "",
 		  "boxes_ms = 15000\ngather_ms = 600\nlook_ms = " +
@@ -37,7 +45,10 @@
 		    until([&] { return ask("/look/1").status == 200; }));
 	}
 
-	/* The platform is silent, and something changes meanwhile. */
+	/*
+	 * Applies a change while the platform does not respond for ms
+	 * milliseconds.
+	 */
 	void change_in_silence(const std::function<void()> &change, int ms)
 	{
 		size_t before = platform.hung();
@@ -46,7 +57,7 @@
 		change();
 		pump(ms);
 		platform.silence(false);
-		/* The answer that told of it was swallowed. */
+		/* The response that reported the change was lost. */
 		EXPECT_GT(platform.hung(), before);
 	}
 
@@ -84,7 +95,7 @@
 	EXPECT_TRUE(until([&] { return w.leads_to_shelf(); }, apply_ms));
 }
 
-/* The call for the next change goes out into the silence. */
+/* The call that waits for the next change is sent during the silence. */
 TEST(Silent, ARuleThatChangedAfterASilenceIsInForceInTime)
 {
 	Silent w;
@@ -104,7 +115,7 @@
 	EXPECT_TRUE(until([&] { return w.leads_to_shelf(); }, apply_ms));
 }
 
-/* Twice, and the second one just when all has come back. */
+/* A second silence begins just when everything has recovered from the first. */
 TEST(Silent, ASecondSilenceIsNotedLikeTheFirst)
 {
 	Silent w;
@@ -116,8 +127,8 @@
 }
 
 /*
- * What backend servers and operators state once the platform is calm again
- * holds within the bound, though a change before it was swallowed.
+ * Changes by backend servers and operators after the platform is calm again are
+ * in force within the bound, although an earlier change was lost.
  */
 TEST(Silent, ADrainAfterASilenceIsKept)
 {
@@ -138,7 +149,9 @@
 	    until([&] { return w.ask("/look/1").status == 503; }, apply_ms));
 }
 
-/* A look whose answer is old tells neither of a change nor that there is none.
+/*
+ * A poll with a stale response shows neither that there was a change nor that
+ * there was none.
  */
 TEST(Silent, ARuleThatChangedInASilenceIsInForceSoonThoughCopiesAreOld)
 {
@@ -157,7 +170,10 @@
 	w.expect_drain_after_silence();
 }
 
-/* The first look is over; rules, evacuations and roll-outs are watched too. */
+/*
+ * The first poll is over; rules, evacuations and roll-outs are watched as well
+ * as backend servers.
+ */
 TEST(Silent, ADrainAfterASilenceIsKeptHoweverManyKindsAreWatched)
 {
 	Silent w;
