--- a/regress/test_cold.cpp
+++ b/regress/test_cold.cpp
@@ -16,16 +16,22 @@
 #include "cold.h"
 }
 
-/* Backend servers that have just started: the bound, and the real program. */
+/*
+ * Tests of backend servers that have just started (cold): the bound on their
+ * requests, by itself and with a real box.
+ */
 
 namespace
 {
 
 constexpr struct cold_limit BOUND = {3.75, 4, 3 * NS_S};
-/* What one bears in any second: 2.5 a second, half as much again, and 8. */
+/*
+ * The most requests that a cold server may get in any second: a rate of 2.5,
+ * half as much again (rounded down), and a slack of 8.
+ */
 constexpr size_t BEARS = 11;
 
-/* Send whatever may be sent, each 5 ms; the most in any second. */
+/* Returns the largest number of requests sent within any second. */
 size_t
 worst(std::vector<int64_t> *sent)
 {
@@ -49,7 +55,10 @@
 		}
 }
 
-/* Two services' worth of settings: one backend server of two is cold. */
+/*
+ * The settings of a service with slow start and two backend servers, of which
+ * tests make one cold.
+ */
 struct Pair : box::World {
 	Pair() : World(false, "", R"("slowStartOver":1.5,"slowStartSlack":8,)")
 	{
@@ -57,7 +66,10 @@
 		configure("till");
 	}
 
-	/* Sequential requests for a while; all are served. */
+	/*
+	 * Sends one request after the other for ms milliseconds; all must be
+	 * served.
+	 */
 	void ask_for(int64_t ms)
 	{
 		int64_t end = clk_ns(clk_system()) + ms * NS_MS;
@@ -81,7 +93,10 @@
 	EXPECT_FALSE(cold_is_cold(&c, 4 * NS_S));
 }
 
-/* The old home's burst and the new one's rate; neither knows of the other. */
+/*
+ * The old owner sends a burst and the new one sends at the rate. Neither knows
+ * what the other has sent.
+ */
 TEST(Cold, TwoHomesTogetherKeepTheBound)
 {
 	for (int64_t moved = NS_S; moved < 4 * NS_S; moved += 50 * NS_MS) {
@@ -89,7 +104,9 @@
 		std::vector<int64_t> sent;
 
 		cold_set_reported(&a, 3 * NS_S, NS_S);
-		/* It rested, and then is asked for all at once. */
+		/*
+		 * The server was idle, and then many requests arrive at once.
+		 */
 		send_all(&a, moved - 40 * NS_MS, moved, &sent);
 		cold_set_suspected(&b, 3 * NS_S, moved);
 		send_all(&b, moved, 4 * NS_S, &sent);
@@ -97,7 +114,10 @@
 	}
 }
 
-/* One that was warm has got its share of the second in which it turns cold. */
+/*
+ * A server that was warm has already used its share of the second in which it
+ * turns cold, so it starts with an empty bucket.
+ */
 TEST(Cold, OneThatTurnsColdHasNothingSaved)
 {
 	struct cold c = {};
@@ -125,7 +145,7 @@
 	EXPECT_TRUE(cold_is_unconfirmed(&c, NS_S));
 }
 
-/* Where a service has no bound, nothing is held back. */
+/* Without a bound in the service's settings no request is held back. */
 TEST(Cold, WithoutABoundNothingChanges)
 {
 	struct cold_limit none = {};
@@ -138,7 +158,10 @@
 	}
 }
 
-/* It is asked before the first request, by a home that knows nothing yet. */
+/*
+ * An owner that has just started knows no server's state, so it queries a
+ * server before it sends the first request.
+ */
 TEST(Cold, AHomeThatStartsAsksBeforeItSends)
 {
 	Pair p;
@@ -149,7 +172,7 @@
 	EXPECT_GE(BEARS, p.ran(0, 0));
 	EXPECT_LT(2 * BEARS, p.ran(1, 1));
 	EXPECT_TRUE(p.logged("a backend server is cold"));
-	/* A home that takes its place does not begin anew with a burst. */
+	/* An owner that restarts must not start with another burst. */
 	size_t before = p.ran(0, 0);
 	p.box.kill9();
 	p.box.start();
@@ -158,7 +181,10 @@
 	EXPECT_GE(4u, p.ran(0, 0) - before);
 }
 
-/* It may turn cold at any moment; a return is such a moment. */
+/*
+ * A server may turn cold at any moment, also while its hall is evacuated. So it
+ * is queried when the hall returns.
+ */
 TEST(Cold, AHallThatReturnsIsAskedFirst)
 {
 	Pair p;
@@ -173,7 +199,10 @@
 	size_t before = p.ran(0, 0);
 	p.ask_for(1000);
 	EXPECT_GE(BEARS, p.ran(0, 0) - before);
-	/* Once that time is over it may do all alone. */
+	/*
+	 * Once the slow start is over, one server may handle all requests
+	 * alone.
+	 */
 	p.enter(1, "draining");
 	pump(1500);
 	before = p.ran(0, 0);
