--- a/regress/test_evacuation.cpp
+++ b/regress/test_evacuation.cpp
@@ -13,14 +13,14 @@
 #include "box.h"
 
 /*
- * A hall whose backend servers are to get nothing new, by the real program:
- * each way in which an evacuation is told, missed and taken back.
+ * Tests of an evacuation, in which the backend servers of a hall get no new
+ * requests, with a real box: how it is received, missed and ended.
  */
 
 namespace
 {
 
-/* Of each service one backend server stands in another hall. */
+/* Each service has one backend server in another hall. */
 struct Halls : box::World {
 	Halls()
 	{
@@ -45,12 +45,17 @@
 		return hall == "north" ? ran(0, 0) : ran(1, 1);
 	}
 
-	/* Do requests get there?  Some dozens show it where they may. */
+	/*
+	 * Returns whether requests reach the hall. Some dozens of requests are
+	 * enough to show it where they are allowed.
+	 */
 	bool serves(const std::string &hall)
 	{
 		size_t before = ran_in(hall);
 
-		/* A service stays in the box's hall while that has slots. */
+		/*
+		 * Requests stay in the box's own hall while it has free slots.
+		 */
 		if (hall == "south")
 			evacuate("north");
 		bool does = until(
@@ -64,7 +69,7 @@
 		return does;
 	}
 
-	/* Asked for some time, and all is served elsewhere. */
+	/* Sends some requests, all of which must be served in another hall. */
 	void expect_empty(const std::string &hall)
 	{
 		size_t before = ran_in(hall);
@@ -92,7 +97,7 @@
 	EXPECT_TRUE(h.serves("north"));
 }
 
-/* What cannot be served is refused at once, as not run. */
+/* Requests that cannot be served are refused at once, as not run. */
 TEST(Evacuation, WithAllHallsEvacuatedRequestsAreRefusedAtOnce)
 {
 	Halls h;
@@ -124,7 +129,10 @@
 	EXPECT_EQ(before, h.ran_in("north"));
 }
 
-/* Written while the platform answered nobody, and its history is gone. */
+/*
+ * The evacuation is written while the platform responds to no call, and the
+ * history of changes is lost.
+ */
 TEST(Evacuation, AnOutageAndALostHistoryDoNotHideIt)
 {
 	Halls h;
@@ -138,7 +146,7 @@
 	ASSERT_TRUE(
 	    until([&] { return h.in_force("evacuation/north") == 2; }, 4000));
 	h.expect_empty("north");
-	/* So is its end. */
+	/* The end of the evacuation must not be missed either. */
 	h.platform.answer_all(503);
 	h.platform.compact();
 	pump(700);
@@ -147,7 +155,10 @@
 	EXPECT_TRUE(h.serves("north"));
 }
 
-/* A list of before, read anew, does not undo what is known since. */
+/*
+ * A stale list that a restarted box reads does not undo an evacuation that was
+ * written later.
+ */
 TEST(Evacuation, AStaleListDoesNotUndoIt)
 {
 	Halls h;
