--- a/regress/test_region.cpp
+++ b/regress/test_region.cpp
@@ -14,7 +14,7 @@
 
 #include "box.h"
 
-/* Functions named as their structs are hide C++ constructors. */
+/* Functions that are named like their structs hide C++ constructors. */
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wshadow"
 extern "C" {
@@ -22,12 +22,18 @@
 }
 #pragma GCC diagnostic pop
 
-/* Requests that only some regions may serve: the choice, and a real program. */
+/*
+ * Tests of requests that only some regions may serve: the choice of a hall by
+ * itself, and with a real box.
+ */
 
 namespace
 {
 
-/* Two halls here, one there; each with some slots of one service. */
+/*
+ * Two halls in one region and one in another, with the given numbers of slots
+ * of one service.
+ */
 struct Choice {
 	json_t *halls = json_pack(
 	    "{s:s, s:s, s:s}", "a", "here", "b", "here", "c", "there");
@@ -53,7 +59,10 @@
 		json_decref(halls);
 	}
 
-	/* All halls that a request of a box may be sent to. */
+	/*
+	 * Returns all halls that a request may be sent to from a box in the
+	 * hall own.
+	 */
 	std::set<std::string> drawn(const char *own, const char *list)
 	{
 		std::set<std::string> all;
@@ -69,7 +78,7 @@
 
 using Halls = std::set<std::string>;
 
-/* The other hall's backend servers stand in another region. */
+/* The backend servers of the other hall are in another region. */
 struct Regions : box::World {
 	Regions()
 	    : World(
@@ -111,13 +120,16 @@
 	EXPECT_EQ((Halls{"a", "b"}), Choice(1, 1, 1).drawn("c", "here"));
 	EXPECT_EQ(Halls{"c"}, Choice(1, 1, 1).drawn("a", "there"));
 	EXPECT_EQ(Halls{"a"}, Choice(1, 1, 1).drawn("a", "there,here"));
-	/* Nobody who may is left. */
+	/* No hall that is allowed has free capacity. */
 	EXPECT_EQ(Halls{""}, Choice(0, 0, 1).drawn("a", "here"));
 	EXPECT_EQ(Halls{""}, Choice(1, 1, 0).drawn("a", "there"));
 	EXPECT_EQ(Halls{""}, Choice(1, 1, 1).drawn("a", "nowhere"));
 }
 
-/* A box that holds no backend servers knows halls by the table only. */
+/*
+ * A box that holds no backend servers knows the halls only from the table of
+ * regions.
+ */
 TEST(Region, ABoxWithoutBackendServersGoesByTheTable)
 {
 	Choice none(0, 0, 0);
@@ -139,12 +151,15 @@
 	for (int i = 0; i < 10; i++)
 		EXPECT_EQ(200, r.ask("/look/1").status);
 	EXPECT_EQ(10u, r.ran(0, 0));
-	/* Nothing there may serve it: refused at once, and not sent away. */
+	/*
+	 * No allowed hall can serve the request: it is refused at once and not
+	 * sent to another region.
+	 */
 	r.platform.put("evacuations", "north", "{}");
 	ASSERT_TRUE(until([&] { return r.ask("/look/1").status == 503; }));
 	EXPECT_EQ(503, r.ask("/buy/1", "POST").status);
 	EXPECT_EQ(0u, r.ran(1, 1));
-	/* The other region only, from a box that is not in it. */
+	/* Only the other region is allowed, for a box that is not in it. */
 	r.platform.remove("evacuations", "north");
 	r.allow("\"there\"");
 	ASSERT_TRUE(until([&] {
