--- a/regress/test_rollout.cpp
+++ b/regress/test_rollout.cpp
@@ -12,12 +12,12 @@
 
 #include "box.h"
 
-/* Roll-outs by the real program, against the stand-in for the platform. */
+/* Tests of roll-outs with a real box and the platform's stand-in. */
 
 namespace
 {
 
-/* A service of two old servers, and two of a version that is brought in. */
+/* A service with two servers of the old version and two of the new one. */
 struct Rollout : box::World {
 	explicit Rollout(bool fails)
 	    : box::World(true, "", "\"exposeShare\":0.4,\"exposeSlack\":5,")
@@ -54,7 +54,10 @@
 		return platform.ran("n-5") + platform.ran("n-6");
 	}
 
-	/* Requests come until the state is this; false: too late. */
+	/*
+	 * Sends requests until the roll-out has the state. Returns false after
+	 * a time-out.
+	 */
 	bool reaches(const std::string &wanted)
 	{
 		return until(
@@ -96,7 +99,10 @@
 	EXPECT_EQ(got, r.ran_new());
 }
 
-/* What was decided holds for one that starts, and while the store is away. */
+/*
+ * A decision holds for a box that has just started, also while the platform is
+ * unreachable.
+ */
 TEST(Rollout, ABoxThatStartsKeepsToWhatWasDecided)
 {
 	Rollout r(true);
@@ -114,7 +120,10 @@
 	r.platform.answer_all(0);
 }
 
-/* The write is made again, on the condition that holds then. */
+/*
+ * A write that the platform refused is repeated, with the precondition that
+ * holds then.
+ */
 TEST(Rollout, AStoreThatRefusesIsToldLater)
 {
 	Rollout r(true);
@@ -127,7 +136,10 @@
 	EXPECT_TRUE(r.reaches("rolled_back")) << r.state() << r.box.read_log();
 }
 
-/* Home of two halls at first, of one later: it tells no more of the other. */
+/*
+ * A box that first owns shards in two halls and later in one stops reporting on
+ * the other. The roll-out must not wait for its report.
+ */
 TEST(Rollout, ABoxThatIsHomeNoMoreDoesNotHoldItUp)
 {
 	Rollout r(false);
