--- a/regress/test_customer.cpp
+++ b/regress/test_customer.cpp
@@ -20,7 +20,10 @@
 #include "limit.h"
 }
 
-/* Customers: their keys and rates, by the real program and by themselves. */
+/*
+ * Tests of customers, their keys and rate limits, with a real box and of the
+ * functions alone.
+ */
 
 namespace
 {
@@ -33,7 +36,7 @@
 	    name + "\"},\"spec\":{\"apiKeys\":[" + keys + "]" + more + "}},";
 }
 
-/* A box whose rules ask for the key of a customer. */
+/* A box whose rules require a customer's key. */
 struct Customers : box::World {
 	int n = 0;
 
@@ -49,7 +52,7 @@
 		configure("till", tenants);
 	}
 
-	/* A request with these headers besides; its id is "c" and n. */
+	/* Sends a request with additional headers; its id is "c" and n. */
 	Reply with(const std::vector<std::pair<std::string, std::string>> &more,
 	    const std::string &address = "")
 	{
@@ -74,7 +77,10 @@
 	}
 };
 
-/* One request on a connection of its own, from any thread; the answer. */
+/*
+ * Sends one request on a new connection and returns the response. May be called
+ * from any thread.
+ */
 std::string
 exchange(
     const std::string &address, const std::string &id, const std::string &key)
@@ -105,7 +111,10 @@
 	return text;
 }
 
-/* What became of all requests of a customer, by many callers at once. */
+/*
+ * Counts the outcomes of requests that many clients send at once for one
+ * customer.
+ */
 struct Rush {
 	std::atomic<int> let_in{0}, refused{0}, others{0};
 	std::vector<std::thread> callers;
@@ -137,7 +146,7 @@
 		}
 	}
 
-	/* The seconds that it took. */
+	/* Waits for all clients and returns the elapsed time in seconds. */
 	double wait()
 	{
 		for (std::thread &t : callers)
@@ -199,7 +208,10 @@
 	customers_free(all);
 }
 
-/* Any window holds the rate and the burst, however the requests come. */
+/*
+ * No window contains more than the rate and the burst allow, however the
+ * requests arrive.
+ */
 TEST(Customer, ABucketThatLendsKeepsToItsRate)
 {
 	struct bucket b = {0, NS_S};
@@ -232,7 +244,7 @@
 	EXPECT_EQ(401, w.by("").status);
 	EXPECT_EQ(401, w.with({}).status);
 	EXPECT_EQ(200, w.by("key-b").status);
-	/* One is taken away, one is new. */
+	/* One key is removed and one is added. */
 	w.allow(tenant("anna", "\"key-b\"") +
 	    tenant("bert", "\"key-c\",\"key-d\""));
 	EXPECT_TRUE(until([&] { return w.by("key-d").status == 200; }, 2000));
@@ -267,7 +279,7 @@
 	EXPECT_EQ(1u, count(w.heard(), "fernjunction-tenant-id: anna\n"));
 }
 
-/* Both boxes are asked at once, for much more than the rate. */
+/* Both boxes receive requests at once, far more than the rate allows. */
 TEST(Customer, ARateHoldsOverAllBoxesAndIsUsed)
 {
 	std::string tenants =
@@ -277,7 +289,7 @@
 	second.box.start();
 	ASSERT_TRUE(until(
 	    [&] { return w.by("key-a", second.address).status == 200; }, 5000));
-	/* Homes move when a box comes; here they have moved. */
+	/* Owners move when a box joins; that is over here. */
 	ASSERT_TRUE(until([&] { return w.knows(2); }, 5000));
 	pump(500);
 	Rush rush({w.ip + ":8080", second.address}, 3 * NS_S);
@@ -289,7 +301,7 @@
 	EXPECT_GE(rush.let_in, 0.95 * 3 * 20);
 }
 
-/* A box that may be home of the customer comes and goes. */
+/* A box that may become the owner of the customer starts and stops. */
 TEST(Customer, ARateHoldsWhileItsHomeMoves)
 {
 	std::string tenants =
@@ -307,6 +319,6 @@
 	}
 	double s = rush.wait();
 	EXPECT_GT(rush.refused, 0);
-	/* Each move of the home begins a bucket with one token. */
+	/* Each move of the owner starts a bucket with one token. */
 	EXPECT_LE(rush.let_in, s * 20 + 5 + 4 + 1) << s;
 }
