--- a/regress/test_unattended.cpp
+++ b/regress/test_unattended.cpp
@@ -12,23 +12,29 @@
 
 #include "box.h"
 
-/* Rules on weak boxes while no strong box tells them of changes. */
+/* Tests of rules on weak boxes while no strong box informs them of changes. */
 
 namespace
 {
 
-/* The operators' bound for a change, from its acknowledgement on, in ms. */
+/*
+ * The longest time from the acknowledgement of a change until it is in force,
+ * in ms.
+ */
 const double apply_ms = 2000;
-/* A box that starts is bound by it once it has run for so long, in ms. */
+/* The time after its start from which the bound holds for a box, in ms. */
 const double contact_ms = 3000;
-/* Stale answers are so old, in ms. */
+/* The age of stale responses, in ms. */
 const int lag_ms = 3000;
 
 const char *const as_deployed =
     "boxes_ms = 15000\ngather_ms = 600\nlook_ms = 1250\nlist_ms = 3600000\n"
     "status_ms = 3600000\nstatus_by = \"hubs\"\n";
 
-/* A strong box, behind a proxy to the platform, and a weak one of its hall. */
+/*
+ * A strong box that reaches the platform through a proxy, and a weak box in the
+ * same hall.
+ */
 struct Hall : box::World {
 	Proxy platform_proxy;
 	std::unique_ptr<box::Further> weak;
@@ -56,7 +62,10 @@
 		EXPECT_TRUE(until([&] { return weak->serves(); }));
 	}
 
-	/* The platform resets all connections of the strong box. */
+	/*
+	 * Restarts the strong box behind the proxy, which then resets all of
+	 * its connections to the platform.
+	 */
 	void turn_strong_away()
 	{
 		std::string text = read(file);
@@ -76,7 +85,7 @@
 		platform_proxy.set("mode=cut");
 	}
 
-	/* One more route, by which a test tells that a version is in force. */
+	/* Adds a route, by which a test sees that a version is in force. */
 	void add_route(const std::string &name)
 	{
 		configure("till",
@@ -138,7 +147,7 @@
 	w.expect_in_time("third");
 }
 
-/* It is refused, and the weak box would not be. */
+/* The platform refuses the strong box, but would not refuse the weak one. */
 TEST(Unattended, ARuleThatChangesWhileStrongBoxesAreTurnedAwayIsInForceInTime)
 {
 	Hall w;
@@ -148,7 +157,10 @@
 	w.expect_in_time("second");
 }
 
-/* Its first list is stale, and nobody is there who knows better. */
+/*
+ * The first list that the weak box reads is stale, and no other box has a newer
+ * version.
+ */
 TEST(Unattended, AWeakBoxThatStartsWhileNoStrongBoxLivesGoesByNoStaleRules)
 {
 	Hall w;
