--- a/regress/test_path.cpp
+++ b/regress/test_path.cpp
@@ -8,7 +8,7 @@
  * THE SOFTWARE IS PROVIDED "AS IS" AND THE AUTHOR DISCLAIMS ALL WARRANTIES
  * WITH REGARD TO THIS SOFTWARE.  See LICENSE for the whole text.
  */
-/* The whole path, end to end, with real processes. */
+/* End-to-end tests of the whole path of a request, with real processes. */
 #include <csignal>
 #include <cstdlib>
 #include <fstream>
@@ -146,7 +146,7 @@
 	f.start();
 	add_rules(f);
 	ASSERT_TRUE(wait_force(f, 3));
-	/* Warm up: a cold backend server gets one request at a time. */
+	/* Warm up, as a cold backend server gets one request at a time. */
 	for (int i = 0; i < 4; i++)
 		http("GET", f.boxes[0].listen, "/dir/x");
 	int done = 0, good = 0;
@@ -158,7 +158,10 @@
 		    });
 	EXPECT_TRUE(until([&] { return done == 20; }));
 	EXPECT_EQ(20, good);
-	/* One home knows each slot, so nothing was shed and none was idle. */
+	/*
+	 * One owner knows every slot, so nothing was shed and no slot stayed
+	 * unused.
+	 */
 	EXPECT_EQ(0, f.backends[0]->count("shed"));
 	EXPECT_EQ(3, f.backends[0]->count("peak"));
 }
@@ -188,7 +191,7 @@
 	EXPECT_EQ("busy", r.header("fern-error"));
 	EXPECT_EQ("no", r.header("fern-ran"));
 	EXPECT_NE("", r.header("retry-after"));
-	/* At once: well before its deadline. */
+	/* At once, which is well before the deadline of 300 ms. */
 	EXPECT_LT(now_ms() - began, 250);
 	EXPECT_TRUE(until([&] { return done == 9; }));
 }
