--- a/regress/test_box.cpp
+++ b/regress/test_box.cpp
@@ -77,6 +77,7 @@
 	    until([&] { return w.ask("/buy/1", "POST").status == 413; }));
 }
 
+/* Requests that arrive before the first configuration wait for it. */
 TEST(Box, EarlyRequestsWaitForTheFirstConfiguration)
 {
 	World w(false);
@@ -114,6 +115,7 @@
 	EXPECT_EQ(200, w.ask("/look/1").status);
 }
 
+/* A backend server that is draining gets no new requests. */
 TEST(Box, ADrainedBackendServerGetsNothingNew)
 {
 	World w;
@@ -128,6 +130,7 @@
 	EXPECT_EQ(before, w.ran(0, 0));
 }
 
+/* The deletion of an entry is held for a second, in case it comes back. */
 TEST(Box, ALapsedEntryThatComesBackIsNotMissed)
 {
 	World w;
@@ -152,6 +155,7 @@
 	EXPECT_EQ(before, w.ran(1, 1));
 }
 
+/* A request that may have run is not answered as refused, and not repeated. */
 TEST(Box, WhatMayHaveRunIsNeverRefused)
 {
 	World w;
--- a/regress/test_cold.cpp
+++ b/regress/test_cold.cpp
@@ -45,6 +45,7 @@
 	return most;
 }
 
+/* Sends whenever the bound allows it, with a check every 5 ms. */
 void
 send_all(struct cold *c, int64_t from, int64_t to, std::vector<int64_t> *sent)
 {
@@ -81,6 +82,7 @@
 
 } // namespace
 
+/* A server that may be cold is kept to the bound, but it gets requests. */
 TEST(Cold, OneGetsNoMoreThanItBearsInAnySecond)
 {
 	struct cold c = {};
@@ -130,6 +132,7 @@
 	EXPECT_TRUE(cold_can_send(&c, &BOUND, 2 * NS_S + 300 * NS_MS));
 }
 
+/* A report of the server itself replaces the assumption that it may be cold. */
 TEST(Cold, ItsOwnWordEndsTheDoubt)
 {
 	struct cold c = {};
--- a/regress/test_crash.cpp
+++ b/regress/test_crash.cpp
@@ -16,13 +16,14 @@
 #include "box.h"
 
 /*
- * Guards against a request that crashes every backend server that runs it. Its
- * owner saw only a broken connection, held it against the backend server alone
- * and sent the request to the next one. The client then retried through any
- * box, and the retry was treated as a new request. So one client stopped all
- * backend servers of a service, and other requests on these servers failed as
- * well. The log showed the same fingerprint for several backend servers, and
- * "connect" for other requests to the servers that had crashed:
+ * Guards against a request that crashes every backend server that runs it. If
+ * its owner sees only a broken connection and holds that against the backend
+ * server alone, it sends the request to the next server. The client then
+ * retries through any box, and the retry is treated as a new request. So one
+ * client can stop all backend servers of a service, and other requests on these
+ * servers fail as well. The log then shows the same fingerprint for several
+ * backend servers, and "connect" for other requests to the servers that
+ * crashed:
  *
  *	a try broke off print=3eac7d9839ae3376 why=cut backend=i-1 tries=1
  *	a try broke off print=3eac7d9839ae3376 why=cut backend=i-2 tries=2
@@ -216,8 +217,8 @@
 
 /*
  * The client's address does not change what a request does to a backend server,
- * so it must not be part of the fingerprint. When it was, each client started
- * with a new fingerprint:
+ * so it must not be part of the fingerprint. Otherwise each client starts with
+ * a new fingerprint:
  *
  *	a try broke off print=a7c9076e4879d549 why=cut backend=i-2 tries=1
  *	a try broke off print=a7c9076e4879d549 why=cut backend=i-3 tries=2
--- a/regress/test_word.cpp
+++ b/regress/test_word.cpp
@@ -123,9 +123,9 @@
 
 /*
  * Backend servers under load report in their responses how many requests a
- * second they accept. The owner of their hall once read only the load from
- * these responses, so a server continued to receive as many requests as before.
- * Only its slots bounded them, and quick servers had free slots. The log showed
+ * second they accept. Guards against an owner that reads only the load from
+ * these responses: it then sends as many requests as before, bounded only by
+ * the slots, and quick servers have free slots. With that fault the log showed
  * that the box that had received every report also sent all of the requests. In
  * a test like this one 64 requests arrived in four seconds where 12 are
  * accepted:
@@ -233,6 +233,7 @@
 
 } // namespace
 
+/* No span contains more requests than the rate allows, and the rate is used. */
 TEST(Quota, OneGetsWhatItTakesInAnySpan)
 {
 	for (double rate : {0.3, 1.0, 2.8, 5.6, 40.0, 300.0}) {
@@ -273,6 +274,10 @@
 	EXPECT_EQ(QUOTA_RATE_MAX / 50, quota_available(&q, 1000 * NS_S));
 }
 
+/*
+ * A lower limit holds at once. A higher one, or none, is accepted only from the
+ * response to a request that was sent after the lower one was reported.
+ */
 TEST(Quota, LessHoldsAtOnceAndMoreOnlyByALaterAnswer)
 {
 	struct quota q = {};
@@ -301,10 +306,10 @@
 
 /*
  * A backend server that is leaving reports so in its responses and to the
- * platform. Its owner once used the platform's entry alone. While the platform
- * was silent, the server received requests for as long as its entry said that
- * it was ready: 37 in thirteen seconds. The responses had reached the very box
- * that sent all of these requests:
+ * platform. Guards against an owner that uses only the platform's entry: while
+ * the platform is silent, the server then receives requests for as long as its
+ * entry says that it is ready. That was 37 in thirteen seconds, although the
+ * responses had reached the very box that sent all of these requests:
  *
  *	a backend server says that it leaves backend=i-0
  *	sent backend=i-0 in_use=0 limit=2 slots=3 against=leaving
@@ -334,9 +339,9 @@
 
 /*
  * A backend server that refuses a request may ask for a pause by Retry-After.
- * Its owner once ignored that and stopped sending only for a time of its own, 5
- * ms to a third of a second. A server that had asked for two seconds got 7
- * requests within them, and each of these lost an attempt:
+ * Guards against an owner that ignores this and stops sending only for a time
+ * of its own, 5 ms to a third of a second. A server that had asked for two
+ * seconds got 7 requests within them, and each of these lost an attempt:
  *
  *	a backend server asks for a rest backend=i-0 rest_ms=2000
  *	sent backend=i-0 in_use=0 limit=3 slots=3 against=rest
@@ -440,6 +445,9 @@
 	EXPECT_LT(0, w.callers.answers[200]);
 }
 
+/*
+ * A new owner keeps to a rate limit that was reported before it was the owner.
+ */
 TEST(Word, TheNextHomeKnowsALimit)
 {
 	TwoBoxes w;
@@ -459,7 +467,10 @@
 	EXPECT_GE(1u, count_from(w.platform.came("i-0"), told));
 }
 
-/* The server's entry expires during an outage and returns unchanged. */
+/*
+ * A report stays in force when the server's entry is deleted, as may happen in
+ * an outage, and returns unchanged.
+ */
 TEST(Word, WhatAServerSaidOutlivesItsEntry)
 {
 	World w;
@@ -561,6 +572,7 @@
 	EXPECT_EQ(0u, reports_pop_unsent(w.ws, out, 4));
 }
 
+/* At most 1024 reports are held, each is sent in turn, and they expire. */
 TEST(Words, TheyAreBoundedAndAllAreToldInTurn)
 {
 	Words w;
