--- a/regress/fleet.h
+++ b/regress/fleet.h
@@ -20,14 +20,15 @@
 #include <vector>
 
 /*
- * A small fleet of real processes on loopback addresses of its own: the
- * stand-ins for platform, backend servers and network, and our gates and
- * agents.  Everything waits for events; no test sleeps for luck.
+ * Runs a small fleet of real processes on loopback addresses that nothing else
+ * uses: the product's gates and agents, and stand-ins for the platform, the
+ * backend servers and the network.  Tests wait for events and do not rely on
+ * fixed delays.
  */
 
-/* One HTTP answer, or the way in which there was none. */
+/* An HTTP response, or how far a request without a response got. */
 struct Reply {
-	int status = 0; /* 0: no answer */
+	int status = 0; /* 0: no response */
 	bool complete = false;
 	std::map<std::string, std::string> headers; /* names in lower case */
 	std::string body;
@@ -42,18 +43,21 @@
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-/* One HTTP request, waited for while the loop runs. */
+/* Sends one HTTP request and runs the event loop until it has ended. */
 Reply http(const std::string &method, const std::string &address,
     const std::string &path, const Headers &headers = {},
     const std::string &body = "", int timeout_ms = 10000);
 
-/* The same, not waited for. */
+/* Starts an HTTP request and returns at once; `done` gets its reply. */
 void http_start(const std::string &method, const std::string &address,
     const std::string &path, const Headers &headers, const std::string &body,
     int timeout_ms, std::function<void(const Reply &)> done,
     bool keep_body = true);
 
-/* Run the loop for a while, or until a condition holds. */
+/*
+ * Run the event loop for some milliseconds, or until a condition holds;
+ * until() returns false if it does not hold within the timeout.
+ */
 void pump(int ms);
 bool until(const std::function<bool()> &, int timeout_ms = 30000);
 double now_ms();
@@ -65,15 +69,18 @@
 
 	void start();
 	void signal(int signo) const;
-	/* Kill at once and reap. */
+	/* Sends SIGKILL and reaps the process. */
 	void kill9();
-	/* Reap; the exit status, or -1 if it still runs after the time. */
+	/*
+	 * Waits for the end and reaps the process.  Returns the exit status,
+	 * or -1 if the process still runs after the timeout.
+	 */
 	int wait_exit(int timeout_ms = 30000);
 	bool running() const
 	{
 		return pid > 0;
 	}
-	/* Processor seconds used, and resident kilobytes now and at most. */
+	/* CPU seconds used; current and peak resident memory in kilobytes. */
 	double cpu() const;
 	long rss_kb() const;
 	long peak_kb() const;
@@ -82,23 +89,25 @@
 
 struct BackendOptions {
 	std::string name, hall = "north", app = "dir";
-	std::string keys = "ms=5"; /* for the stand-in, by spaces */
+	std::string keys =
+	    "ms=5"; /* the stand-in's KEY=VALUE, with spaces between */
 	int slots = 3;
 	bool proxied = false;
 };
 
 struct FleetOptions {
 	int boxes = 2;
-	std::vector<std::string> halls = {"north"}; /* boxes take turns */
+	std::vector<std::string> halls = {
+	    "north"}; /* assigned to boxes in turn */
 	std::vector<BackendOptions> backends;
-	std::string gate_settings, agent_settings; /* added as they are */
+	std::string gate_settings, agent_settings; /* appended verbatim */
 	bool platform_proxied = false;
 	bool pass_proxied = false;
 	bool quiet = true;
 	int pass_delay_ms = 0;
 };
 
-/* A fault proxy in front of some address. */
+/* A proxy that injects faults in front of an address. */
 struct Proxy {
 	Process process;
 	std::string address, control;
@@ -137,14 +146,17 @@
 	std::vector<std::unique_ptr<Backend>> backends;
 	std::string dir;
 
-	/* Everything up, backends registered, rules applied, boxes ready. */
+	/*
+	 * Starts all processes, registers the backends, applies the rules and
+	 * waits until the boxes are ready.
+	 */
 	void start();
 	void start_box(size_t);
 	void stop_box_hard(size_t);
 	void add_backend(const BackendOptions &);
 	std::unique_ptr<Proxy> proxy(const std::string &target);
 
-	/* Write an object on the platform: create, or change what is there. */
+	/* Creates or updates an object on the platform. */
 	long put(const std::string &key, const std::string &spec);
 	long remove(const std::string &key);
 	std::string
@@ -155,15 +167,18 @@
 
 	bool ready(size_t box) const;
 	bool wait_ready(int timeout_ms = 30000);
-	/* Do all boxes' gates have this many objects and one digest? */
+	/*
+	 * Returns whether the gates of all boxes have this many objects and
+	 * the same digest.
+	 */
 	bool in_force(size_t objects) const;
 	std::string metrics(size_t box) const;
 	double metric(size_t box, const std::string &name) const;
 	double agent_metric(size_t box, const std::string &name) const;
-	/* A command of fernctl's: exit status and what it printed. */
+	/* Runs fernctl; returns its exit status and stores its output. */
 	int ctl(const std::vector<std::string> &args, std::string *out);
 
-	/* How often each id was run, by all journals. */
+	/* How often each request id was run, according to all journals. */
 	std::map<std::string, int> runs() const;
 
 	std::string ip(int host) const;
@@ -173,7 +188,7 @@
 	int next_proxy = 200;
 };
 
-/* What became of one request of a load. */
+/* The outcome of one request of a load. */
 struct Outcome {
 	std::string id, kind, ran;
 	int status = 0;
@@ -185,18 +200,19 @@
 
 /* One stream of requests in a load. */
 struct Stream {
-	double rate = 100; /* a second, by a Poisson process */
+	double rate = 100; /* requests per second, a Poisson process */
 	std::string method = "GET", path = "/dir/x";
 	bool keyed = false;
 	int cls = 0;
 	int size = 1024;
-	int ms = 0; /* asked of the stand-in; 0: its own */
+	int ms = 0; /* service time to request; 0: the stand-in's own */
 	int deadline_ms = 0;
 };
 
 /*
- * An open-loop load on the boxes: latency counts from the time a request was
- * meant to be sent, and each answer is checked against its own request.
+ * Generates an open-loop load on the boxes.  Latency is measured from the time
+ * at which a request was scheduled to be sent.  Each response is checked to
+ * belong to its own request.
  */
 class Load
 {
@@ -206,13 +222,17 @@
 	~Load();
 
 	void start();
-	void stop(); /* no new requests; those under way go on */
+	void stop(); /* no new requests; those in flight continue */
 	bool drained() const;
 	std::vector<Outcome> outcomes;
-	std::function<bool(size_t)> target_up; /* the platform's balancer */
-	/* Spin to send at the very time; libuv's timers count in ms. */
+	std::function<bool(size_t)>
+	    target_up; /* whether the platform's balancer uses a box */
+	/*
+	 * Busy-wait to send at the exact time, since libuv's timers have a
+	 * resolution of one millisecond.
+	 */
 	bool spin = false;
-	/* Change the rate of a stream while it runs. */
+	/* Changes the rate of a stream while the load runs. */
 	void rate(size_t stream, double);
 
 	/* Latencies of a class, sorted; failed requests count as failed_ms. */
@@ -225,7 +245,7 @@
 	std::unique_ptr<Impl> impl;
 };
 
-/* Check the promises that hold whatever happened; returns violations. */
+/* Checks guarantees that hold under every fault; returns violations. */
 std::vector<std::string> violations(
     const std::vector<Outcome> &, const std::map<std::string, int> &runs);
 
--- a/regress/fleet_http.cpp
+++ b/regress/fleet_http.cpp
@@ -179,7 +179,7 @@
 	rq.headers = c->list.data();
 	rq.nheaders = c->list.size();
 	rq.connect_timeout_ns = NS_S;
-	/* What must not repeat is sent on a connection of its own. */
+	/* A request that must not be repeated is sent on a new connection. */
 	rq.new_connection = method != "GET";
 	tmr_set(&net().tmr, &c->timer,
 	    clk_ns(clk_system()) + timeout_ms * NS_MS, on_timeout, c);
--- a/regress/net.h
+++ b/regress/net.h
@@ -18,18 +18,18 @@
 #include <unistd.h>
 
 /*
- * Addresses for the listeners of a test: no other test, run or program has
- * them, whatever runs beside it.
+ * Allocates addresses for the listeners of a test that no other test, run or
+ * program uses at the same time.
  *
- * A process takes nets of 250 addresses each in 127/8 for itself, by a socket
- * that it keeps bound in each.  Connections go out from 127.0.0.1, so that
- * their ports take none from a listener there.
+ * A process reserves networks of 250 addresses each in 127/8 by keeping a
+ * socket bound in each of them.  Outgoing connections come from 127.0.0.1, so
+ * their ports cannot collide with those of a listener in a reserved network.
  */
 namespace net
 {
 
-constexpr int HOSTS = 250; /* addresses of one net that are given out */
-/* Nets are 127.64.0 to 127.255.254; below these are addresses for all. */
+constexpr int HOSTS = 250; /* addresses allocated from one network */
+/* Networks 127.64.0 to 127.255.254; lower addresses are not reserved. */
 constexpr unsigned NETS = 192 * 255, FIRST = 64;
 constexpr uint16_t GUARD_PORT = 4007;
 
@@ -40,7 +40,7 @@
 	    std::to_string(net % 255) + ".";
 }
 
-/* Take a net if nobody has it. */
+/* Reserves a network; returns false if another process has it. */
 inline bool
 take(unsigned net)
 {
@@ -57,7 +57,7 @@
 	return false;
 }
 
-/* A net of this process alone, "127.A.B.". */
+/* Reserves a network for this process; returns its prefix, "127.A.B.". */
 inline std::string
 own()
 {
@@ -73,7 +73,7 @@
 	abort();
 }
 
-/* An address of this process alone, for one listener or a few. */
+/* Returns an address that only this process uses, for its listeners. */
 inline std::string
 own_ip()
 {
--- a/regress/objects.cpp
+++ b/regress/objects.cpp
@@ -45,7 +45,7 @@
 	    1, nullptr, copy.base, copy.len);
 }
 
-/* "/api/objects/KIND[/NAME]", without what is in front of KIND. */
+/* Returns "KIND[/NAME]" of the path "/api/objects/KIND[/NAME]". */
 std::string
 key_of(const h2o_req_t *req)
 {
@@ -99,7 +99,7 @@
 		fn();
 }
 
-/* Do something on the stand-in's thread, and wait until it is done. */
+/* Runs a function on the stand-in's thread and waits until it returns. */
 void
 Objects::in_loop(const std::function<void()> &fn)
 {
@@ -143,7 +143,7 @@
 	answer_watches();
 }
 
-/* A write that changes nothing raises no revision. */
+/* Returns whether a write changes nothing, so that the revision stays. */
 bool
 Objects::is_same(const std::string &kind, const std::string &name, json_t *spec)
 {
@@ -260,7 +260,7 @@
 	return list;
 }
 
-/* The newest revision that a stale answer knows of. */
+/* Returns the newest revision that a stale response includes. */
 uint64_t
 Objects::rev_of_copy() const
 {
@@ -275,7 +275,7 @@
 	return known;
 }
 
-/* What a stale list tells. */
+/* Returns the objects of a stale list. */
 std::map<std::string, json_t *>
 Objects::copy() const
 {
@@ -365,7 +365,7 @@
 	answer_watches();
 }
 
-/* Pages of two, so that following pages is needed with three objects. */
+/* Pages hold two objects, so that three objects already need a second page. */
 void
 Objects::list(h2o_req_t *req, const std::string &kind)
 {
@@ -432,7 +432,7 @@
 	stale_rev = rev;
 }
 
-/* The object that there is, with another status; takes the other over. */
+/* Returns a copy of `old` with the status of `written`, which is released. */
 static json_t *
 with_status(const json_t *old, json_t *written)
 {
@@ -615,7 +615,7 @@
 	hsrv_send_response(w->req, 200, "text/plain", STR_LIT("the answer"));
 }
 
-/* What runs there is cut, and so are the connections at rest. */
+/* Crashes a backend server: cuts its requests and its idle connections. */
 void
 Objects::end(Backend *b)
 {
--- a/regress/objects.h
+++ b/regress/objects.h
@@ -27,8 +27,8 @@
 #include <jansson.h>
 
 /*
- * Stand-in for the users' platform: its store and its backend servers, on one
- * thread with a loop of its own, behind one lock.
+ * Stand-in for the users' platform: its object store and its backend servers.
+ * They run on one thread with its own event loop, protected by one lock.
  */
 class Objects
 {
@@ -42,27 +42,27 @@
 	struct Backend {
 		std::string id, service, address;
 		int pace = 100;
-		int64_t cold_until = 0; /* its health answers tell it */
-		bool refuse = false; /* answer that nothing was run */
-		bool lose = false; /* run, and answer nothing */
-		bool hold = false; /* run, and take for ever */
-		bool fail = false; /* run, and answer 500 */
-		/* What its answers to requests say of it: header and value. */
+		int64_t cold_until = 0; /* reported in health responses */
+		bool refuse = false; /* respond that nothing was executed */
+		bool lose = false; /* execute, and send no response */
+		bool hold = false; /* execute, and never finish */
+		bool fail = false; /* execute, and respond with 500 */
+		/* Headers that its responses carry, with their values. */
 		std::map<std::string, std::string> says;
-		/* When requests that were meant for it came; monotonic ns. */
+		/* When requests addressed to it arrived; monotonic ns. */
 		std::vector<int64_t> came;
 		std::vector<std::string> ran; /* request ids */
-		std::set<Work *> works; /* that it is at */
+		std::set<Work *> works; /* in flight */
 		struct hsrv *srv = nullptr;
 		Objects *owner = nullptr;
 		struct tmr_item back = {};
 	};
 
-	/* A request that a backend server is at. */
+	/* A request that a backend server is executing. */
 	struct Work {
 		h2o_req_t *req;
 		Backend *backend;
-		bool last; /* the backend server ends of it */
+		bool last; /* it makes the backend server crash */
 		struct tmr_item timer;
 	};
 
@@ -70,60 +70,63 @@
 	    const std::string &address);
 	void set(const std::string &id, int pace, bool refuse, bool lose);
 	void hold(const std::string &id);
-	/* It answers all with 500 from now on. */
+	/* Makes it respond to every request with 500 from now on. */
 	void fail(const std::string &id);
-	/* The state that was written to an object's status; empty: none. */
+	/* The state last written to an object's status; empty: none. */
 	std::string status_of(const std::string &kind, const std::string &name);
-	/* Its answers to requests say this from now on; empty: no more. */
+	/* Adds a header to its responses from now on; empty: removes it. */
 	void say(const std::string &id, const std::string &header,
 	    const std::string &value);
-	/* When requests came to it, whether it ran them or not. */
+	/* When requests arrived at it, executed or not; monotonic ns. */
 	std::vector<int64_t> came(const std::string &id);
-	/* It is cold for so long, and says so. */
+	/* Makes it cold for `ms`, which its health responses report. */
 	void chill(const std::string &id, int64_t ms);
 	/*
-	 * From now on a request with this in its path ends each backend server
-	 * that runs it, after a while: its connections break, with all that it
-	 * is at, and nothing listens until it is back.
+	 * From now on a request whose path contains `path` crashes each backend
+	 * server that executes it, after `after_ms`: all its connections and
+	 * requests in flight are cut, and it listens again after `back_ms`.
 	 */
 	void ends_servers(const std::string &path, int after_ms, int back_ms);
-	/* When each backend server ended so far; monotonic ns. */
+	/* When backend servers have crashed so far; monotonic ns. */
 	std::vector<int64_t> ends();
 	size_t ran(const std::string &id);
 	/* The headers with which a request reached a backend server. */
 	std::string headers_of(const std::string &request);
-	/* How often a backend server ran one request. */
+	/* How often a backend server executed one request. */
 	size_t ran_times(const std::string &id, const std::string &request);
 
-	/* Write, or remove, an object of the store. */
+	/* Write or remove an object of the store. */
 	void put(const std::string &kind, const std::string &name,
 	    const std::string &spec);
 	void remove(const std::string &kind, const std::string &name);
-	/* Answer every call with this status; 0: as usual. */
+	/* Answers every call with this HTTP status; 0: normal operation. */
 	void answer_all(int status);
-	/* Forget what changed so far: watches from before get 410. */
+	/* Drops the change history: watches from earlier revisions get 410. */
 	void compact();
 	/*
-	 * Watches that wait hear of nothing; when that ends the history is
-	 * gone, and they are broken off.
+	 * While on, pending watches receive no events; when switched off, the
+	 * history is dropped and pending watches are cut off.
 	 */
 	void deafen(bool);
-	/* Break off all watches that wait. */
+	/* Cuts off all pending watches. */
 	void cut_watches();
-	/* Answer no call of the store at all, or again. */
+	/* Stops or resumes answering calls of the store. */
 	void hang(bool);
 	/*
-	 * The same, and what the calls that wait are owed meanwhile is lost:
-	 * their connections stay open and say nothing more.
+	 * The same, and the responses to pending calls are lost meanwhile:
+	 * their connections stay open, but carry nothing more.
 	 */
 	void silence(bool);
-	/* How many calls were left without an answer. */
+	/* How many calls got no response. */
 	size_t hung();
-	/* From now on stale lists tell what there is now. */
+	/* Freezes the state that stale lists return at the current one. */
 	void keep_stale();
-	/* Answers that may be stale tell what there was so long ago. */
+	/* Responses that may be stale return the state of `ms` ago. */
 	void lag(int ms);
-	/* Calls of the store, and watches that do not wait, beside them. */
+	/*
+	 * Counts of the calls of the store and, separately, of the watches
+	 * that return at once.
+	 */
 	size_t calls();
 	size_t looks();
 
@@ -142,7 +145,7 @@
 		uint64_t since;
 		struct tmr_item timer;
 		Objects *owner;
-		bool copy; /* a stale answer will do */
+		bool copy; /* accepts a stale response */
 	};
 
 	static void on_worked(void *);
@@ -180,14 +183,14 @@
 	std::mutex lock;
 	std::vector<std::function<void()>> todo;
 	std::map<std::string, json_t *> objects; /* "kind/name" */
-	std::map<std::string, json_t *> stale; /* the same, as it was once */
-	uint64_t stale_rev = 0; /* 0: stale lists are fresh */
-	std::vector<Event> history, log; /* since it was compacted, and all */
+	std::map<std::string, json_t *> stale; /* frozen copy for stale lists */
+	uint64_t stale_rev = 0; /* 0: stale lists are current */
+	std::vector<Event> history, log; /* since compaction; all */
 	int lag_ms = 0;
 	std::set<Waiter *> waiters;
 	std::map<std::string, std::unique_ptr<Backend>> backends;
-	std::map<std::string, std::string> heard; /* headers, by request */
-	std::string ending; /* in the path of what ends backend servers */
+	std::map<std::string, std::string> heard; /* headers by request id */
+	std::string ending; /* path part of requests that crash servers */
 	int ends_after_ms = 0, back_after_ms = 0;
 	std::vector<int64_t> ended;
 	uint64_t rev = 1, kept = 0;
