--- a/regress/load.cpp
+++ b/regress/load.cpp
@@ -23,18 +23,18 @@
 
 constexpr int RETRIES = 2;
 constexpr double LATE_WORTH = 0.1;
-/* What one gets in a second, */
+/* Requests per second to a cold backend server, */
 constexpr double COLD_RATE = 3.75;
-/* and at once: both as the product's gate sets them. */
+/* and their burst: both as the product's gate sets them. */
 constexpr double COLD_BURST = 4;
-/* Requests in a second that a cold backend server bears, and how long not. */
+/* Requests/s above which a cold server fails, and how long it is down then. */
 constexpr size_t COLD_BEARS = 11;
 constexpr int64_t FALLEN_NS = 2 * NS_S;
-/* As the gate gives up a connection, and a question. */
+/* The gate's timeouts of a connection attempt and of a load query. */
 constexpr int64_t CONNECT_NS = 300 * NS_MS, PEEK_NS = 60 * NS_MS;
-/* A backend server is cold for so long. */
+/* How long a backend server is cold. */
 constexpr int64_t COLD_NS = 3 * NS_S;
-/* A caller that was given no time comes back after this, as would a refused. */
+/* Shortest time after which a caller retries. */
 constexpr int64_t NO_WORD_NS = 10 * NS_MS;
 
 double
@@ -43,7 +43,8 @@
 	return static_cast<double>(rnd_split(seed) >> 11) * 0x1p-53;
 }
 
-/* A number in 0 to 1 that depends on its arguments only. */
+/* Returns a pseudo-random number in 0 to 1 that depends only on the arguments.
+ */
 double
 noise(uint64_t seed, uint64_t a, uint64_t b)
 {
@@ -54,15 +55,15 @@
 	return unit(&s);
 }
 
-/* One caller's wish, whatever it takes to fulfil it. */
+/* One caller's request, over all its attempts. */
 struct Wish {
 	int64_t at;
 	int hall;
 	const Kind *kind;
 	int64_t work;
-	int64_t leaves = INT64_MAX; /* its caller goes away then */
-	bool insists = false; /* it comes back at once */
-	int copies = 0; /* sent beside it, at once, and worth nothing */
+	int64_t leaves = INT64_MAX; /* when its caller leaves */
+	bool insists = false; /* the caller retries at once */
+	int copies = 0; /* duplicates sent at once, worth nothing */
 };
 
 struct Server {
@@ -71,12 +72,12 @@
 	int running = 0, queued = 0;
 	bool gone = false;
 	int64_t cold_until = 0;
-	std::deque<int64_t> cold_got; /* requests of the last second */
-	int64_t down_until = 0; /* it fell over */
-	struct cold bucket = {}; /* the reference's */
+	std::deque<int64_t> cold_got; /* arrivals in the last second */
+	int64_t down_until = 0; /* after a failure from overload */
+	struct cold bucket = {}; /* used by the reference */
 };
 
-/* What is common to both: the world around the dispatchers. */
+/* The simulated environment, common to the product and the reference. */
 struct World {
 	const Setting &set;
 	const Pattern &pat;
@@ -126,7 +127,7 @@
 		now = end;
 	}
 
-	/* A cold one that gets far more than it bears is down for a while. */
+	/* A cold server that gets more than COLD_BEARS requests/s goes down. */
 	void count_cold(Server *v)
 	{
 		auto &got = v->cold_got;
@@ -143,7 +144,7 @@
 		fell_over++;
 	}
 
-	/* All that were down are back, and cold. */
+	/* Makes the servers that the event affects cold. */
 	void chill(const Event &e)
 	{
 		for (auto &v : servers)
@@ -154,7 +155,7 @@
 				v->bucket = {};
 	}
 
-	/* Of all servers, is this one in the share that an event hits? */
+	/* Returns whether the event affects this server. */
 	bool hit(const Event &e, const Server &v) const
 	{
 		return (e.hall < 0 || e.hall == v.hall) &&
@@ -167,7 +168,7 @@
 		return t >= e.from_ms * NS_MS && t < e.to_ms * NS_MS;
 	}
 
-	/* The time that work takes there now against the usual, in percent. */
+	/* Returns the server's latency factor now, in percent. */
 	int pace(const Server &v) const
 	{
 		int64_t spell = set.spell_ms * NS_MS;
@@ -181,7 +182,7 @@
 		return static_cast<int>(100 * x);
 	}
 
-	/* What it does not tell: how full, cold or slow it is. */
+	/* Returns the slowdown that the server does not report. */
 	double hidden(const Server &v) const
 	{
 		double x = now < v.cold_until ? 2 : 1;
@@ -216,7 +217,7 @@
 		return false;
 	}
 
-	/* How long a try at one that is down takes. */
+	/* Returns how long an attempt at a server that is down takes. */
 	int64_t gives_up(const Server &v) const
 	{
 		for (auto &e : pat.events)
@@ -250,7 +251,7 @@
 		return &set.kinds.back();
 	}
 
-	/* How a caller behaves that comes while an event is on. */
+	/* Sets the caller's behaviour by the events at its arrival time. */
 	void behave(Wish *w, uint64_t *seed) const
 	{
 		for (auto &e : pat.events) {
@@ -297,7 +298,8 @@
 		    [](const Wish &a, const Wish &b) { return a.at < b.at; });
 	}
 
-	/* A wish has come to its end; those whose caller left are not owed. */
+	/* Counts a finished request, unless unserved because its caller left.
+	 */
 	void ended(const Wish &w, bool served)
 	{
 		Count &c = counts[w.kind->name];
@@ -340,7 +342,7 @@
 	}
 };
 
-/* The product's dispatchers. */
+/* The simulation of the product's dispatchers. */
 
 struct Product;
 
@@ -349,10 +351,10 @@
 	Product *p = nullptr;
 	const Wish *wish = nullptr;
 	int home = 0;
-	int left = 0; /* times that it may come back */
-	bool copy = false; /* nobody waits for it */
+	int left = 0; /* remaining retries */
+	bool copy = false; /* a duplicate whose outcome is not counted */
 	int64_t came = 0;
-	uint64_t run = 0; /* the run whose end counts; 0: none */
+	uint64_t run = 0; /* current run, whose end counts; 0: none */
 	bool over = false;
 };
 
@@ -440,7 +442,8 @@
 		end_later(a, ns, DISP_OK, &v);
 	}
 
-	/* A run that was stopped or left goes on, but its end tells nobody. */
+	/* A cancelled run keeps its slot until its end, which is then ignored.
+	 */
 	void end_later(Attempt *a, int64_t ns, enum disp_outcome how, Server *v)
 	{
 		uint64_t run = a->run;
@@ -477,7 +480,7 @@
 			ended(*a->wish, served);
 	}
 
-	/* The caller was told to come back, or that something went wrong. */
+	/* Schedules the caller's retry after a refusal or a failure. */
 	void come_back(Attempt *a, int64_t after)
 	{
 		int64_t end = a->wish->at + a->wish->kind->deadline_ms * NS_MS;
@@ -569,7 +572,7 @@
 		disp_submit(homes[static_cast<size_t>(a->home)]->disp, &a->d);
 	}
 
-	/* Nobody is there: the caller tries a connection each half second. */
+	/* No owner is reachable: the caller retries every half second. */
 	void lost(const Wish *w, int left, bool copy)
 	{
 		if (copy)
@@ -670,7 +673,7 @@
 		    h->disp, v.data(), static_cast<unsigned>(v.size()));
 	}
 
-	/* The home is lost with all that it knew and held. */
+	/* An owner is lost with its state and all its requests. */
 	void lose_home(Home *h)
 	{
 		std::vector<Attempt *> its;
@@ -728,7 +731,7 @@
 		in(10 * NS_MS, [this] { tick(); });
 	}
 
-	/* A share of the servers leaves at once, or one after the other. */
+	/* A share of the servers leaves at once, or is replaced one by one. */
 	void replace(const Event &e, bool with_new)
 	{
 		int64_t gap = 0, at = 0;
@@ -753,7 +756,7 @@
 		}
 	}
 
-	/* All homes hear of it; what returns is cold for a while. */
+	/* Reports an evacuation to all owners; with x 2 servers return cold. */
 	void tell_evacuation(const Event &e, bool begins)
 	{
 		const std::string &hall =
@@ -844,15 +847,15 @@
 	}
 };
 
-/* One dispatcher that knows all, at each moment. */
+/* The reference: one dispatcher with complete, current information. */
 
 struct Reference : World {
 	std::vector<const Wish *> waiting;
-	std::map<const Wish *, uint64_t> out; /* to the run that counts */
+	std::map<const Wish *, uint64_t> out; /* current run; 0: none */
 	uint64_t runs = 0;
 	bool dark = false;
 
-	/* What a wish is worth for each moment that it takes a slot. */
+	/* Returns the worth of a request per unit of service time. */
 	static double density(const Wish *w)
 	{
 		return w->kind->worth / static_cast<double>(w->work);
@@ -865,7 +868,7 @@
 		    w->at + w->kind->target_ms * NS_MS;
 	}
 
-	/* A cold server gets no more than the product may send it. */
+	/* Applies the product's rate limit for cold servers. */
 	bool may_get(Server *v) const
 	{
 		struct cold_limit bound = {pat.cold_rate, COLD_BURST, COLD_NS};
@@ -875,7 +878,7 @@
 		return cold_can_send(&v->bucket, &bound, now);
 	}
 
-	/* The free server that would do it soonest; NULL: none. */
+	/* Returns the fastest free server and its slowdown; NULL: none. */
 	Server *best_server(double *x)
 	{
 		int most =
@@ -897,7 +900,7 @@
 		return best;
 	}
 
-	/* Of those that can be in time the one that is worth most. */
+	/* Returns the request with the highest density that can be in time. */
 	std::vector<const Wish *>::iterator choose(double x)
 	{
 		auto best = waiting.end();
@@ -939,7 +942,7 @@
 		while (!waiting.empty() && (v = best_server(&x)) != nullptr) {
 			auto it = choose(x);
 
-			/* A slow place waits for better times. */
+			/* Do not start a late request on a slow server. */
 			if (it == waiting.end() && x > 1.5)
 				return;
 			if (it == waiting.end())
@@ -968,7 +971,7 @@
 		    });
 	}
 
-	/* What is under way is lost, and its callers come again. */
+	/* All requests in flight are lost and wait again. */
 	void darken()
 	{
 		dark = true;
