--- a/regress/box.h
+++ b/regress/box.h
@@ -18,7 +18,7 @@
 #include "net.h"
 #include "objects.h"
 
-/* One fernbox on the users' platform, with two services of its own. */
+/* Test fixture: one fernbox on the stand-in platform, with two services. */
 namespace box
 {
 
@@ -62,7 +62,7 @@
 	return text;
 }
 
-/* An address on which something else listens. */
+/* Occupies a port of an address with another listener. */
 struct Taken {
 	std::string ip;
 	int fd;
@@ -86,14 +86,14 @@
 	}
 };
 
-/* A box, its platform, and two services of two backend servers each. */
+/* A box, its platform, and two services with two backend servers each. */
 struct World {
-	std::string ip; /* of its own: the stand-ins keep theirs */
-	std::string dir, file;
-	std::string of_gate; /* settings of the gate beside the usual ones */
 	std::string
-	    of_bounds; /* bounds of the platform beside the usual ones */
-	std::string of_agent; /* the same of its agent */
+	    ip; /* not shared with other tests: the stand-ins hold ports */
+	std::string dir, file;
+	std::string of_gate; /* additional settings of the gate */
+	std::string of_bounds; /* additional bounds of the platform */
+	std::string of_agent; /* additional settings of the agent */
 	Objects platform{ip + ":9000"};
 	Process box;
 
@@ -153,10 +153,11 @@
 			"\",\"slots\":3,\"state\":\"" + state + "\"}");
 	}
 
-	/* More of each service's and of each route's spec. */
+	/* Additional members of each service's and each route's spec. */
 	std::string of_service, of_route;
 
-	/* One rule for each kind of request, both to one service. */
+	/* Writes one route for safe and one for unsafe requests to a service.
+	 */
 	void configure(const std::string &service, const std::string &more = "")
 	{
 		std::string route = R"({"resourceType":"routes",
@@ -198,7 +199,10 @@
 			   .status == 200;
 	}
 
-	/* Does it know of so many boxes that serve?  Homes have moved then. */
+	/*
+	 * Returns whether the box counts so many serving boxes; the owners of
+	 * shards have moved by then.
+	 */
 	bool knows(int boxes)
 	{
 		return http("GET", ip + ":8280", "/metrics", {}, "", 500)
@@ -206,7 +210,7 @@
 			       "\n") != std::string::npos;
 	}
 
-	/* Is an object in the store? */
+	/* Returns whether an object is in the store. */
 	bool has(const std::string &kind, const std::string &name)
 	{
 		return http("GET", ip + ":9000",
@@ -220,7 +224,10 @@
 		return box.read_log().find(text) != std::string::npos;
 	}
 
-	/* How many versions of an object have come into force since a start. */
+	/*
+	 * Returns how many versions of an object have come into force since
+	 * the gate last started.
+	 */
 	size_t in_force(const std::string &key)
 	{
 		std::string log = box.read_log();
@@ -244,7 +251,7 @@
 	}
 };
 
-/* A further box on the same address; `digit` begins its ports. */
+/* Another box on the same address; its ports start with `digit`. */
 struct Further {
 	std::string address, file;
 	Process box;
@@ -276,7 +283,7 @@
 		unlink(file.c_str());
 	}
 
-	/* Whom it asks where the platform does not answer. */
+	/* Sets the seed box to use while the platform does not respond. */
 	void seed(const std::string &inbox) const
 	{
 		std::ifstream in(file);
--- a/regress/demo.cpp
+++ b/regress/demo.cpp
@@ -9,8 +9,9 @@
  * WITH REGARD TO THIS SOFTWARE.  See LICENSE for the whole text.
  */
 /*
- * The main job in a minute: three boxes, ten backend servers, traffic, a
- * rule added and a backend server drained while it runs: make demo.
+ * Demonstrates the main functions in a minute: three boxes, ten backend
+ * servers and traffic, with a rule added and a backend server drained at run
+ * time: make demo.
  */
 #include <cstdio>
 #include <fstream>
@@ -81,7 +82,7 @@
 	pay.keyed = true;
 	Load load({f.boxes[0].listen, f.boxes[1].listen, f.boxes[2].listen},
 	    {read, pay}, 1);
-	/* The platform's balancer leaves out a box that is not ready. */
+	/* The platform's load balancer skips boxes that are not ready. */
 	std::vector<bool> in(3, true);
 	load.target_up = [&](size_t i) {
 		return in[i];
--- a/regress/load.cpp
+++ b/regress/load.cpp
@@ -34,7 +34,7 @@
 constexpr int64_t CONNECT_NS = 300 * NS_MS, PEEK_NS = 60 * NS_MS;
 /* How long a backend server is cold. */
 constexpr int64_t COLD_NS = 3 * NS_S;
-/* Shortest time after which a caller retries. */
+/* Delay of a retry without Retry-After, and the shortest delay of any retry. */
 constexpr int64_t NO_WORD_NS = 10 * NS_MS;
 
 double
@@ -942,7 +942,10 @@
 		while (!waiting.empty() && (v = best_server(&x)) != nullptr) {
 			auto it = choose(x);
 
-			/* Do not start a late request on a slow server. */
+			/*
+			 * If no request can be in time, a slow server is left
+			 * free until it is faster.
+			 */
 			if (it == waiting.end() && x > 1.5)
 				return;
 			if (it == waiting.end())
--- a/regress/soak.cpp
+++ b/regress/soak.cpp
@@ -9,8 +9,9 @@
  * WITH REGARD TO THIS SOFTWARE.  See LICENSE for the whole text.
  */
 /*
- * Random faults under mixed load for some minutes, from a printed seed:
- * make soak MINUTES=n.  Ends with counts of requests, faults, violations.
+ * Injects random faults under a mixed load for some minutes, from a printed
+ * seed: make soak MINUTES=n.  Prints counts of requests, faults and violations
+ * at the end.
  */
 #include <csignal>
 #include <cstdio>
--- a/regress/soak_box.cpp
+++ b/regress/soak_box.cpp
@@ -9,18 +9,20 @@
  * WITH REGARD TO THIS SOFTWARE.  See LICENSE for the whole text.
  */
 /*
- * The users' platform under random faults, from a printed seed: boxes as
- * separate processes, the store and backend servers behind fault proxies,
- * signals, a store that refuses, forgets or is stale, configurations that
- * change.  Faults come in series and overlap.  The promises are checked from
- * what callers and backend servers see.
+ * Tests boxes on the users' platform under random faults, from a printed seed.
+ * Boxes are separate processes; the store and the backend servers are behind
+ * proxies that inject faults.  Further faults are signals and a store that
+ * refuses calls, drops its history or is stale.  Configurations change
+ * meanwhile.  Faults come in series and overlap.  The guarantees are checked
+ * from what callers and backend servers observe.
  *
  *	soak_box SECONDS [SEED [BOXES]]
  *
- * With a number of boxes these are as deployed: two of each hall are strong.
- * Stale answers lag, a change comes each quarter of a second also amid faults,
- * and all strong boxes, or all boxes, are lost at once.  Boxes in touch are
- * asked all the while which version is in force.
+ * With a number of boxes the setup is as deployed: two boxes of each hall are
+ * strong.  Stale responses lag, the configuration changes every quarter of a
+ * second, also during faults, and all strong boxes, or all boxes, are lost at
+ * once.  Boxes that no fault separates are continuously checked for the version
+ * in force.
  */
 #include <array>
 #include <csignal>
@@ -40,24 +42,36 @@
 {
 
 enum { FEW = 4, BACKENDS = 8, SLOTS = 3, DEADLINE_MS = 800 };
-/* Strong boxes of a hall; configurations whose routes stay in later ones. */
+/*
+ * Strong boxes per hall; number of earlier configurations whose routes are kept
+ * in later ones; every THIRD-th box has its own proxy to the store.
+ */
 enum { STRONG = 2, KEPT = 60, THIRD = 3 };
 
 /*
- * The operators' bounds, in ms: boxes are in touch once all has been calm for
- * so long, and a change that was acknowledged holds there so long after.
+ * The operators' bounds, in ms: time without faults after which a box counts as
+ * connected, and time within which an acknowledged change is in force there.
  */
 const double CONTACT = 3000, APPLY = 2000;
-/* What a box has handed on binds it so long after, and limits such spans. */
+/*
+ * In ms: time after which a server's report must be respected by all boxes, and
+ * the period over which a reported rate limit is checked.
+ */
 const double TOLD = 500, SPAN = 4000;
-/* Between two calm times; changes come this often in them. */
+/* In ms: time between two calm phases; interval of changes in these. */
 const double ROUGH_MS = 4000, CHANGE_MS = 400;
-/* The same with many boxes, and the operators' bound for these. */
+/*
+ * With many boxes, in ms: interval of changes, the operators' bound for them,
+ * and the interval of checks.
+ */
 const double STORM_MS = 250, APPLY_MANY = 2500, TEST_MS = 60;
-/* All are lost so long after a change; stale answers are up to so old. */
+/*
+ * In ms: when all boxes are lost after a change; greatest age of stale
+ * responses.
+ */
 const int LOST_AFTER_MS[] = {5, 400}, LAG_MAX_MS = 5000;
 
-/* What a caller saw of one request. */
+/* One request as its caller observed it. */
 struct Seen {
 	std::string id;
 	bool unsafe = false;
@@ -66,7 +80,7 @@
 	double took_ms = 0;
 };
 
-/* Something that is wrong now, and is put right at a time. */
+/* An active fault, and when and how it is ended. */
 struct Trouble {
 	std::string what;
 	double until;
@@ -82,22 +96,22 @@
 	std::vector<Process> boxes;
 	std::vector<std::unique_ptr<Proxy>> backend_proxies;
 	std::unique_ptr<Proxy> store_proxy;
-	std::unique_ptr<Proxy> some_proxy; /* for one box in THIRD */
+	std::unique_ptr<Proxy> some_proxy; /* for every THIRD-th box */
 	std::vector<Trouble> troubles;
 	std::map<std::string, int> faults;
 	std::vector<std::unique_ptr<Seen>> seen;
 	std::array<int, BACKENDS> lives{};
-	int version = 0; /* the newest configuration; each marks itself */
-	int invalid = 0; /* how many were not valid */
-	std::vector<std::string> broken; /* promises of configuration */
-	bool tidy = false; /* nothing was wrong: no logs are kept */
+	int version = 0; /* the newest valid configuration */
+	int invalid = 0; /* minus the number of invalid ones */
+	std::vector<std::string> broken; /* violated guarantees */
+	bool tidy = false; /* no violation, so logs are deleted */
 
-	/* Where there are many boxes. */
+	/* Used with many boxes. */
 	std::mt19937 draw;
 	std::vector<double> changed; /* when each version was acknowledged */
-	std::vector<double> hit; /* when each box was harmed last */
+	std::vector<double> hit; /* when a fault of each box ends or ended */
 	double store_hit = 0, next_change = 0, next_test = 0;
-	int late = 0; /* the newest version that some box was late with */
+	int late = 0; /* newest version that a box applied too late */
 
 	Soak(unsigned seed, int n)
 	    : rng(seed), net(net::own()), store(net + "1:9000"),
@@ -150,7 +164,7 @@
 		return static_cast<size_t>(i);
 	}
 
-	/* In another order than any(), which seeds that are kept go by. */
+	/* Separate from any(), so that kept seeds give the same faults. */
 	int drawn(int from, int to)
 	{
 		return from +
@@ -164,7 +178,7 @@
 			p.start();
 	}
 
-	/* The platform may turn these away and serve the rest. */
+	/* Boxes that the platform may refuse while it serves the others. */
 	bool is_some(int box) const
 	{
 		return many && box % THIRD == 0;
@@ -256,12 +270,12 @@
 				   std::string(is_strong(box) ? "0.5" : "0.1")
 			     : "2")
 		    << "\n"
-		    /* As deployed: as few calls as can be. */
+		    /* As deployed: as few calls of the store as possible. */
 		    << "gather_ms = 600\nboxes_ms = 15000\n"
 		    << "status_ms = 3600000\nstatus_by = \"hubs\"\n";
 	}
 
-	/* Each life of a backend server has its own start. */
+	/* Each incarnation of a backend server has its own start time. */
 	void enter(int i, const std::string &state)
 	{
 		store.put("servers", "i-" + std::to_string(i),
@@ -283,7 +297,7 @@
 		    R"("priority":1,"maxAttempts":2)" + to + "}},";
 	}
 
-	/* The routes by which earlier ones named themselves. */
+	/* Returns the routes that identify earlier configurations. */
 	std::string kept(int own) const
 	{
 		std::string text;
@@ -295,9 +309,9 @@
 	}
 
 	/*
-	 * A configuration names itself by a route that no other one has, but
-	 * for later ones where there are many boxes.  One that is not valid
-	 * does so too, by a route that leads nowhere.
+	 * Writes a configuration.  Each has a route that identifies it, which
+	 * only later configurations repeat, and only with many boxes.  An
+	 * invalid one also has a route without a service.
 	 */
 	void configure(bool valid = true)
 	{
@@ -321,7 +335,11 @@
 			changed.push_back(now_ms());
 	}
 
-	/* Does a box go by a configuration?  One that is busy does not tell. */
+	/*
+	 * Requests the route that identifies a configuration: 200 if it is in
+	 * force at the box, 404 if not.  Any other status, as from a busy box,
+	 * says nothing about it.
+	 */
 	int status_of(int box, int configuration)
 	{
 		return http("GET", ip(box) + ":8080",
@@ -346,7 +364,7 @@
 		    std::to_string(status));
 	}
 
-	/* The newest version that must be in force by now; 0: none. */
+	/* Returns the newest version that must be in force now; 0: none. */
 	int due() const
 	{
 		int v = version;
@@ -363,7 +381,7 @@
 		return boxes[at(box)].running() && now_ms() - since >= CONTACT;
 	}
 
-	/* Changes go on, and some box that is in touch is asked for them. */
+	/* Makes the next change and checks one connected box for changes. */
 	void storm()
 	{
 		int box = drawn(0, nboxes - 1), v;
@@ -376,7 +394,7 @@
 			return;
 		next_test = now_ms() + TEST_MS;
 		v = due();
-		/* One case for each version. */
+		/* Each late version is recorded only once. */
 		if (v <= late || v <= version - KEPT)
 			return;
 		size_t before = broken.size();
@@ -385,7 +403,7 @@
 			late = v;
 	}
 
-	/* Harm some boxes at once; `how` does it, and `mend` ends it. */
+	/* Injects a fault into several boxes: `how` starts, `mend` ends it. */
 	void harm(const std::string &what, double ms, bool strong_only,
 	    const std::function<void(Process &)> &how,
 	    const std::function<void(Process &)> &mend)
@@ -409,7 +427,7 @@
 		    [each, mend] { each(mend, now_ms()); });
 	}
 
-	/* All strong boxes are gone for a while. */
+	/* Makes all strong boxes unavailable for `ms`. */
 	void lose_strong(double ms)
 	{
 		if (drawn(0, 1) == 0)
@@ -484,7 +502,10 @@
 		}
 	}
 
-	/* All watch; then nobody hears, and what they are owed is lost. */
+	/*
+	 * Makes the store silent after all boxes watch it, so that responses to
+	 * their watches are lost.
+	 */
 	void last_silence()
 	{
 		configure();
@@ -500,9 +521,9 @@
 	}
 
 	/*
-	 * All is mended, at times but for a last silence, and changes go on;
-	 * then each box goes by the newest one, and by no older one and none
-	 * that is not valid.
+	 * Ends all faults, in half of the cases followed by a silence of the
+	 * store, while changes go on.  Then each box must use the newest
+	 * configuration, and no older or invalid one.
 	 */
 	void calm()
 	{
@@ -533,7 +554,7 @@
 		}
 	}
 
-	/* Requests that came to a backend server in a span. */
+	/* Counts the requests that a backend server got in a period, in ms. */
 	size_t came(const std::string &id, double from, double to)
 	{
 		size_t n = 0;
@@ -546,7 +567,10 @@
 		return n;
 	}
 
-	/* Have traffic until one comes; false if its home prefers others. */
+	/*
+	 * Sends traffic until a request reaches the server.  Returns false if
+	 * none does within SPAN, as its owner prefers other servers.
+	 */
 	bool tell(const std::string &id)
 	{
 		double from = now_ms();
@@ -560,9 +584,10 @@
 	}
 
 	/*
-	 * What may happen to a box that has heard what one said.  True if it
-	 * starts again: it knows nothing, and sends what its slots allow until
-	 * an answer or another box tells it.
+	 * Injects a fault into a box that has received a server's report.
+	 * Returns true if the box restarts: it has then lost the report and
+	 * sends as many requests as there are slots, until a response or
+	 * another box informs it.
 	 */
 	bool lose_a_box()
 	{
@@ -604,7 +629,8 @@
 		    " ms, allowed " + std::to_string(most));
 	}
 
-	/* Does it hold what one said, until now?  Boxes know since `told`. */
+	/* Checks that a report, known to all boxes since `told`, is respected.
+	 */
 	void check_word(int kind, const std::string &id, double told, int value,
 	    bool restarted)
 	{
@@ -622,8 +648,10 @@
 	}
 
 	/*
-	 * One says something of itself, and it holds: what boxes heard half a
-	 * second before or earlier, over all boxes, whatever happens to one.
+	 * Makes a backend server report that it leaves, a rate limit or a
+	 * Retry-After pause.  From half a second after the first box received
+	 * the report, all boxes together must respect it, whatever fault one
+	 * box has.
 	 */
 	void word()
 	{
@@ -680,7 +708,7 @@
 		    });
 	}
 
-	/* Requests at a steady pace for some time, mending what is due. */
+	/* Sends requests at a steady rate for `ms` and ends expired faults. */
 	void traffic(double ms)
 	{
 		double end = now_ms() + ms;
@@ -701,7 +729,7 @@
 		}
 	}
 
-	/* Whom something takes out of touch, until it is over. */
+	/* Records which box, or the store, a fault affects, and until when. */
 	void note_hit(const std::string &what, double until)
 	{
 		size_t box = what.find(" box");
@@ -715,7 +743,7 @@
 		}
 	}
 
-	/* One thing goes wrong, unless the same is wrong already. */
+	/* Starts a fault, unless the same one is active already. */
 	void trouble(const std::string &what, double ms,
 	    const std::function<void()> &cause, std::function<void()> mend)
 	{
@@ -858,7 +886,7 @@
 		}
 	}
 
-	/* All is mended; each box must serve again. */
+	/* Ends all faults; returns whether every box serves again in time. */
 	bool heals()
 	{
 		for (auto &t : troubles) {
@@ -876,7 +904,8 @@
 		    8000);
 	}
 
-	/* Why a box does not serve: its process, or what it says. */
+	/* Prints for each box whether its process runs and whether it is ready.
+	 */
 	void tell_boxes()
 	{
 		for (int i = 0; i < nboxes; i++) {
@@ -903,7 +932,7 @@
 		return n;
 	}
 
-	/* What is wrong about a request; empty if nothing is. */
+	/* Returns which guarantee a request violates; empty: none. */
 	std::string violation(const Seen &s)
 	{
 		static const int promises[] = {408, 421, 429, 503};
--- a/regress/standin_backend.c
+++ b/regress/standin_backend.c
@@ -9,20 +9,21 @@
  * WITH REGARD TO THIS SOFTWARE.  See LICENSE for the whole text.
  */
 /*
- * Stand-in for a backend server: slots, a queue or shedding, service times,
- * slow spells, drain, and a journal of what it ran, written through to a
- * file so that it outlives a kill.
+ * Stand-in for a backend server with slots, a queue or load shedding, service
+ * times, slow periods and drain.  It writes a journal of the requests that it
+ * executed directly to a file, so that the journal survives SIGKILL.
  *
  *	standin_backend ADDRESS JOURNAL [KEY=VALUE ...]
- *	POST /standin/set?KEY=VALUE&...	the same keys, while it runs
+ *	POST /standin/set?KEY=VALUE&...	change the same keys at run time
  *	GET /standin/counts
  *
  * Keys: slots, shed (0|1), ms (mean service time), spread (0: fixed, 1:
- * exponential), slow (factor), spell_every and spell_ms (random slow spells
- * by themselves), fail (0|1: 500 at once), refuse (0|1: 503 with Fern-Ran:
- * no), drain (0|1), sick (0|1: health fails), lie (0|1: health always well),
- * cut (bytes after which an answer breaks off), cold (requests that take
- * five times as long at first), chunked (0|1: no Content-Length).
+ * exponential), slow (factor), spell_every and spell_ms (mean interval and
+ * length of random slow periods, in ms), fail (0|1: 500 at once), refuse (0|1:
+ * 503 with Fern-Ran: no), drain (0|1), sick (0|1: health checks fail), lie
+ * (0|1: health checks always pass), cut (bytes after which a response is cut
+ * off), cold (number of first requests that take five times as long), chunked
+ * (0|1: no Content-Length).
  */
 #include <fcntl.h>
 #include <math.h>
@@ -60,14 +61,14 @@
 
 enum { CHUNK = 65536, SPELL_SLOW = 10, COLD_SLOW = 5 };
 
-/* One request, until h2o lets go of it. */
+/* One request; freed when h2o disposes of it. */
 struct work {
 	h2o_req_t *req;
 	h2o_generator_t gen;
 	struct tmr_item timer;
 	bool queued, running;
 	uint64_t size, sent, ms;
-	char *chunk; /* the bytes under way */
+	char *chunk; /* the bytes being sent */
 	GList link;
 	char id[64];
 };
@@ -106,7 +107,7 @@
 	start_next();
 }
 
-/* Ends unanswered where its caller has gone away. */
+/* Releases a request, also one whose caller went away before a response. */
 static void
 on_dispose(void *p)
 {
@@ -143,7 +144,7 @@
 	hsrv_send_response(w->req, status, "text/plain", str_c("refused\n"));
 }
 
-/* The journal's line is written before any work is done. */
+/* Records a request in the journal, before its work starts. */
 static void
 note_run(struct work *w)
 {
@@ -155,7 +156,7 @@
 		abort();
 }
 
-/* Answers are the request's id again and again, so that a mix-up shows. */
+/* Bodies repeat the request's id, so that mixed-up responses are detected. */
 static void
 on_proceed(h2o_generator_t *gen, h2o_req_t *req)
 {
@@ -344,8 +345,7 @@
 		take(req);
 }
 
-/* Slow spells come and go by themselves, at random; the first is not at once.
- */
+/* Toggles random slow periods; the first one does not start immediately. */
 static void
 on_spell(void *ctx)
 {
--- a/regress/standin_platform.c
+++ b/regress/standin_platform.c
@@ -10,11 +10,11 @@
  */
 /*
  * Stand-in for the platform's object API, as fernplatform(7) describes it,
- * with faults that can be switched while it runs:
+ * with faults that can be switched on and off at run time:
  *
  *	POST /standin/set?mode=up|down|lost|hang&slow_ms=N&skip=0|1&repeat=0|1
- *	POST /standin/boxes	a JSON document for GET /v1/boxes
- *	GET /standin/counts	calls by kind since the start
+ *	POST /standin/boxes	set the JSON document for GET /v1/boxes
+ *	GET /standin/counts	counts of calls by kind since the start
  */
 #include <jansson.h>
 #include <signal.h>
@@ -28,9 +28,9 @@
 
 static const char *const mode_names[] = {"up", "down", "lost", "hang"};
 
-/* A watch that waits, or an answer that is held back. */
+/* A pending watch, or a delayed response. */
 struct waiter {
-	h2o_req_t *req; /* NULL once it is gone */
+	h2o_req_t *req; /* NULL after h2o has disposed of it */
 	uint64_t since;
 	char **kinds;
 	struct tmr_item timer;
@@ -46,7 +46,7 @@
 	enum mode mode;
 	int64_t slow_ms;
 	bool skip, repeat;
-	uint64_t skipped; /* watches tell nothing up to this revision */
+	uint64_t skipped; /* watches omit changes up to this revision */
 	GPtrArray *watches; /* struct waiter * */
 	json_t *boxes;
 	uint64_t reads, writes, waits;
@@ -55,7 +55,7 @@
 static void on_request(void *, h2o_req_t *);
 static void answer(h2o_req_t *, int, json_t *);
 
-/* h2o lets go of a request that waits: forget it. */
+/* Frees a waiter when h2o disposes of its request. */
 static void
 on_dispose(void *p)
 {
@@ -97,7 +97,7 @@
 	send_json(w->req, w->status, json_incref(w->answer));
 }
 
-/* Answer now, or as late as the platform is slow, or never. */
+/* Sends a response, after the configured delay if there is one. */
 static void
 answer(h2o_req_t *req, int status, json_t *body)
 {
@@ -198,7 +198,7 @@
 	g_ptr_array_add(st.watches, w);
 }
 
-/* A change wakes the watches, unless the stand-in is told to skip it. */
+/* Completes the watches of a changed object, unless `skip` is set. */
 static void
 wake(const json_t *changed)
 {
@@ -237,7 +237,10 @@
 	return (uint64_t)json_integer_value(json_object_get(o, "version"));
 }
 
-/* Do the condition's headers hold?  Sends the refusal if not. */
+/*
+ * Returns whether the If-Match or If-None-Match condition holds; sends a 412
+ * response if not.
+ */
 static bool
 condition(h2o_req_t *req, json_t *old)
 {
@@ -275,7 +278,7 @@
 		json_object_set(o, "change", json_object_get(body, "change"));
 		g_hash_table_insert(st.objects, g_strdup(key), o);
 		if (st.mode == MODE_LOST)
-			waiter_new(req); /* it took effect; no answer comes */
+			waiter_new(req); /* stored, but no response */
 		else
 			answer(req, 200,
 			    json_pack("{s:I, s:O}", "version",
--- a/regress/standin_proxy.c
+++ b/regress/standin_proxy.c
@@ -15,10 +15,10 @@
  *	POST /standin/set?mode=M&delay_ms=N&bytes=N	on the control address
  *
  * Modes: pass; cut (all connections are reset, new ones too); blackhole
- * (connections stand, nothing goes through); freeze (as blackhole, but what
- * came meanwhile goes through later); truncate (connections are reset after
- * so many bytes from the target); drop_answers (what callers send goes
- * through, and the connection is reset in place of the first answer).
+ * (connections stay open, but all data is dropped); freeze (as blackhole, but
+ * data is held and delivered later); truncate (connections are reset after
+ * `bytes` bytes from the target); drop_answers (data from callers is forwarded,
+ * and the connection is reset instead of delivering the first response).
  */
 #include <arpa/inet.h>
 #include <signal.h>
@@ -42,25 +42,25 @@
 static const char *const mode_names[M_MAX] = {
     "pass", "cut", "blackhole", "freeze", "truncate", "drop_answers"};
 
-/* One direction's end of a connection. */
+/* One side of a proxied connection. */
 struct end {
 	uv_tcp_t tcp;
 	struct conn *conn;
 	struct end *other;
-	bool target; /* towards the target */
+	bool target; /* the side of the target */
 };
 
 struct conn {
 	struct end ends[2];
 	uv_connect_t connect;
 	uint64_t answered; /* bytes from the target */
-	int open; /* handles that are not closed yet */
-	int parcels; /* parcels under way */
+	int open; /* handles not closed yet */
+	int parcels; /* parcels not delivered yet */
 	bool closing;
 	GList link;
 };
 
-/* Bytes on their way, perhaps held back. */
+/* Data to be delivered, possibly after a delay. */
 struct parcel {
 	struct tmr_item timer;
 	uv_write_t write;
