--- a/regress/fleet.h
+++ b/regress/fleet.h
@@ -62,10 +62,11 @@
 bool until(const std::function<bool()> &, int timeout_ms = 30000);
 double now_ms();
 
+/* A child process, restartable with the same arguments. */
 struct Process {
-	pid_t pid = 0;
+	pid_t pid = 0; /* 0: not running */
 	std::vector<std::string> argv;
-	std::string log;
+	std::string log; /* file that gets its output */
 
 	void start();
 	void signal(int signo) const;
--- a/regress/load.h
+++ b/regress/load.h
@@ -50,7 +50,8 @@
 		SURGE, /* x times the requests, in one hall or all (-1) */
 		SLOW, /* a share of the servers is x times slower */
 		GONE, /* a share of the servers leaves for good, announced */
-		SILENT, /* a share of the servers is silent: attempts hang */
+		SILENT, /* a share does not respond for a while: attempts hang
+			 */
 		REFUSE, /* all refuse a share x, with free slots or without */
 		CRASH, /* a share is down for a while, unannounced */
 		COLD, /* a share is replaced one by one, new ones start slow */
@@ -71,7 +72,7 @@
 	std::vector<Event> events;
 	double load =
 	    0.45; /* share of what two thirds of all slots can serve */
-	bool tells = true;
+	bool tells = true; /* servers report their load in responses */
 	double knee = 1.7; /* slowdown factor above 4/5 of the slots */
 	bool queues = true; /* a full server queues; else it cuts requests */
 	int64_t length_ms = 14000;
@@ -86,8 +87,8 @@
 struct Setting {
 	int halls = 3, servers = 16, slots = 3; /* servers per hall */
 	double spells = 0.25; /* share of time in a slow period */
-	double spell_x = 5;
-	int64_t spell_ms = 150;
+	double spell_x = 5; /* slowdown factor in a slow period */
+	int64_t spell_ms = 150; /* length of a slow period */
 	std::vector<Kind> kinds;
 	uint64_t seed = 1;
 };
@@ -105,8 +106,7 @@
 struct Result {
 	std::map<std::string, Count> kinds;
 	std::map<int64_t, double> seconds; /* share served in time, by second */
-	double worth =
-	    0; /* share of the possible worth; late responses count 1/10 */
+	double worth = 0; /* share of the possible; late ones count a tenth */
 	double in_time = 0; /* share of all */
 	int worst_cold = 0; /* most requests in one second at a cold server */
 	int fell_over = 0; /* cold servers that failed from overload */
--- a/regress/soak_box.cpp
+++ b/regress/soak_box.cpp
@@ -44,7 +44,7 @@
 enum { FEW = 4, BACKENDS = 8, SLOTS = 3, DEADLINE_MS = 800 };
 /*
  * Strong boxes per hall; number of earlier configurations whose routes are kept
- * in later ones; every THIRD-th box has its own proxy to the store.
+ * in later ones; every THIRD-th box uses a second proxy to the store.
  */
 enum { STRONG = 2, KEPT = 60, THIRD = 3 };
 
