--- a/regress/box.h
+++ b/regress/box.h
@@ -88,8 +88,7 @@
 
 /* A box, its platform, and two services with two backend servers each. */
 struct World {
-	std::string
-	    ip; /* not shared with other tests: the stand-ins hold ports */
+	std::string ip; /* used by no other test; stand-ins hold its ports */
 	std::string dir, file;
 	std::string of_gate; /* additional settings of the gate */
 	std::string of_bounds; /* additional bounds of the platform */
--- a/regress/load.h
+++ b/regress/load.h
@@ -50,8 +50,7 @@
 		SURGE, /* x times the requests, in one hall or all (-1) */
 		SLOW, /* a share of the servers is x times slower */
 		GONE, /* a share of the servers leaves for good, announced */
-		SILENT, /* a share does not respond for a while: attempts hang
-			 */
+		SILENT, /* a share is silent for a while: attempts hang */
 		REFUSE, /* all refuse a share x, with free slots or without */
 		CRASH, /* a share is down for a while, unannounced */
 		COLD, /* a share is replaced one by one, new ones start slow */
