--- a/disp.h
+++ b/disp.h
@@ -261,8 +261,8 @@
     struct disp *, struct pick_backend *, double rate, int64_t sent);
 
 /*
- * Reports the result of a load query that peek() sent.  A `percent` of 0 means
- * the backend server does not report its load.
+ * Reports the result of a load query that query_load() sent.  A `percent` of 0
+ * means that the backend server does not report its load.
  */
 void disp_load_query_done(struct disp *, struct str backend, bool answered,
     int running, int waiting, int percent);
