--- a/disp.h
+++ b/disp.h
@@ -235,7 +235,7 @@
     int waiting, int percent);
 
 /*
- * Applies the reports of backend servers in params.words, after reports from
+ * Applies the reports of backend servers in params.reports, after reports from
  * other boxes were merged into them.
  */
 void disp_apply_reports(struct disp *);
